--- a/packages/stallpaddle-relay/src/RelayPass.ts
+++ b/packages/stallpaddle-relay/src/RelayForwarder.ts
@@ -26,7 +26,7 @@
 }
 
 /** See the module's comment. */
-export class RelayPass {
+export class RelayForwarder {
   private last: string | null;
   private readonly res: ServerResponse;
 
--- a/packages/stallpaddle-relay/src/RelayRun.ts
+++ b/packages/stallpaddle-relay/src/RelayRun.ts
@@ -15,7 +15,7 @@
 import {LOOK_AGAIN_MS, RETRY_AFTER_MS, SERVER_ERROR} from './RelayConstants';
 import {type EngineCall, type EngineCallStart, startEngineCall} from './RelayEngineCall';
 import {passedHeaders} from './RelayHeaders';
-import {RelayPass} from './RelayPass';
+import {RelayForwarder} from './RelayForwarder';
 import {RelaySilence} from './RelaySilence';
 import {RelaySuspicion} from './RelaySuspicion';
 
@@ -34,7 +34,7 @@
   private readonly choice: RelayChoice;
   private end: RelayEnd | undefined;
   private firstMs: number | undefined;
-  private readonly pass: RelayPass;
+  private readonly pass: RelayForwarder;
   private reason: string | undefined;
   private readonly silence: RelaySilence;
   private readonly suspicion: RelaySuspicion;
@@ -52,7 +52,7 @@
   ) {
     this.suspicion = new RelaySuspicion(context, req);
     this.choice = new RelayChoice(context, req, () => this.suspicion.suspect);
-    this.pass = new RelayPass({
+    this.pass = new RelayForwarder({
       isOver: () => this.end !== undefined,
       lastEvent: req.facts.resumeAfter,
       onHead: () => {
