--- a/packages/stallpaddle-relay/src/RelayForwarder.ts
+++ b/packages/stallpaddle-relay/src/RelayForwarder.ts
@@ -12,7 +12,7 @@
 export type ReadEnd = 'broken' | 'whole';
 
 /** What passing answers on needs of its request. */
-export interface RelayPassOptions {
+export interface RelayForwarderOptions {
   /** Whether the request has ended, so that nothing more may be passed on. */
   readonly isOver: () => boolean;
   /** Last event that the caller already has. */
@@ -33,7 +33,7 @@
   /**
    * @param options what it needs of its request
    */
-  constructor(private readonly options: RelayPassOptions) {
+  constructor(private readonly options: RelayForwarderOptions) {
     this.last = options.lastEvent;
     this.res = options.res;
   }
