--- a/packages/stallpaddle-relay/src/RelayForwarder.ts
+++ b/packages/stallpaddle-relay/src/RelayForwarder.ts
@@ -9,7 +9,7 @@
 import {passedHeaders} from './RelayHeaders';
 
 /** What reading an answer came to. */
-export type ReadEnd = 'broken' | 'whole';
+export type ForwardResult = 'broken' | 'whole';
 
 /** What passing answers on needs of its request. */
 export interface RelayForwarderOptions {
@@ -48,7 +48,7 @@
    *
    * @param answer the engine's answer
    */
-  async passStream(answer: IncomingMessage): Promise<ReadEnd> {
+  async passStream(answer: IncomingMessage): Promise<ForwardResult> {
     const splitter = new EventSplitter();
     try {
       for await (const chunk of answer) {
@@ -69,7 +69,7 @@
    *
    * @param answer the engine's answer
    */
-  async passWhole(answer: IncomingMessage): Promise<ReadEnd> {
+  async passWhole(answer: IncomingMessage): Promise<ForwardResult> {
     let held: Buffer[] | null = [];
     let size = 0;
     try {
