--- a/packages/stallpaddle-relay/src/RelayRun.ts
+++ b/packages/stallpaddle-relay/src/RelayRun.ts
@@ -16,7 +16,7 @@
 import {type EngineCall, type EngineCallStart, startEngineCall} from './RelayEngineCall';
 import {passedHeaders} from './RelayHeaders';
 import {RelayForwarder} from './RelayForwarder';
-import {RelaySilence} from './RelaySilence';
+import {RelayStallDetector} from './RelayStallDetector';
 import {RelaySuspicion} from './RelaySuspicion';
 
 type Answer = Extract<EngineCallStart, {kind: 'answer'}>;
@@ -36,7 +36,7 @@
   private firstMs: number | undefined;
   private readonly pass: RelayForwarder;
   private reason: string | undefined;
-  private readonly silence: RelaySilence;
+  private readonly silence: RelayStallDetector;
   private readonly suspicion: RelaySuspicion;
   private verdict: Verdict = 'notRun';
 
@@ -64,7 +64,7 @@
       },
       res,
     });
-    this.silence = new RelaySilence({
+    this.silence = new RelayStallDetector({
       clock: context.clock,
       giveUp: (fields) => this.giveUp(fields),
       isResumable: req.route.resumable,
--- a/packages/stallpaddle-relay/src/RelaySilence.ts
+++ b/packages/stallpaddle-relay/src/RelayStallDetector.ts
@@ -24,7 +24,7 @@
 }
 
 /** See the module's comment. */
-export class RelaySilence {
+export class RelayStallDetector {
   /** Whether the engine had a free slot when the request was sent. */
   private hadRoom = false;
   private isHeard = false;
