--- a/packages/stallpaddle-relay/src/RelayStallDetector.ts
+++ b/packages/stallpaddle-relay/src/RelayStallDetector.ts
@@ -12,7 +12,7 @@
 import {LOOK_AGAIN_MS, SILENT_FIRST_MS, SILENT_STREAM_MS} from './RelayConstants';
 
 /** What it needs of its request. */
-export interface RelaySilenceOptions {
+export interface RelayStallDetectorOptions {
   readonly clock: Clock;
   /** Ends the attempt; the fields say why, for the log. */
   readonly giveUp: (fields: LogFields) => void;
@@ -36,7 +36,7 @@
   /**
    * @param options what it needs of its request
    */
-  constructor(private readonly options: RelaySilenceOptions) {}
+  constructor(private readonly options: RelayStallDetectorOptions) {}
 
   /** Whether the attempt was ended for its engine's silence. */
   get hasLeft(): boolean {
