--- a/packages/stallpaddle-relay/src/RelaySuspicion.ts
+++ b/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
@@ -17,7 +17,7 @@
 const NOT_BEGUN: RunBegin = {events: 0, firstAt: undefined};
 
 /** See the module's comment. */
-export class RelaySuspicion {
+export class RelayCrashEvidence {
   private begin = NOT_BEGUN;
   private digestMade: string | undefined;
   /** What was found of the engines that broke off so far: how many of them ended, one after the other. */
--- a/packages/stallpaddle-relay/src/RelayRun.ts
+++ b/packages/stallpaddle-relay/src/RelayRun.ts
@@ -17,7 +17,7 @@
 import {passedHeaders} from './RelayHeaders';
 import {RelayForwarder} from './RelayForwarder';
 import {RelayStallDetector} from './RelayStallDetector';
-import {RelaySuspicion} from './RelaySuspicion';
+import {RelayCrashEvidence} from './RelayCrashEvidence';
 
 type Answer = Extract<EngineCallStart, {kind: 'answer'}>;
 
@@ -37,7 +37,7 @@
   private readonly pass: RelayForwarder;
   private reason: string | undefined;
   private readonly silence: RelayStallDetector;
-  private readonly suspicion: RelaySuspicion;
+  private readonly suspicion: RelayCrashEvidence;
   private verdict: Verdict = 'notRun';
 
   /**
@@ -50,7 +50,7 @@
     private readonly req: RelayRequest,
     private readonly res: ServerResponse,
   ) {
-    this.suspicion = new RelaySuspicion(context, req);
+    this.suspicion = new RelayCrashEvidence(context, req);
     this.choice = new RelayChoice(context, req, () => this.suspicion.suspect);
     this.pass = new RelayForwarder({
       isOver: () => this.end !== undefined,
