--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -16,7 +16,7 @@
   RelayPace,
   type RelayRequest,
   RelayRun,
-  RelayUsual,
+  RelayDeadlines,
   sendRefusal,
 } from 'stallpaddle-relay';
 
@@ -59,7 +59,7 @@
   private readonly routes: NodeRoutes;
   private servers: readonly Server[] = [];
   private readonly tells: NodeTells;
-  private readonly usual = new RelayUsual();
+  private readonly usual = new RelayDeadlines();
 
   /**
    * @param options what the process is made of
--- a/packages/stallpaddle-relay/src/RelayUsual.ts
+++ b/packages/stallpaddle-relay/src/RelayDeadlines.ts
@@ -22,7 +22,7 @@
 const NONE: SeenDeadlines = {longestMs: 0, requests: 0};
 
 /** See the module's comment. */
-export class RelayUsual {
+export class RelayDeadlines {
   private readonly seen = new Map<string, SeenDeadlines>();
 
   /**
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -24,7 +24,7 @@
   type RunBegin,
 } from './RelaySuspects';
 export type {RelayCaller, RelayContext, RelayDecision, RelayEnd, RelayRequest} from './RelayTypes';
-export {RelayUsual} from './RelayUsual';
+export {RelayDeadlines} from './RelayDeadlines';
 export type {
   AnswerFacts,
   CallerFacts,
