--- a/packages/stallpaddle-jobs/src/JobsItemRun.ts
+++ b/packages/stallpaddle-jobs/src/JobsItemRun.ts
@@ -6,7 +6,7 @@
   EngineCall,
   EngineCallStart,
   NotRunReason,
-  RelayPace,
+  RelayLatencies,
   RelayWire,
 } from 'stallpaddle-relay';
 
@@ -110,7 +110,7 @@
  * @param pace how fast engines are
  * @param req what it is made of
  */
-export function startItemRun(wire: RelayWire, pace: RelayPace, req: ItemRunRequest): ItemRun {
+export function startItemRun(wire: RelayWire, pace: RelayLatencies, req: ItemRunRequest): ItemRun {
   const set = wire.engineHeaders({
     customer: req.customer,
     deadlineMs: null,
--- a/packages/stallpaddle-jobs/src/JobsRunner.ts
+++ b/packages/stallpaddle-jobs/src/JobsRunner.ts
@@ -7,7 +7,7 @@
 
 import {errorMessage, unreachable} from 'stallpaddle';
 import {engineOf, type EngineView, type FleetRoute, HELD_LEVEL} from 'stallpaddle-fleet';
-import {hasOnlyBegun, RelayPace, requestDigest, SERVER_ERROR} from 'stallpaddle-relay';
+import {hasOnlyBegun, RelayLatencies, requestDigest, SERVER_ERROR} from 'stallpaddle-relay';
 
 import type {ItemDecision, JobsDispatcherOptions} from './JobsContext';
 import type {JobsEngines} from './JobsEngines';
@@ -44,7 +44,7 @@
 export class JobsRunner {
   private readonly ends: JobsEnds;
   private readonly needs: JobsDispatcherOptions;
-  private readonly pace = new RelayPace();
+  private readonly pace = new RelayLatencies();
 
   /**
    * @param options what it needs of its dispatcher
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -13,7 +13,7 @@
   type RelayDecision,
   RelayExperience,
   RelayOnline,
-  RelayPace,
+  RelayLatencies,
   type RelayRequest,
   RelayRun,
   RelayDeadlines,
@@ -92,7 +92,7 @@
       engines: () => watch.view.news.engines,
       experience: new RelayExperience(clock),
       online,
-      pace: new RelayPace(),
+      pace: new RelayLatencies(),
       random: Math.random,
       suspects: makeSuspects({
         clock,
--- a/packages/stallpaddle-node/src/NodeEntryMetrics.ts
+++ b/packages/stallpaddle-node/src/NodeEntryMetrics.ts
@@ -2,7 +2,7 @@
  * Metrics of a process that serves callers.
  */
 import type {LogFields} from 'stallpaddle';
-import type {RelayOnline, RelayPace} from 'stallpaddle-relay';
+import type {RelayOnline, RelayLatencies} from 'stallpaddle-relay';
 
 import type {NodeIntake} from './NodeIntake';
 import type {NodeMetrics} from './NodeMetrics';
@@ -16,7 +16,7 @@
   /** Online requests of this VM at each engine. */
   readonly online: RelayOnline;
   /** How fast engines are, as this VM has seen it. */
-  readonly pace: RelayPace;
+  readonly pace: RelayLatencies;
   readonly watch: NodeWatch;
 }
 
--- a/packages/stallpaddle-relay/src/RelayEngineCall.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineCall.ts
@@ -7,7 +7,7 @@
 import {request} from 'node:http';
 import {registerResetWatch, registerTimeout} from 'stallpaddle';
 
-import type {RelayPace} from './RelayPace';
+import type {RelayLatencies} from './RelayLatencies';
 import type {AnswerFacts, RelayWire} from './RelayWire';
 
 /** A request as it is sent. */
@@ -78,7 +78,7 @@
  * @param pace how fast engines are
  * @param req the request
  */
-export function startEngineCall(wire: RelayWire, pace: RelayPace, req: EngineRequest): EngineCall {
+export function startEngineCall(wire: RelayWire, pace: RelayLatencies, req: EngineRequest): EngineCall {
   const {host, port} = splitAddress(req.address);
   const headers = [...req.headers, 'Content-Length', String(req.body.length)];
   let connected = false;
--- a/packages/stallpaddle-relay/src/RelayPace.ts
+++ b/packages/stallpaddle-relay/src/RelayLatencies.ts
@@ -4,7 +4,7 @@
 import {LearnedLimit} from 'stallpaddle';
 
 /** See the module's comment. */
-export class RelayPace {
+export class RelayLatencies {
   /**
    * From the opening of a connection to its first word back. At least 40 ms: a busy VM answers within some
    * milliseconds; a lost opening packet is sent again only after a second. At most 250 ms, below an objective of
--- a/packages/stallpaddle-relay/src/RelayStallDetector.ts
+++ b/packages/stallpaddle-relay/src/RelayStallDetector.ts
@@ -7,7 +7,7 @@
 
 import {registerTimeout} from 'stallpaddle';
 
-import type {RelayPace} from './RelayPace';
+import type {RelayLatencies} from './RelayLatencies';
 
 import {LOOK_AGAIN_MS, SILENT_FIRST_MS, SILENT_STREAM_MS} from './RelayConstants';
 
@@ -20,7 +20,7 @@
   readonly isResumable: boolean;
   /** Whether another engine would begin at once. */
   readonly mayMove: () => boolean;
-  readonly pace: RelayPace;
+  readonly pace: RelayLatencies;
 }
 
 /** See the module's comment. */
--- a/packages/stallpaddle-relay/src/RelayTypes.ts
+++ b/packages/stallpaddle-relay/src/RelayTypes.ts
@@ -6,7 +6,7 @@
 
 import type {RelayExperience} from './RelayExperience';
 import type {RelayOnline} from './RelayOnline';
-import type {RelayPace} from './RelayPace';
+import type {RelayLatencies} from './RelayLatencies';
 import type {RelaySuspects} from './RelaySuspects';
 import type {CallerFacts, RelayWire} from './RelayWire';
 
@@ -60,7 +60,7 @@
   readonly engines: () => readonly EngineView[];
   readonly experience: RelayExperience;
   readonly online: RelayOnline;
-  readonly pace: RelayPace;
+  readonly pace: RelayLatencies;
   readonly random: Random;
   readonly suspects: RelaySuspects;
   /** Age of what is known of the fleet, in milliseconds. */
--- a/packages/stallpaddle-relay/src/__tests__/RelayFixture.ts
+++ b/packages/stallpaddle-relay/src/__tests__/RelayFixture.ts
@@ -12,7 +12,7 @@
 
 import {RelayExperience} from '../RelayExperience';
 import {RelayOnline} from '../RelayOnline';
-import {RelayPace} from '../RelayPace';
+import {RelayLatencies} from '../RelayLatencies';
 import {RelayRun} from '../RelayRun';
 
 /** What a caller got. */
@@ -87,7 +87,7 @@
     engines: () => views,
     experience: new RelayExperience(systemClock),
     online,
-    pace: new RelayPace(),
+    pace: new RelayLatencies(),
     random: seededRandom(1),
     suspects: new SuspectBoard().view(plainRelay, () => views),
     viewAgeMs: () => 0,
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineCall.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineCall.test.ts
@@ -9,7 +9,7 @@
 import {afterEach, describe, expect, test} from 'vitest';
 
 import {startEngineCall} from '../../RelayEngineCall';
-import {RelayPace} from '../../RelayPace';
+import {RelayLatencies} from '../../RelayLatencies';
 
 /** Enough resets: without the look at the peer, 3 in 100 pass for whole. */
 const RESETS = 300;
@@ -36,7 +36,7 @@
 }
 
 async function isWhole(address: string, requestId: string): Promise<boolean> {
-  const call = startEngineCall(plainRelay, new RelayPace(), {
+  const call = startEngineCall(plainRelay, new RelayLatencies(), {
     address,
     body: Buffer.from('b'),
     headers: ['Host', 'h', PLAIN.request, requestId],
@@ -75,7 +75,7 @@
 describe('startEngineCall', () => {
   test('a process that was held up does not take its own lateness for an engine that can’t be reached', async () => {
     const address = await startEngine('end');
-    const pace = new RelayPace();
+    const pace = new RelayLatencies();
     Array.from({length: 20}, () => pace.connect.note(1));
     const call = startEngineCall(plainRelay, pace, {
       address,
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -14,7 +14,7 @@
 export {type EngineStart, RelayExperience} from './RelayExperience';
 export {passedHeaders} from './RelayHeaders';
 export {type OnlineCounts, RelayOnline} from './RelayOnline';
-export {RelayPace} from './RelayPace';
+export {RelayLatencies} from './RelayLatencies';
 export {type EngineExperience, isSound} from './RelayPlacement';
 export {RelayRun} from './RelayRun';
 export {
