--- a/packages/stallpaddle-relay/src/RelayChoice.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineSelector.ts
@@ -22,7 +22,7 @@
 const NONE: ReadonlySet<EngineId> = new Set();
 
 /** See the module's comment. */
-export class RelayChoice {
+export class RelayEngineSelector {
   private declines = 0;
   /** Engines that count as attempts: they may have run the request, and have not been found ended since. */
   private readonly counted = new Set<EngineId>();
--- a/packages/stallpaddle-relay/src/RelayRun.ts
+++ b/packages/stallpaddle-relay/src/RelayRun.ts
@@ -11,7 +11,7 @@
 import type {RelayContext, RelayEnd, RelayRequest} from './RelayTypes';
 
 import {sendRefusal} from './RelayAnswers';
-import {RelayChoice} from './RelayChoice';
+import {RelayEngineSelector} from './RelayEngineSelector';
 import {LOOK_AGAIN_MS, RETRY_AFTER_MS, SERVER_ERROR} from './RelayConstants';
 import {type EngineCall, type EngineCallStart, startEngineCall} from './RelayEngineCall';
 import {passedHeaders} from './RelayHeaders';
@@ -31,7 +31,7 @@
   /** Whether the engine asked last broke off, and not this side. */
   private broke = false;
   private call: EngineCall | undefined;
-  private readonly choice: RelayChoice;
+  private readonly choice: RelayEngineSelector;
   private end: RelayEnd | undefined;
   private firstMs: number | undefined;
   private readonly pass: RelayForwarder;
@@ -51,7 +51,7 @@
     private readonly res: ServerResponse,
   ) {
     this.suspicion = new RelayCrashEvidence(context, req);
-    this.choice = new RelayChoice(context, req, () => this.suspicion.suspect);
+    this.choice = new RelayEngineSelector(context, req, () => this.suspicion.suspect);
     this.pass = new RelayForwarder({
       isOver: () => this.end !== undefined,
       lastEvent: req.facts.resumeAfter,
