--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -12,7 +12,7 @@
   type RelayContext,
   type RelayDecision,
   RelayExperience,
-  RelayOnline,
+  RelayOnlineLoad,
   RelayLatencies,
   type RelayRequest,
   RelayRun,
@@ -83,7 +83,7 @@
       decide: (id, fields) => this.log.decide('overLimit', id, fields),
       limits,
     });
-    const online = new RelayOnline(clock);
+    const online = new RelayOnlineLoad(clock);
     this.tells = new NodeTells(jobs, online, drawId('e'), () => watch.view.news.entries.length);
     this.jobCalls = new NodeJobCalls(jobs, wire, this.log, clock);
     this.context = {
--- a/packages/stallpaddle-node/src/NodeEntryMetrics.ts
+++ b/packages/stallpaddle-node/src/NodeEntryMetrics.ts
@@ -2,7 +2,7 @@
  * Metrics of a process that serves callers.
  */
 import type {LogFields} from 'stallpaddle';
-import type {RelayOnline, RelayLatencies} from 'stallpaddle-relay';
+import type {RelayOnlineLoad, RelayLatencies} from 'stallpaddle-relay';
 
 import type {NodeIntake} from './NodeIntake';
 import type {NodeMetrics} from './NodeMetrics';
@@ -14,7 +14,7 @@
 export interface EntryGauges {
   readonly intake: NodeIntake;
   /** Online requests of this VM at each engine. */
-  readonly online: RelayOnline;
+  readonly online: RelayOnlineLoad;
   /** How fast engines are, as this VM has seen it. */
   readonly pace: RelayLatencies;
   readonly watch: NodeWatch;
--- a/packages/stallpaddle-node/src/NodeTells.ts
+++ b/packages/stallpaddle-node/src/NodeTells.ts
@@ -5,7 +5,7 @@
  */
 import type {MonotonicMs} from 'stallpaddle';
 import type {JobsRequest, OnlineAnswer, OnlineVersion} from 'stallpaddle-jobs';
-import type {OnlineCounts, RelayOnline} from 'stallpaddle-relay';
+import type {OnlineCounts, RelayOnlineLoad} from 'stallpaddle-relay';
 
 import {delay, encodeValue} from 'stallpaddle';
 
@@ -36,7 +36,7 @@
    */
   constructor(
     private readonly caller: Pick<NodeCaller, 'leaderHost' | 'post' | 'tryOnce'>,
-    private readonly online: RelayOnline,
+    private readonly online: RelayOnlineLoad,
     private readonly sender: string,
     private readonly entryVms: () => number,
   ) {
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
@@ -5,7 +5,7 @@
 
 import {seededRandom, systemClock} from 'stallpaddle';
 import {JobsOnline} from 'stallpaddle-jobs';
-import {RelayOnline} from 'stallpaddle-relay';
+import {RelayOnlineLoad} from 'stallpaddle-relay';
 import {describe, expect, test} from 'vitest';
 
 import {NodeOnlineDesk} from '../../NodeOnlineDesk';
@@ -59,7 +59,7 @@
 
   test('a VM that merges all answers knows what a whole answer tells', () => {
     const {tell} = deskOf();
-    const relay = new RelayOnline(systemClock);
+    const relay = new RelayOnlineLoad(systemClock);
     const random = seededRandom(20_265);
     const draw = (): Counts => {
       const own = [0, 1, 2].map((at) => [`e${at}`, Math.floor(random() * 4)] as const);
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeTells.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeTells.test.ts
@@ -6,7 +6,7 @@
 import type {TryOutcome} from 'stallpaddle-rpc';
 
 import {decodeValue, delay, systemClock} from 'stallpaddle';
-import {RelayOnline} from 'stallpaddle-relay';
+import {RelayOnlineLoad} from 'stallpaddle-relay';
 import {afterEach, describe, expect, test} from 'vitest';
 
 import {NodeBackoff} from '../../NodeBackoff';
@@ -52,7 +52,7 @@
     words.push(wordOf(encoded, false));
     return true;
   };
-  const online = new RelayOnline(systemClock);
+  const online = new RelayOnlineLoad(systemClock);
   const tells = new NodeTells({leaderHost: null, post, tryOnce}, online, 'e1', () => entryVms);
   undo.push(() => tells.stop());
   return {online, tells, words};
@@ -61,7 +61,7 @@
 describe('NodeTells', () => {
   test('tells whoever was named to run items at once, and waits longer and longer while nobody is', async () => {
     // After a loss of all VMs each one must know the others' requests before it can choose among engines.
-    const online = new RelayOnline(systemClock);
+    const online = new RelayOnlineLoad(systemClock);
     const tries = {named: 0, unnamed: 0};
     const callerOf = (leaderHost: null | string, kind: keyof typeof tries) => ({
       leaderHost,
--- a/packages/stallpaddle-relay/src/RelayOnline.ts
+++ b/packages/stallpaddle-relay/src/RelayOnlineLoad.ts
@@ -31,7 +31,7 @@
 }
 
 /** See the module's comment. */
-export class RelayOnline {
+export class RelayOnlineLoad {
   private readonly listeners = new Set<() => void>();
   private readonly own = new Map<EngineId, number>();
   private others: OnlineCounts = {};
--- a/packages/stallpaddle-relay/src/RelayTypes.ts
+++ b/packages/stallpaddle-relay/src/RelayTypes.ts
@@ -5,7 +5,7 @@
 import type {EngineView, FleetRoute} from 'stallpaddle-fleet';
 
 import type {RelayExperience} from './RelayExperience';
-import type {RelayOnline} from './RelayOnline';
+import type {RelayOnlineLoad} from './RelayOnlineLoad';
 import type {RelayLatencies} from './RelayLatencies';
 import type {RelaySuspects} from './RelaySuspects';
 import type {CallerFacts, RelayWire} from './RelayWire';
@@ -59,7 +59,7 @@
   readonly decide: (decision: RelayDecision, requestId: string, fields: LogFields) => void;
   readonly engines: () => readonly EngineView[];
   readonly experience: RelayExperience;
-  readonly online: RelayOnline;
+  readonly online: RelayOnlineLoad;
   readonly pace: RelayLatencies;
   readonly random: Random;
   readonly suspects: RelaySuspects;
--- a/packages/stallpaddle-relay/src/__tests__/RelayFixture.ts
+++ b/packages/stallpaddle-relay/src/__tests__/RelayFixture.ts
@@ -11,7 +11,7 @@
 import type {RelayCaller, RelayContext, RelayEnd} from '../RelayTypes';
 
 import {RelayExperience} from '../RelayExperience';
-import {RelayOnline} from '../RelayOnline';
+import {RelayOnlineLoad} from '../RelayOnlineLoad';
 import {RelayLatencies} from '../RelayLatencies';
 import {RelayRun} from '../RelayRun';
 
@@ -77,7 +77,7 @@
     startedAtMs: 0,
     zone: 'z',
   }));
-  const online = new RelayOnline(systemClock);
+  const online = new RelayOnlineLoad(systemClock);
   if (isTold) {
     online.learn({}, true, []);
   }
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -13,7 +13,7 @@
 export {continues, EventSplitter, type StreamEvent} from './RelayEvents';
 export {type EngineStart, RelayExperience} from './RelayExperience';
 export {passedHeaders} from './RelayHeaders';
-export {type OnlineCounts, RelayOnline} from './RelayOnline';
+export {type OnlineCounts, RelayOnlineLoad} from './RelayOnlineLoad';
 export {RelayLatencies} from './RelayLatencies';
 export {type EngineExperience, isSound} from './RelayPlacement';
 export {RelayRun} from './RelayRun';
