--- a/packages/stallpaddle-jobs/src/JobsEngines.ts
+++ b/packages/stallpaddle-jobs/src/JobsEngines.ts
@@ -5,7 +5,7 @@
 import type {EngineId, LogFields, MonotonicMs} from 'stallpaddle';
 import type {EngineView, FleetView} from 'stallpaddle-fleet';
 
-import {type EngineStart, isSound, RelayExperience} from 'stallpaddle-relay';
+import {type EngineStart, isSound, RelayEngineHealth} from 'stallpaddle-relay';
 
 import type {JobsDispatcherOptions} from './JobsContext';
 import type {PlannedEngine, PlannedRun} from './JobsPlan';
@@ -40,7 +40,7 @@
 
 /** See the module's comment. */
 export class JobsEngines {
-  private readonly experience: RelayExperience;
+  private readonly experience: RelayEngineHealth;
   /** Online requests of all entry VMs. */
   readonly online: JobsOnline;
   private silence: Silence = {at: -Infinity, engines: []};
@@ -50,7 +50,7 @@
    * @param options what it needs of its dispatcher
    */
   constructor(private readonly options: JobsEnginesOptions) {
-    this.experience = new RelayExperience(options.clock);
+    this.experience = new RelayEngineHealth(options.clock);
     this.online = new JobsOnline(options.clock);
   }
 
--- a/packages/stallpaddle-relay/src/RelayExperience.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineHealth.ts
@@ -16,7 +16,7 @@
 }
 
 /** See the module's comment. */
-export class RelayExperience {
+export class RelayEngineHealth {
   private readonly seen = new Map<EngineId, SeenStart>();
 
   /**
--- a/packages/stallpaddle-relay/src/RelayTypes.ts
+++ b/packages/stallpaddle-relay/src/RelayTypes.ts
@@ -4,7 +4,7 @@
 import type {Clock, LogFields, MonotonicMs, Random, ZoneId} from 'stallpaddle';
 import type {EngineView, FleetRoute} from 'stallpaddle-fleet';
 
-import type {RelayExperience} from './RelayExperience';
+import type {RelayEngineHealth} from './RelayEngineHealth';
 import type {RelayOnlineLoad} from './RelayOnlineLoad';
 import type {RelayLatencies} from './RelayLatencies';
 import type {RelaySuspects} from './RelaySuspects';
@@ -58,7 +58,7 @@
   /** Writes one line for a decision. */
   readonly decide: (decision: RelayDecision, requestId: string, fields: LogFields) => void;
   readonly engines: () => readonly EngineView[];
-  readonly experience: RelayExperience;
+  readonly experience: RelayEngineHealth;
   readonly online: RelayOnlineLoad;
   readonly pace: RelayLatencies;
   readonly random: Random;
--- a/packages/stallpaddle-relay/src/__tests__/RelayFixture.ts
+++ b/packages/stallpaddle-relay/src/__tests__/RelayFixture.ts
@@ -10,7 +10,7 @@
 
 import type {RelayCaller, RelayContext, RelayEnd} from '../RelayTypes';
 
-import {RelayExperience} from '../RelayExperience';
+import {RelayEngineHealth} from '../RelayEngineHealth';
 import {RelayOnlineLoad} from '../RelayOnlineLoad';
 import {RelayLatencies} from '../RelayLatencies';
 import {RelayRun} from '../RelayRun';
@@ -85,7 +85,7 @@
     clock: systemClock,
     decide: () => {},
     engines: () => views,
-    experience: new RelayExperience(systemClock),
+    experience: new RelayEngineHealth(systemClock),
     online,
     pace: new RelayLatencies(),
     random: seededRandom(1),
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayExperience.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineHealth.test.ts
@@ -4,7 +4,7 @@
 import {systemClock} from 'stallpaddle';
 import {describe, expect, test} from 'vitest';
 
-import {RelayExperience} from '../../RelayExperience';
+import {RelayEngineHealth} from '../../RelayEngineHealth';
 import {NO_EXPERIENCE} from '../../RelayPlacement';
 
 const BEFORE = {id: 'e', startedAtMs: 1_000};
@@ -12,14 +12,14 @@
 
 describe('RelayExperience', () => {
   test('an engine that has started again is not held to what failed before', () => {
-    const experience = new RelayExperience(systemClock);
+    const experience = new RelayEngineHealth(systemClock);
     experience.note(BEFORE, false);
     expect(experience.of(BEFORE).failures).toBe(1);
     expect(experience.of(AFTER)).toEqual(NO_EXPERIENCE);
   });
 
   test('an attempt at the start before that ends late says nothing of the present one', () => {
-    const experience = new RelayExperience(systemClock);
+    const experience = new RelayEngineHealth(systemClock);
     experience.note(AFTER, true);
     experience.note(BEFORE, false);
     expect(experience.of(AFTER).failures).toBe(0);
