--- a/packages/stallpaddle-relay/src/RelayEngineHealth.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineHealth.ts
@@ -4,14 +4,14 @@
 import type {Clock, EngineId} from 'stallpaddle';
 import type {EngineView} from 'stallpaddle-fleet';
 
-import {afterAttempt, type EngineExperience, NO_EXPERIENCE} from './RelayPlacement';
+import {afterAttempt, type EngineHealth, NO_EXPERIENCE} from './RelayPlacement';
 
 /** One start of an engine: what was seen of an earlier one says nothing of it. */
 export type EngineStart = Pick<EngineView, 'id' | 'startedAtMs'>;
 
 /** What was seen of one start. */
 interface SeenStart {
-  readonly experience: EngineExperience;
+  readonly experience: EngineHealth;
   readonly startedAtMs: number;
 }
 
@@ -29,7 +29,7 @@
    *
    * @param start the engine, as it runs now
    */
-  of({id, startedAtMs}: EngineStart): EngineExperience {
+  of({id, startedAtMs}: EngineStart): EngineHealth {
     const seen = this.seen.get(id);
     return seen?.startedAtMs === startedAtMs ? seen.experience : NO_EXPERIENCE;
   }
--- a/packages/stallpaddle-relay/src/RelayPlacement.ts
+++ b/packages/stallpaddle-relay/src/RelayPlacement.ts
@@ -7,7 +7,7 @@
 import {rendezvousOwner} from 'stallpaddle';
 
 /** What a sender has seen of an engine itself. */
-export interface EngineExperience {
+export interface EngineHealth {
   /** Failures in a row. */
   readonly failures: number;
   readonly lastSuccessAt: MonotonicMs;
@@ -23,7 +23,7 @@
 const SUSPECT_MOST_MS = 4_000;
 
 /** Experience with an engine that was never called. */
-export const NO_EXPERIENCE: EngineExperience = {
+export const NO_EXPERIENCE: EngineHealth = {
   failures: 0,
   lastSuccessAt: -Infinity,
   suspectUntil: -Infinity,
@@ -37,10 +37,10 @@
  * @param now present time
  */
 export function afterAttempt(
-  before: EngineExperience,
+  before: EngineHealth,
   ok: boolean,
   now: MonotonicMs,
-): EngineExperience {
+): EngineHealth {
   if (ok) {
     return {failures: 0, lastSuccessAt: now, suspectUntil: -Infinity};
   }
@@ -56,7 +56,7 @@
  * @param seen this sender's experience
  * @param now present time
  */
-export function isSound(engine: EngineView, seen: EngineExperience, now: MonotonicMs): boolean {
+export function isSound(engine: EngineView, seen: EngineHealth, now: MonotonicMs): boolean {
   if (now < seen.suspectUntil) {
     return false;
   }
@@ -86,7 +86,7 @@
   /** Digest of a suspect, which is kept apart from other suspects; null for any other request. */
   readonly apart: null | string;
   readonly engines: readonly EngineView[];
-  readonly experienceOf: (engine: EngineView) => EngineExperience;
+  readonly experienceOf: (engine: EngineView) => EngineHealth;
   /** Whether others have found an engine silent. */
   readonly isSuspect: (id: EngineId) => boolean;
   readonly now: MonotonicMs;
