--- a/packages/stallpaddle-relay/src/RelayEngineHealth.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineHealth.ts
@@ -4,7 +4,7 @@
 import type {Clock, EngineId} from 'stallpaddle';
 import type {EngineView} from 'stallpaddle-fleet';
 
-import {afterAttempt, type EngineHealth, NO_EXPERIENCE} from './RelayPlacement';
+import {afterAttempt, type EngineHealth, INITIAL_HEALTH} from './RelayPlacement';
 
 /** One start of an engine: what was seen of an earlier one says nothing of it. */
 export type EngineStart = Pick<EngineView, 'id' | 'startedAtMs'>;
@@ -31,7 +31,7 @@
    */
   of({id, startedAtMs}: EngineStart): EngineHealth {
     const seen = this.seen.get(id);
-    return seen?.startedAtMs === startedAtMs ? seen.experience : NO_EXPERIENCE;
+    return seen?.startedAtMs === startedAtMs ? seen.experience : INITIAL_HEALTH;
   }
 
   /**
--- a/packages/stallpaddle-relay/src/RelayPlacement.ts
+++ b/packages/stallpaddle-relay/src/RelayPlacement.ts
@@ -23,7 +23,7 @@
 const SUSPECT_MOST_MS = 4_000;
 
 /** Experience with an engine that was never called. */
-export const NO_EXPERIENCE: EngineHealth = {
+export const INITIAL_HEALTH: EngineHealth = {
   failures: 0,
   lastSuccessAt: -Infinity,
   suspectUntil: -Infinity,
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineHealth.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineHealth.test.ts
@@ -5,7 +5,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {RelayEngineHealth} from '../../RelayEngineHealth';
-import {NO_EXPERIENCE} from '../../RelayPlacement';
+import {INITIAL_HEALTH} from '../../RelayPlacement';
 
 const BEFORE = {id: 'e', startedAtMs: 1_000};
 const AFTER = {id: 'e', startedAtMs: 2_000};
@@ -15,7 +15,7 @@
     const experience = new RelayEngineHealth(systemClock);
     experience.note(BEFORE, false);
     expect(experience.of(BEFORE).failures).toBe(1);
-    expect(experience.of(AFTER)).toEqual(NO_EXPERIENCE);
+    expect(experience.of(AFTER)).toEqual(INITIAL_HEALTH);
   });
 
   test('an attempt at the start before that ends late says nothing of the present one', () => {
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
@@ -10,7 +10,7 @@
   afterAttempt,
   drawService,
   isSound,
-  NO_EXPERIENCE,
+  INITIAL_HEALTH,
   type PlacementInput,
   placeRequest,
 } from '../../RelayPlacement';
@@ -34,7 +34,7 @@
   return placeRequest({
     apart: null,
     engines,
-    experienceOf: () => NO_EXPERIENCE,
+    experienceOf: () => INITIAL_HEALTH,
     isSuspect: () => false,
     now: 1_000,
     onlineAt: () => 0,
@@ -94,8 +94,8 @@
   });
 
   test('keeps off a suspect, but takes it when there is no other', () => {
-    const suspect = afterAttempt(NO_EXPERIENCE, false, 900);
-    const experienceOf = ({id}: EngineView) => (id === '1' ? suspect : NO_EXPERIENCE);
+    const suspect = afterAttempt(INITIAL_HEALTH, false, 900);
+    const experienceOf = ({id}: EngineView) => (id === '1' ? suspect : INITIAL_HEALTH);
     expect(
       place([engineOf('1'), engineOf('2')], {experienceOf, onlineAt: (id) => (id === '2' ? 7 : 0)}),
     ).toBe('2');
@@ -111,14 +111,14 @@
 
   test('believes its own recent answer more than silence towards others', () => {
     const silent = engineOf('1', {silent: true});
-    expect(isSound(silent, NO_EXPERIENCE, 1_000)).toBe(false);
-    expect(isSound(silent, afterAttempt(NO_EXPERIENCE, true, 500), 1_000)).toBe(true);
+    expect(isSound(silent, INITIAL_HEALTH, 1_000)).toBe(false);
+    expect(isSound(silent, afterAttempt(INITIAL_HEALTH, true, 500), 1_000)).toBe(true);
   });
 });
 
 describe('afterAttempt', () => {
   test('keeps off for longer with each failure in a row, up to a limit', () => {
-    let seen = NO_EXPERIENCE;
+    let seen = INITIAL_HEALTH;
     const pauses = Array.from({length: 6}, () => {
       seen = afterAttempt(seen, false, 0);
       return seen.suspectUntil;
