--- a/packages/stallpaddle-jobs/src/JobsEngines.ts
+++ b/packages/stallpaddle-jobs/src/JobsEngines.ts
@@ -5,7 +5,7 @@
 import type {EngineId, LogFields, MonotonicMs} from 'stallpaddle';
 import type {EngineView, FleetView} from 'stallpaddle-fleet';
 
-import {type EngineStart, isSound, RelayEngineHealth} from 'stallpaddle-relay';
+import {type EngineStart, isHealthy, RelayEngineHealth} from 'stallpaddle-relay';
 
 import type {JobsDispatcherOptions} from './JobsContext';
 import type {PlannedEngine, PlannedRun} from './JobsPlan';
@@ -156,7 +156,7 @@
         !engine.draining &&
         !silent.has(engine.id) &&
         this.survey?.isPending(engine.id) !== true &&
-        isSound(engine, this.experience.of(engine), now),
+        isHealthy(engine, this.experience.of(engine), now),
     }));
   }
 
--- a/packages/stallpaddle-relay/src/RelayEngineSelector.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineSelector.ts
@@ -17,7 +17,7 @@
   QUEUED_IN_TIME,
   UNTOLD_WAIT_MS,
 } from './RelayConstants';
-import {drawService, isSound, placeRequest} from './RelayPlacement';
+import {drawService, isHealthy, placeRequest} from './RelayPlacement';
 
 const NONE: ReadonlySet<EngineId> = new Set();
 
@@ -74,7 +74,7 @@
       engine !== undefined &&
       // Else all move at once, from full engines to others as full.
       online.hasKnownOthers &&
-      isSound(engine, experience.of(engine), clock.monotonicMs()) &&
+      isHealthy(engine, experience.of(engine), clock.monotonicMs()) &&
       !online.isSuspect(engine.id) &&
       this.hasRoom(engine)
     );
--- a/packages/stallpaddle-relay/src/RelayPlacement.ts
+++ b/packages/stallpaddle-relay/src/RelayPlacement.ts
@@ -56,7 +56,7 @@
  * @param seen this sender's experience
  * @param now present time
  */
-export function isSound(engine: EngineView, seen: EngineHealth, now: MonotonicMs): boolean {
+export function isHealthy(engine: EngineView, seen: EngineHealth, now: MonotonicMs): boolean {
   if (now < seen.suspectUntil) {
     return false;
   }
@@ -170,7 +170,7 @@
     (engine) => engine.service === service && !engine.draining && !tried.has(engine.id),
   );
   const sound = open.filter(
-    (engine) => isSound(engine, experienceOf(engine), now) && !isSuspect(engine.id),
+    (engine) => isHealthy(engine, experienceOf(engine), now) && !isSuspect(engine.id),
   );
   const choice = sound.length > 0 ? sound : open;
   if (apart !== null) {
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
@@ -9,7 +9,7 @@
 import {
   afterAttempt,
   drawService,
-  isSound,
+  isHealthy,
   INITIAL_HEALTH,
   type PlacementInput,
   placeRequest,
@@ -111,8 +111,8 @@
 
   test('believes its own recent answer more than silence towards others', () => {
     const silent = engineOf('1', {silent: true});
-    expect(isSound(silent, INITIAL_HEALTH, 1_000)).toBe(false);
-    expect(isSound(silent, afterAttempt(INITIAL_HEALTH, true, 500), 1_000)).toBe(true);
+    expect(isHealthy(silent, INITIAL_HEALTH, 1_000)).toBe(false);
+    expect(isHealthy(silent, afterAttempt(INITIAL_HEALTH, true, 500), 1_000)).toBe(true);
   });
 });
 
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -15,7 +15,7 @@
 export {passedHeaders} from './RelayHeaders';
 export {type OnlineCounts, RelayOnlineLoad} from './RelayOnlineLoad';
 export {RelayLatencies} from './RelayLatencies';
-export {type EngineHealth, isSound} from './RelayPlacement';
+export {type EngineHealth, isHealthy} from './RelayPlacement';
 export {RelayRun} from './RelayRun';
 export {
   hasOnlyBegun,
