--- a/packages/stallpaddle-relay/src/RelayEngineHealth.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineHealth.ts
@@ -4,7 +4,7 @@
 import type {Clock, EngineId} from 'stallpaddle';
 import type {EngineView} from 'stallpaddle-fleet';
 
-import {afterAttempt, type EngineHealth, INITIAL_HEALTH} from './RelayPlacement';
+import {healthAfterAttempt, type EngineHealth, INITIAL_HEALTH} from './RelayPlacement';
 
 /** One start of an engine: what was seen of an earlier one says nothing of it. */
 export type EngineStart = Pick<EngineView, 'id' | 'startedAtMs'>;
@@ -43,7 +43,7 @@
   note(start: EngineStart, ok: boolean): void {
     const {id, startedAtMs} = start;
     if (startedAtMs >= (this.seen.get(id)?.startedAtMs ?? startedAtMs)) {
-      const experience = afterAttempt(this.of(start), ok, this.clock.monotonicMs());
+      const experience = healthAfterAttempt(this.of(start), ok, this.clock.monotonicMs());
       this.seen.set(id, {experience, startedAtMs});
     }
   }
--- a/packages/stallpaddle-relay/src/RelayPlacement.ts
+++ b/packages/stallpaddle-relay/src/RelayPlacement.ts
@@ -36,7 +36,7 @@
  * @param ok whether the engine answered
  * @param now present time
  */
-export function afterAttempt(
+export function healthAfterAttempt(
   before: EngineHealth,
   ok: boolean,
   now: MonotonicMs,
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
@@ -7,7 +7,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {
-  afterAttempt,
+  healthAfterAttempt,
   drawService,
   isHealthy,
   INITIAL_HEALTH,
@@ -94,7 +94,7 @@
   });
 
   test('keeps off a suspect, but takes it when there is no other', () => {
-    const suspect = afterAttempt(INITIAL_HEALTH, false, 900);
+    const suspect = healthAfterAttempt(INITIAL_HEALTH, false, 900);
     const experienceOf = ({id}: EngineView) => (id === '1' ? suspect : INITIAL_HEALTH);
     expect(
       place([engineOf('1'), engineOf('2')], {experienceOf, onlineAt: (id) => (id === '2' ? 7 : 0)}),
@@ -112,7 +112,7 @@
   test('believes its own recent answer more than silence towards others', () => {
     const silent = engineOf('1', {silent: true});
     expect(isHealthy(silent, INITIAL_HEALTH, 1_000)).toBe(false);
-    expect(isHealthy(silent, afterAttempt(INITIAL_HEALTH, true, 500), 1_000)).toBe(true);
+    expect(isHealthy(silent, healthAfterAttempt(INITIAL_HEALTH, true, 500), 1_000)).toBe(true);
   });
 });
 
@@ -120,11 +120,11 @@
   test('keeps off for longer with each failure in a row, up to a limit', () => {
     let seen = INITIAL_HEALTH;
     const pauses = Array.from({length: 6}, () => {
-      seen = afterAttempt(seen, false, 0);
+      seen = healthAfterAttempt(seen, false, 0);
       return seen.suspectUntil;
     });
     expect(pauses).toEqual([500, 1_000, 2_000, 4_000, 4_000, 4_000]);
-    expect(afterAttempt(seen, true, 0).failures).toBe(0);
+    expect(healthAfterAttempt(seen, true, 0).failures).toBe(0);
   });
 });
 
