--- a/packages/stallpaddle-relay/src/RelayEngineSelector.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineSelector.ts
@@ -17,7 +17,7 @@
   QUEUED_IN_TIME,
   UNTOLD_WAIT_MS,
 } from './RelayConstants';
-import {drawService, isHealthy, placeRequest} from './RelayPlacement';
+import {selectService, isHealthy, placeRequest} from './RelayPlacement';
 
 const NONE: ReadonlySet<EngineId> = new Set();
 
@@ -145,7 +145,7 @@
   /** The best engine that the request was not sent to; undefined when there is none. */
   next(): EngineView | undefined {
     const {clock, engines, experience, online, random, zone} = this.context;
-    const service = drawService(this.req.route, random);
+    const service = selectService(this.req.route, random);
     if (service === undefined) {
       return undefined;
     }
--- a/packages/stallpaddle-relay/src/RelayPlacement.ts
+++ b/packages/stallpaddle-relay/src/RelayPlacement.ts
@@ -69,7 +69,7 @@
  * @param route the request's route
  * @param random source of the draw
  */
-export function drawService(route: FleetRoute, random: Random): string | undefined {
+export function selectService(route: FleetRoute, random: Random): string | undefined {
   const total = route.split.reduce((sum, {weight}) => sum + weight, 0);
   let at = random() * total;
   for (const {service, weight} of route.split) {
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
@@ -8,7 +8,7 @@
 
 import {
   healthAfterAttempt,
-  drawService,
+  selectService,
   isHealthy,
   INITIAL_HEALTH,
   type PlacementInput,
@@ -138,7 +138,7 @@
     ];
     const counts: Record<string, number> = {};
     for (let draw = 0; draw < 2_000; draw++) {
-      const service = drawService({split} as never, random)!;
+      const service = selectService({split} as never, random)!;
       counts[service] = (counts[service] ?? 0) + 1;
     }
     expect(counts.a! / 2_000).toBeCloseTo(0.9, 1);
