--- a/packages/stallpaddle-relay/src/RelayEngineSelector.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineSelector.ts
@@ -17,7 +17,7 @@
   QUEUED_IN_TIME,
   UNTOLD_WAIT_MS,
 } from './RelayConstants';
-import {selectService, isHealthy, placeRequest} from './RelayPlacement';
+import {selectService, isHealthy, selectEngine} from './RelayPlacement';
 
 const NONE: ReadonlySet<EngineId> = new Set();
 
@@ -149,7 +149,7 @@
     if (service === undefined) {
       return undefined;
     }
-    return placeRequest({
+    return selectEngine({
       apart: this.apart(),
       engines: this.hasAttemptLeft ? engines() : this.knownEngines(),
       experienceOf: (engine) => experience.of(engine),
--- a/packages/stallpaddle-relay/src/RelayPlacement.ts
+++ b/packages/stallpaddle-relay/src/RelayPlacement.ts
@@ -164,7 +164,7 @@
  *
  * @param input what is known
  */
-export function placeRequest(input: PlacementInput): EngineView | undefined {
+export function selectEngine(input: PlacementInput): EngineView | undefined {
   const {apart, engines, experienceOf, isSuspect, now, service, tried} = input;
   const open = engines.filter(
     (engine) => engine.service === service && !engine.draining && !tried.has(engine.id),
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
@@ -12,7 +12,7 @@
   isHealthy,
   INITIAL_HEALTH,
   type PlacementInput,
-  placeRequest,
+  selectEngine,
 } from '../../RelayPlacement';
 
 function engineOf(id: string, changes: Partial<EngineView> = {}): EngineView {
@@ -31,7 +31,7 @@
 }
 
 function place(engines: readonly EngineView[], changes: Partial<PlacementInput> = {}) {
-  return placeRequest({
+  return selectEngine({
     apart: null,
     engines,
     experienceOf: () => INITIAL_HEALTH,
