--- a/packages/stallpaddle-jobs/src/JobsEngines.ts
+++ b/packages/stallpaddle-jobs/src/JobsEngines.ts
@@ -5,7 +5,7 @@
 import type {EngineId, LogFields, MonotonicMs} from 'stallpaddle';
 import type {EngineView, FleetView} from 'stallpaddle-fleet';
 
-import {type EngineStart, isHealthy, RelayEngineHealth} from 'stallpaddle-relay';
+import {type EngineIncarnation, isHealthy, RelayEngineHealth} from 'stallpaddle-relay';
 
 import type {JobsDispatcherOptions} from './JobsContext';
 import type {PlannedEngine, PlannedRun} from './JobsPlan';
@@ -85,7 +85,7 @@
    * @param start the engine, as it was when the run began
    * @param ok whether the engine did its part
    */
-  note(start: EngineStart, ok: boolean): void {
+  note(start: EngineIncarnation, ok: boolean): void {
     this.experience.note(start, ok);
   }
 
--- a/packages/stallpaddle-relay/src/RelayEngineHealth.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineHealth.ts
@@ -7,7 +7,7 @@
 import {healthAfterAttempt, type EngineHealth, INITIAL_HEALTH} from './RelayPlacement';
 
 /** One start of an engine: what was seen of an earlier one says nothing of it. */
-export type EngineStart = Pick<EngineView, 'id' | 'startedAtMs'>;
+export type EngineIncarnation = Pick<EngineView, 'id' | 'startedAtMs'>;
 
 /** What was seen of one start. */
 interface SeenStart {
@@ -29,7 +29,7 @@
    *
    * @param start the engine, as it runs now
    */
-  of({id, startedAtMs}: EngineStart): EngineHealth {
+  of({id, startedAtMs}: EngineIncarnation): EngineHealth {
     const seen = this.seen.get(id);
     return seen?.startedAtMs === startedAtMs ? seen.experience : INITIAL_HEALTH;
   }
@@ -40,7 +40,7 @@
    * @param start the engine, as it was when it was sent the request
    * @param ok whether the engine answered
    */
-  note(start: EngineStart, ok: boolean): void {
+  note(start: EngineIncarnation, ok: boolean): void {
     const {id, startedAtMs} = start;
     if (startedAtMs >= (this.seen.get(id)?.startedAtMs ?? startedAtMs)) {
       const experience = healthAfterAttempt(this.of(start), ok, this.clock.monotonicMs());
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -11,7 +11,7 @@
   startEngineCall,
 } from './RelayEngineCall';
 export {continues, EventSplitter, type StreamEvent} from './RelayEvents';
-export {type EngineStart, RelayEngineHealth} from './RelayEngineHealth';
+export {type EngineIncarnation, RelayEngineHealth} from './RelayEngineHealth';
 export {passedHeaders} from './RelayHeaders';
 export {type OnlineCounts, RelayOnlineLoad} from './RelayOnlineLoad';
 export {RelayLatencies} from './RelayLatencies';
