--- a/packages/stallpaddle-jobs/src/JobsItemRun.ts
+++ b/packages/stallpaddle-jobs/src/JobsItemRun.ts
@@ -12,7 +12,7 @@
 
 import {errorMessage, registerTimeout} from 'stallpaddle';
 import {
-  continues,
+  isNextEvent,
   EventSplitter,
   passedHeaders,
   SERVER_ERROR,
@@ -70,7 +70,7 @@
     for await (const chunk of res) {
       alive();
       for (const {data, id} of splitter.push(chunk as Buffer)) {
-        if (!continues(last, id)) {
+        if (!isNextEvent(last, id)) {
           return {kind: 'broken', reason: `event ${id} came after event ${last}`};
         }
         last = id ?? last;
--- a/packages/stallpaddle-relay/src/RelayEvents.ts
+++ b/packages/stallpaddle-relay/src/RelayEvents.ts
@@ -80,7 +80,7 @@
  * @param last number of the last event; null before the first
  * @param next number of the next
  */
-export function continues(last: string | null, next: string | null): boolean {
+export function isNextEvent(last: string | null, next: string | null): boolean {
   if (last === null) {
     return true;
   }
--- a/packages/stallpaddle-relay/src/RelayForwarder.ts
+++ b/packages/stallpaddle-relay/src/RelayForwarder.ts
@@ -5,7 +5,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
 import {WHOLE_ANSWER_BYTES} from './RelayConstants';
-import {continues, EventSplitter, type StreamEvent} from './RelayEvents';
+import {isNextEvent, EventSplitter, type StreamEvent} from './RelayEvents';
 import {passedHeaders} from './RelayHeaders';
 
 /** What reading an answer came to. */
@@ -110,7 +110,7 @@
     }
     const passed: Buffer[] = [];
     for (const {id, raw} of events) {
-      if (!continues(this.last, id)) {
+      if (!isNextEvent(this.last, id)) {
         break;
       }
       this.last = id ?? this.last;
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayEvents.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayEvents.test.ts
@@ -5,7 +5,7 @@
 import {assertHistories} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {continues, EventSplitter} from '../../RelayEvents';
+import {isNextEvent, EventSplitter} from '../../RelayEvents';
 
 describe('EventSplitter', () => {
   test('gives the same events for every way to cut the bytes', async () => {
@@ -51,6 +51,6 @@
     ['7', '9', false],
     ['7', null, false],
   ])('after %s, event %s: %s', (last, next, expected) => {
-    expect(continues(last, next)).toBe(expected);
+    expect(isNextEvent(last, next)).toBe(expected);
   });
 });
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -10,7 +10,7 @@
   splitAddress,
   startEngineCall,
 } from './RelayEngineCall';
-export {continues, EventSplitter, type StreamEvent} from './RelayEvents';
+export {isNextEvent, EventSplitter, type StreamEvent} from './RelayEvents';
 export {type EngineIncarnation, RelayEngineHealth} from './RelayEngineHealth';
 export {passedHeaders} from './RelayHeaders';
 export {type OnlineCounts, RelayOnlineLoad} from './RelayOnlineLoad';
