--- a/packages/stallpaddle-jobs/src/JobsItemRun.ts
+++ b/packages/stallpaddle-jobs/src/JobsItemRun.ts
@@ -14,7 +14,7 @@
 import {
   isNextEvent,
   EventSplitter,
-  passedHeaders,
+  forwardedHeaders,
   SERVER_ERROR,
   startEngineCall,
 } from 'stallpaddle-relay';
@@ -122,7 +122,7 @@
   const call = startEngineCall(wire, pace, {
     address: req.engine.address,
     body: req.body,
-    headers: passedHeaders(
+    headers: forwardedHeaders(
       raw,
       [['Host', req.host], ...set],
       req.customer === undefined ? [] : wire.callerHeaders,
--- a/packages/stallpaddle-relay/src/RelayForwarder.ts
+++ b/packages/stallpaddle-relay/src/RelayForwarder.ts
@@ -6,7 +6,7 @@
 
 import {WHOLE_ANSWER_BYTES} from './RelayConstants';
 import {isNextEvent, EventSplitter, type StreamEvent} from './RelayEvents';
-import {passedHeaders} from './RelayHeaders';
+import {forwardedHeaders} from './RelayHeaders';
 
 /** What reading an answer came to. */
 export type ForwardResult = 'broken' | 'whole';
@@ -128,7 +128,7 @@
       return;
     }
     this.options.onHead();
-    const headers = passedHeaders(answer.rawHeaders);
+    const headers = forwardedHeaders(answer.rawHeaders);
     if (length !== null) {
       headers.push('Content-Length', String(length));
     }
--- a/packages/stallpaddle-relay/src/RelayHeaders.ts
+++ b/packages/stallpaddle-relay/src/RelayHeaders.ts
@@ -39,7 +39,7 @@
  * @param set lines that replace any of the same name
  * @param dropped names of further lines that stay here
  */
-export function passedHeaders(
+export function forwardedHeaders(
   raw: readonly string[],
   set: readonly HeaderLine[] = [],
   dropped: readonly string[] = [],
--- a/packages/stallpaddle-relay/src/RelayRun.ts
+++ b/packages/stallpaddle-relay/src/RelayRun.ts
@@ -14,7 +14,7 @@
 import {RelayEngineSelector} from './RelayEngineSelector';
 import {LOOK_AGAIN_MS, RETRY_AFTER_MS, SERVER_ERROR} from './RelayConstants';
 import {type EngineCall, type EngineCallStart, startEngineCall} from './RelayEngineCall';
-import {passedHeaders} from './RelayHeaders';
+import {forwardedHeaders} from './RelayHeaders';
 import {RelayForwarder} from './RelayForwarder';
 import {RelayStallDetector} from './RelayStallDetector';
 import {RelayCrashEvidence} from './RelayCrashEvidence';
@@ -250,7 +250,7 @@
       this.call = startEngineCall(wire, pace, {
         address: engine.address,
         body,
-        headers: passedHeaders(
+        headers: forwardedHeaders(
           rawHeaders,
           headers,
           caller.kind === 'untold' ? [] : wire.callerHeaders,
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -12,7 +12,7 @@
 } from './RelayEngineCall';
 export {isNextEvent, EventSplitter, type StreamEvent} from './RelayEvents';
 export {type EngineIncarnation, RelayEngineHealth} from './RelayEngineHealth';
-export {passedHeaders} from './RelayHeaders';
+export {forwardedHeaders} from './RelayHeaders';
 export {type OnlineCounts, RelayOnlineLoad} from './RelayOnlineLoad';
 export {RelayLatencies} from './RelayLatencies';
 export {type EngineHealth, isHealthy} from './RelayPlacement';
