--- a/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
+++ b/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
@@ -9,12 +9,12 @@
 import type {RelayContext, RelayRequest} from './RelayTypes';
 
 import {requestDigest} from './RelayDigest';
-import {hasOnlyBegun, type RunBegin} from './RelaySuspects';
+import {hasOnlyBegun, type RunProgress} from './RelaySuspects';
 
 /** What it needs of its process. */
 type Needs = Pick<RelayContext, 'clock' | 'decide' | 'suspects'>;
 
-const NOT_BEGUN: RunBegin = {events: 0, firstAt: undefined};
+const NOT_BEGUN: RunProgress = {events: 0, firstAt: undefined};
 
 /** See the module's comment. */
 export class RelayCrashEvidence {
--- a/packages/stallpaddle-relay/src/RelaySuspects.ts
+++ b/packages/stallpaddle-relay/src/RelaySuspects.ts
@@ -57,7 +57,7 @@
 const RECORD_TRIES = 20;
 
 /** How far a run has come. */
-export interface RunBegin {
+export interface RunProgress {
   /** Events that it has brought. */
   readonly events: number;
   /** When the first of them, or of an answer's bytes, came; undefined before it. */
@@ -70,7 +70,7 @@
  * @param run how far it has come
  * @param now the present moment
  */
-export function hasOnlyBegun({events, firstAt}: RunBegin, now: MonotonicMs): boolean {
+export function hasOnlyBegun({events, firstAt}: RunProgress, now: MonotonicMs): boolean {
   return events <= MOST_BEGIN_EVENTS && (firstAt === undefined || now - firstAt <= BEGIN_MS);
 }
 
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -21,7 +21,7 @@
   hasOnlyBegun,
   RelaySuspects,
   type RelaySuspectsOptions,
-  type RunBegin,
+  type RunProgress,
 } from './RelaySuspects';
 export type {RelayCaller, RelayContext, RelayDecision, RelayEnd, RelayRequest} from './RelayTypes';
 export {RelayDeadlines} from './RelayDeadlines';
