--- a/packages/stallpaddle-experiment/src/ExperimentBlame.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentBlame.ts
@@ -5,7 +5,7 @@
  */
 import {type Random, seededRandom} from 'stallpaddle';
 import {afterEngineEnd, type FleetSuspects, HELD_LEVEL} from 'stallpaddle-fleet';
-import {hasOnlyBegun} from 'stallpaddle-relay';
+import {isStarting} from 'stallpaddle-relay';
 
 /** What is modelled. */
 export interface BlameInput {
@@ -130,7 +130,7 @@
   private cut({beganAt, engine, isFatal, name}: Run, now: number): void {
     const firstAt = beganAt + FIRST_EVENT_MS;
     const events = Math.max(0, Math.floor((now - firstAt) / EVENT_MS) + 1);
-    if (hasOnlyBegun({events, firstAt: firstAt > now ? undefined : firstAt}, now)) {
+    if (isStarting({events, firstAt: firstAt > now ? undefined : firstAt}, now)) {
       // Whoever sends it again knows what it met before: the worst case for who only stood beside.
       const known = this.suspects.get(name)?.level ?? 0;
       const end = {digest: name, engine: `e${engine}`, kind: 'noteEngineEnd', known} as const;
--- a/packages/stallpaddle-jobs/src/JobsRunner.ts
+++ b/packages/stallpaddle-jobs/src/JobsRunner.ts
@@ -7,7 +7,7 @@
 
 import {errorMessage, unreachable} from 'stallpaddle';
 import {engineOf, type EngineView, type FleetRoute, HELD_LEVEL} from 'stallpaddle-fleet';
-import {hasOnlyBegun, RelayLatencies, requestDigest, SERVER_ERROR} from 'stallpaddle-relay';
+import {isStarting, RelayLatencies, requestDigest, SERVER_ERROR} from 'stallpaddle-relay';
 
 import type {ItemDecision, JobsDispatcherOptions} from './JobsContext';
 import type {JobsEngines} from './JobsEngines';
@@ -164,7 +164,7 @@
   }
 
   private hasOnlyBegun({events, firstEventAt}: TaskRun): boolean {
-    return hasOnlyBegun({events, firstAt: firstEventAt}, this.needs.clock.monotonicMs());
+    return isStarting({events, firstAt: firstEventAt}, this.needs.clock.monotonicMs());
   }
 
   /** Looks whether the engine of a run that broke off has ended; the item waits until that is known. */
--- a/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
+++ b/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
@@ -9,7 +9,7 @@
 import type {RelayContext, RelayRequest} from './RelayTypes';
 
 import {requestDigest} from './RelayDigest';
-import {hasOnlyBegun, type RunProgress} from './RelaySuspects';
+import {isStarting, type RunProgress} from './RelaySuspects';
 
 /** What it needs of its process. */
 type Needs = Pick<RelayContext, 'clock' | 'decide' | 'suspects'>;
@@ -97,7 +97,7 @@
     const now = clock.monotonicMs();
     const {begin} = this;
     this.begin = {events: begin.events + events, firstAt: begin.firstAt ?? now};
-    if (!this.isCleared && !hasOnlyBegun(this.begin, now)) {
+    if (!this.isCleared && !isStarting(this.begin, now)) {
       this.isCleared = true;
       this.noteServed();
     }
@@ -118,7 +118,7 @@
    */
   async noteBreak(engine: EngineView): Promise<void> {
     const {clock} = this.needs;
-    if (!hasOnlyBegun(this.begin, clock.monotonicMs())) {
+    if (!isStarting(this.begin, clock.monotonicMs())) {
       return;
     }
     const {known} = this;
--- a/packages/stallpaddle-relay/src/RelaySuspects.ts
+++ b/packages/stallpaddle-relay/src/RelaySuspects.ts
@@ -70,7 +70,7 @@
  * @param run how far it has come
  * @param now the present moment
  */
-export function hasOnlyBegun({events, firstAt}: RunProgress, now: MonotonicMs): boolean {
+export function isStarting({events, firstAt}: RunProgress, now: MonotonicMs): boolean {
   return events <= MOST_BEGIN_EVENTS && (firstAt === undefined || now - firstAt <= BEGIN_MS);
 }
 
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
@@ -10,7 +10,7 @@
 
 import {requestDigest} from '../../RelayDigest';
 import {hasEnded} from '../../RelayProbe';
-import {hasOnlyBegun} from '../../RelaySuspects';
+import {isStarting} from '../../RelaySuspects';
 import {ask, contextOf, routeOf, startEngines, startRelay, stopAll} from '../RelayFixture';
 
 const FATAL = 'ends engines';
@@ -208,7 +208,7 @@
 
   test('long past its first event it is no suspect', () => {
     const begunAt = (firstAt: number | undefined, events = 0): boolean =>
-      hasOnlyBegun({events, firstAt}, 10_000);
+      isStarting({events, firstAt}, 10_000);
     expect([begunAt(undefined), begunAt(9_900), begunAt(9_900, 1)]).toEqual([true, true, true]);
     expect([begunAt(9_000), begunAt(9_900, 2)]).toEqual([false, false]);
   });
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -18,7 +18,7 @@
 export {type EngineHealth, isHealthy} from './RelayPlacement';
 export {RelayRun} from './RelayRun';
 export {
-  hasOnlyBegun,
+  isStarting,
   RelaySuspects,
   type RelaySuspectsOptions,
   type RunProgress,
