--- a/packages/stallpaddle-relay/src/RelaySuspects.ts
+++ b/packages/stallpaddle-relay/src/RelaySuspects.ts
@@ -34,7 +34,7 @@
 }
 
 /** A run that broke off. */
-export interface BrokenRun {
+export interface InterruptedRun {
   readonly digest: string;
   readonly engine: EngineView;
   /** Name of the attempt or item, for the log. */
@@ -114,7 +114,7 @@
    * @param run the run
    * @returns whether it has ended; then it counts here, and others are told besides
    */
-  async noteBreak(run: BrokenRun): Promise<boolean> {
+  async noteBreak(run: InterruptedRun): Promise<boolean> {
     const {clock, decide, wire} = this.options;
     const {digest, engine, id, known} = run;
     if (this.isLeaving(engine) || !(await hasEnded(wire, engine))) {
