--- a/packages/stallpaddle-relay/src/RelayProbe.ts
+++ b/packages/stallpaddle-relay/src/RelayProbe.ts
@@ -72,7 +72,7 @@
  * @param engine the engine, as it was when the request was sent
  * @returns false also when it can't be known
  */
-export async function hasEnded(wire: RelayWire, engine: EngineView): Promise<boolean> {
+export async function hasExited(wire: RelayWire, engine: EngineView): Promise<boolean> {
   let last: Look = 'unknown';
   for (let looks = 0; looks < LOOKS; looks++) {
     last = await look(wire, engine);
--- a/packages/stallpaddle-relay/src/RelaySuspects.ts
+++ b/packages/stallpaddle-relay/src/RelaySuspects.ts
@@ -17,7 +17,7 @@
 import type {RelayWire} from './RelayWire';
 
 import {BEGIN_MS, MOST_BEGIN_EVENTS} from './RelayConstants';
-import {hasEnded} from './RelayProbe';
+import {hasExited} from './RelayProbe';
 
 /** What it needs of its process. */
 export interface RelaySuspectsOptions {
@@ -117,7 +117,7 @@
   async noteBreak(run: InterruptedRun): Promise<boolean> {
     const {clock, decide, wire} = this.options;
     const {digest, engine, id, known} = run;
-    if (this.isLeaving(engine) || !(await hasEnded(wire, engine))) {
+    if (this.isLeaving(engine) || !(await hasExited(wire, engine))) {
       return false;
     }
     const before = this.levelOf(digest);
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
@@ -9,7 +9,7 @@
 import type {RelayContext} from '../../RelayTypes';
 
 import {requestDigest} from '../../RelayDigest';
-import {hasEnded} from '../../RelayProbe';
+import {hasExited} from '../../RelayProbe';
 import {isStarting} from '../../RelaySuspects';
 import {ask, contextOf, routeOf, startEngines, startRelay, stopAll} from '../RelayFixture';
 
@@ -218,16 +218,16 @@
   test('one that answers lives, one that refuses connections has ended', async () => {
     const [engine] = await startEngines(1);
     const [view] = contextOf([engine!]).engines();
-    expect(await hasEnded(plainRelay, view!)).toBe(false);
+    expect(await hasExited(plainRelay, view!)).toBe(false);
     await engine!.stop();
-    expect(await hasEnded(plainRelay, view!)).toBe(true);
+    expect(await hasExited(plainRelay, view!)).toBe(true);
   });
 
   test('nothing is known of one that takes connections and says nothing', async () => {
     const [engine] = await startEngines(1);
     const [view] = contextOf([engine!]).engines();
     engine!.tellsOccupancy = false;
-    expect(await hasEnded(plainRelay, view!)).toBe(false);
+    expect(await hasExited(plainRelay, view!)).toBe(false);
   });
 });
 
