--- a/packages/stallpaddle-relay/src/RelayTypes.ts
+++ b/packages/stallpaddle-relay/src/RelayTypes.ts
@@ -8,7 +8,7 @@
 import type {RelayOnlineLoad} from './RelayOnlineLoad';
 import type {RelayLatencies} from './RelayLatencies';
 import type {RelaySuspects} from './RelaySuspects';
-import type {CallerFacts, RelayWire} from './RelayWire';
+import type {CallerMetadata, RelayWire} from './RelayWire';
 
 /** Who sends a request. */
 export type RelayCaller =
@@ -23,7 +23,7 @@
   readonly arrivedAt: MonotonicMs;
   readonly body: Uint8Array;
   readonly caller: RelayCaller;
-  readonly facts: CallerFacts;
+  readonly facts: CallerMetadata;
   /** Name that the caller gave the server. */
   readonly host: string;
   readonly method: string;
--- a/packages/stallpaddle-relay/src/RelayWire.ts
+++ b/packages/stallpaddle-relay/src/RelayWire.ts
@@ -6,7 +6,7 @@
 import type {EngineId} from 'stallpaddle';
 
 /** What a caller says of its request. */
-export interface CallerFacts {
+export interface CallerMetadata {
   /** What tells callers apart who send the same, such as a key; empty where nothing does. */
   readonly caller: string;
   /** How long the caller will wait, in milliseconds, where it says so. */
@@ -70,7 +70,7 @@
   readonly occupancyPath: string;
   readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerFacts;
   /** Null when the request lacks what it must carry. */
-  readonly readCaller: (headers: IncomingHttpHeaders) => CallerFacts | null;
+  readonly readCaller: (headers: IncomingHttpHeaders) => CallerMetadata | null;
   /** What an engine holds, by its own word; null when it can't be read. */
   readonly readOccupancy: (text: string) => EngineOccupancy | null;
   /** What a stopped run has left at its engine, by the answer to the order that stopped it; null for nothing. */
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -27,7 +27,7 @@
 export {RelayDeadlines} from './RelayDeadlines';
 export type {
   AnswerFacts,
-  CallerFacts,
+  CallerMetadata,
   EngineCallFacts,
   EngineOccupancy,
   EngineOrder,
