--- a/packages/stallpaddle-relay/src/RelayEngineCall.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineCall.ts
@@ -8,7 +8,7 @@
 import {registerResetWatch, registerTimeout} from 'stallpaddle';
 
 import type {RelayLatencies} from './RelayLatencies';
-import type {AnswerFacts, RelayWire} from './RelayWire';
+import type {ResponseMetadata, RelayWire} from './RelayWire';
 
 /** A request as it is sent. */
 export interface EngineRequest {
@@ -33,7 +33,7 @@
 
 /** How an attempt began. */
 export type EngineCallStart =
-  | {readonly facts: AnswerFacts; readonly kind: 'answer'; readonly res: IncomingMessage}
+  | {readonly facts: ResponseMetadata; readonly kind: 'answer'; readonly res: IncomingMessage}
   | {readonly kind: 'mayHaveRun'; readonly reason: string}
   | {readonly kind: 'notRun'; readonly reason: NotRunReason};
 
--- a/packages/stallpaddle-relay/src/RelayWire.ts
+++ b/packages/stallpaddle-relay/src/RelayWire.ts
@@ -31,7 +31,7 @@
 }
 
 /** What the head of an engine's answer tells. */
-export interface AnswerFacts {
+export interface ResponseMetadata {
   /** The engine itself says that it did not run the request. */
   readonly notRun: boolean;
   /** The address now belongs to another engine, which did not run the request. */
@@ -68,7 +68,7 @@
   readonly engineHeaders: (facts: EngineCallFacts) => readonly HeaderLine[];
   /** Where an engine says how many requests it holds. */
   readonly occupancyPath: string;
-  readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => AnswerFacts;
+  readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => ResponseMetadata;
   /** Null when the request lacks what it must carry. */
   readonly readCaller: (headers: IncomingHttpHeaders) => CallerMetadata | null;
   /** What an engine holds, by its own word; null when it can't be read. */
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -26,7 +26,7 @@
 export type {RelayCaller, RelayContext, RelayDecision, RelayEnd, RelayRequest} from './RelayTypes';
 export {RelayDeadlines} from './RelayDeadlines';
 export type {
-  AnswerFacts,
+  ResponseMetadata,
   CallerMetadata,
   EngineCallFacts,
   EngineOccupancy,
