--- a/packages/stallpaddle-relay/src/RelayWire.ts
+++ b/packages/stallpaddle-relay/src/RelayWire.ts
@@ -18,7 +18,7 @@
 }
 
 /** What an engine must be told with a request. */
-export interface EngineCallFacts {
+export interface EngineCallMetadata {
   /** The customer in whose name the request runs; left out for none. */
   readonly customer?: string | undefined;
   /** Time left, in milliseconds; null when the caller named none and the work has none. */
@@ -65,7 +65,7 @@
   /** Names of header lines in which a caller says who it is; where the fleet knows customers, none of them goes to an engine. */
   readonly callerHeaders: readonly string[];
   /** Header lines that the relay sets in place of any that the caller sent under these names. */
-  readonly engineHeaders: (facts: EngineCallFacts) => readonly HeaderLine[];
+  readonly engineHeaders: (facts: EngineCallMetadata) => readonly HeaderLine[];
   /** Where an engine says how many requests it holds. */
   readonly occupancyPath: string;
   readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => ResponseMetadata;
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -28,7 +28,7 @@
 export type {
   ResponseMetadata,
   CallerMetadata,
-  EngineCallFacts,
+  EngineCallMetadata,
   EngineOccupancy,
   EngineOrder,
   HeaderLine,
