--- a/packages/stallpaddle-jobs/src/JobsSurvey.ts
+++ b/packages/stallpaddle-jobs/src/JobsSurvey.ts
@@ -6,7 +6,7 @@
  */
 import type {EngineId} from 'stallpaddle';
 import type {EngineView} from 'stallpaddle-fleet';
-import type {EngineOccupancy, EngineOrder, RelayWire} from 'stallpaddle-relay';
+import type {EngineOccupancy, EngineControlRequest, RelayWire} from 'stallpaddle-relay';
 
 import {request} from 'node:http';
 import {delay, type LogFields} from 'stallpaddle';
@@ -40,7 +40,7 @@
 }
 
 /** An engine's answer to a call of this module; null when none came in time. */
-function call(address: string, {body, method, path}: EngineOrder): Promise<null | string> {
+function call(address: string, {body, method, path}: EngineControlRequest): Promise<null | string> {
   return new Promise((resolve) => {
     const headers = {'content-length': Buffer.byteLength(body), 'content-type': 'application/json'};
     const req = request({agent: false, headers, method, path, ...splitAddress(address)});
--- a/packages/stallpaddle-relay/src/RelayWire.ts
+++ b/packages/stallpaddle-relay/src/RelayWire.ts
@@ -51,7 +51,7 @@
 }
 
 /** A call to an engine that is no request of a caller. */
-export interface EngineOrder {
+export interface EngineControlRequest {
   readonly body: string;
   readonly method: string;
   readonly path: string;
@@ -76,12 +76,12 @@
   /** What a stopped run has left at its engine, by the answer to the order that stopped it; null for nothing. */
   readonly readRemains: (text: string) => null | string;
   /** Lets an engine forget what a stopped run has left. */
-  readonly releaseRemains: (remains: string) => EngineOrder;
+  readonly releaseRemains: (remains: string) => EngineControlRequest;
   /**
    * Stops a run whose connection nobody can close.
    *
    * @param requestId the run's request
    * @param other address of another engine of the service, which is offered what the run has in memory
    */
-  readonly stopRun: (requestId: string, other: string) => EngineOrder;
+  readonly stopRun: (requestId: string, other: string) => EngineControlRequest;
 }
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -30,7 +30,7 @@
   CallerMetadata,
   EngineCallMetadata,
   EngineOccupancy,
-  EngineOrder,
+  EngineControlRequest,
   HeaderLine,
   RelayWire,
 } from './RelayWire';
