--- a/packages/stallpaddle-jobs/src/JobsEngines.ts
+++ b/packages/stallpaddle-jobs/src/JobsEngines.ts
@@ -86,7 +86,7 @@
    * @param ok whether the engine did its part
    */
   note(start: EngineIncarnation, ok: boolean): void {
-    this.experience.note(start, ok);
+    this.experience.recordAttempt(start, ok);
   }
 
   /**
--- a/packages/stallpaddle-jobs/src/JobsRunner.ts
+++ b/packages/stallpaddle-jobs/src/JobsRunner.ts
@@ -173,7 +173,7 @@
     task.notBefore = Infinity;
     const digest = this.digestOf(task);
     try {
-      await suspects.noteBreak({digest, engine, id: task.item.id, known});
+      await suspects.noteInterruption({digest, engine, id: task.item.id, known});
     } finally {
       task.notBefore = clock.monotonicMs();
       this.options.poke();
--- a/packages/stallpaddle-jobs/src/JobsSurvey.ts
+++ b/packages/stallpaddle-jobs/src/JobsSurvey.ts
@@ -137,10 +137,10 @@
   private async stopRun(engine: EngineView, id: string, other: string): Promise<void> {
     const {decide, wire} = this.options;
     const text = await call(engine.address, wire.stopRun(id, other));
-    const remains = text === null ? null : wire.readRemains(text);
+    const remains = text === null ? null : wire.readRetainedState(text);
     decide(engine.id, {isStopped: remains !== null, left: id});
     if (remains !== null) {
-      await call(engine.address, wire.releaseRemains(remains));
+      await call(engine.address, wire.releaseRetainedState(remains));
     }
   }
 
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -90,9 +90,9 @@
       clock,
       decide: (decision, id, fields) => this.decide(decision, id, fields),
       engines: () => watch.view.news.engines,
-      experience: new RelayEngineHealth(clock),
+      engineHealth: new RelayEngineHealth(clock),
       online,
-      pace: new RelayLatencies(),
+      latencies: new RelayLatencies(),
       random: Math.random,
       suspects: makeSuspects({
         clock,
@@ -141,8 +141,8 @@
       servers.push(startServer(address, (req, res) => this.handlePlain(req, res), FIRST_IDLE_MS));
     }
     const {intake, watch} = this;
-    const {online, pace} = this.context;
-    exposeEntryMetrics(this.fleet.metrics, {intake, online, pace, watch});
+    const {latencies, online} = this.context;
+    exposeEntryMetrics(this.fleet.metrics, {intake, online, pace: latencies, watch});
     this.servers = await Promise.all(servers);
     void this.tells.run();
   }
@@ -291,7 +291,7 @@
 
   /** Brings a request to an engine, within its customer's limit. */
   private async relay(request: RelayRequest, res: ServerResponse): Promise<void> {
-    const {caller, facts} = request;
+    const {caller, metadata: facts} = request;
     await this.admission.admit(caller, facts.requestId);
     if (res.destroyed) {
       // Its caller left meanwhile.
@@ -300,7 +300,7 @@
     }
     const run = new RelayRun(this.context, request, res);
     await run.run();
-    if (run.ranNowhere) {
+    if (run.neverRan) {
       this.admission.giveBack(caller);
     }
   }
--- a/packages/stallpaddle-node/src/NodeEntryMetrics.ts
+++ b/packages/stallpaddle-node/src/NodeEntryMetrics.ts
@@ -24,7 +24,7 @@
 function occupancy({online, watch}: EntryGauges): number {
   const {engines} = watch.view.news;
   const slots = engines.reduce((sum, engine) => sum + engine.slots, 0);
-  const requests = engines.reduce((sum, {id}) => sum + online.at(id), 0);
+  const requests = engines.reduce((sum, {id}) => sum + online.requestsAt(id), 0);
   return slots === 0 ? 0 : requests / slots;
 }
 
--- a/packages/stallpaddle-node/src/NodeSuspects.ts
+++ b/packages/stallpaddle-node/src/NodeSuspects.ts
@@ -25,6 +25,6 @@
     ...options,
     engines: () => fleet.watch.view.news.engines,
     record: (value) => fleet.control.call({changes: true, totalMs: SUSPECT_CALL_MS, value}),
-    told: () => fleet.watch.view.news.suspects,
+    reported: () => fleet.watch.view.news.suspects,
   });
 }
--- a/packages/stallpaddle-node/src/NodeTells.ts
+++ b/packages/stallpaddle-node/src/NodeTells.ts
@@ -87,7 +87,7 @@
     }
     const {isAll, others, suspects, version} = outcome.result as OnlineAnswer;
     this.known = version;
-    online.learn(others, isAll, suspects);
+    online.applyReport(others, isAll, suspects);
     return true;
   }
 
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
@@ -73,9 +73,9 @@
         // An answer that is lost leaves the VM with what it knew.
         if (random() < 0.7) {
           known = answer.version;
-          relay.learn(answer.others, answer.isAll, []);
+          relay.applyReport(answer.others, answer.isAll, []);
           const {others} = tell('b', {});
-          expect(['e0', 'e1', 'e2'].map((id) => relay.at(id))).toEqual(
+          expect(['e0', 'e1', 'e2'].map((id) => relay.requestsAt(id))).toEqual(
             ['e0', 'e1', 'e2'].map((id) => others[id] ?? 0),
           );
         }
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeTells.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeTells.test.ts
@@ -88,7 +88,7 @@
     await delay(2.5 * TELL_AGAIN_MS);
     expect(words.length).toBeGreaterThanOrEqual(2);
     expect(words.length).toBeLessThanOrEqual(3);
-    expect(online.at('e9')).toBe(4);
+    expect(online.requestsAt('e9')).toBe(4);
   });
 
   test('a request after a pause is told at once', async () => {
--- a/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
+++ b/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
@@ -39,7 +39,7 @@
 
   /** The request, whatever this attempt is called; worked out only while there are suspects, or once an engine broke off. */
   private get digest(): string {
-    const {body, caller, facts, host, method, path} = this.req;
+    const {body, caller, metadata: facts, host, method, path} = this.req;
     // A customer's request is the same with another of its keys.
     const sender = caller.kind === 'customer' ? caller.name : facts.caller;
     this.digestMade ??= requestDigest({body, caller: sender, host, method, path});
@@ -77,7 +77,7 @@
     const {decide, suspects} = this.needs;
     const {digest, level} = this;
     const holdMs = suspects.holdMs(digest);
-    decide('held', this.req.facts.requestId, {digest, holdMs, level});
+    decide('held', this.req.metadata.requestId, {digest, holdMs, level});
     return holdMs;
   }
 
@@ -132,8 +132,8 @@
 
   /** Each run of this attempt began after the one before had broken off, whether or not its end was known by then. */
   private async look(engine: EngineView, known: number, ends: number): Promise<number> {
-    const id = this.req.facts.requestId;
+    const id = this.req.metadata.requestId;
     const {digest} = this;
-    return (await this.needs.suspects.noteBreak({digest, engine, id, known})) ? ends + 1 : ends;
+    return (await this.needs.suspects.noteInterruption({digest, engine, id, known})) ? ends + 1 : ends;
   }
 }
--- a/packages/stallpaddle-relay/src/RelayEngineCall.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineCall.ts
@@ -55,7 +55,7 @@
 }
 
 function startOf(wire: RelayWire, res: IncomingMessage, requestId: string): EngineCallStart {
-  const facts = wire.readAnswer(res.statusCode ?? 0, res.headers);
+  const facts = wire.readResponse(res.statusCode ?? 0, res.headers);
   if (facts.otherEngine) {
     return {kind: 'notRun', reason: 'otherEngine'};
   }
--- a/packages/stallpaddle-relay/src/RelayEngineHealth.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineHealth.ts
@@ -40,7 +40,7 @@
    * @param start the engine, as it was when it was sent the request
    * @param ok whether the engine answered
    */
-  note(start: EngineIncarnation, ok: boolean): void {
+  recordAttempt(start: EngineIncarnation, ok: boolean): void {
     const {id, startedAtMs} = start;
     if (startedAtMs >= (this.seen.get(id)?.startedAtMs ?? startedAtMs)) {
       const experience = healthAfterAttempt(this.of(start), ok, this.clock.monotonicMs());
--- a/packages/stallpaddle-relay/src/RelayEngineSelector.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineSelector.ts
@@ -68,7 +68,7 @@
 
   /** Whether another engine that works well has a free slot, and the request may be sent there. */
   get mayMove(): boolean {
-    const {clock, experience, online} = this.context;
+    const {clock, engineHealth: experience, online} = this.context;
     const engine = this.hasAttemptLeft ? this.next() : undefined;
     return (
       engine !== undefined &&
@@ -91,7 +91,7 @@
    * @param waitedMs time since the request came, in milliseconds
    */
   hasWaited(waitedMs: number): boolean {
-    const {facts, route} = this.req;
+    const {metadata: facts, route} = this.req;
     const allowedMs = Math.min(route.timeoutMs, facts.deadlineMs ?? Infinity);
     return waitedMs >= Math.min(LATE_WAIT_MS, allowedMs * LATE_WAIT_PART);
   }
@@ -124,7 +124,7 @@
    * @param engine the engine
    */
   hasRoom({id, slots}: EngineView): boolean {
-    return this.context.online.at(id) < slots;
+    return this.context.online.requestsAt(id) < slots;
   }
 
   /**
@@ -139,12 +139,12 @@
     if (!online.knowsOthers && mayBeHeld && !this.isHurried(waitedMs)) {
       return false;
     }
-    return online.at(id) < slots * (1 + this.queuedPart(waitedMs));
+    return online.requestsAt(id) < slots * (1 + this.queuedPart(waitedMs));
   }
 
   /** The best engine that the request was not sent to; undefined when there is none. */
   next(): EngineView | undefined {
-    const {clock, engines, experience, online, random, zone} = this.context;
+    const {clock, engines, engineHealth: experience, online, random, zone} = this.context;
     const service = selectService(this.req.route, random);
     if (service === undefined) {
       return undefined;
@@ -155,7 +155,7 @@
       experienceOf: (engine) => experience.of(engine),
       isSuspect: (id) => online.isSuspect(id),
       now: clock.monotonicMs(),
-      onlineAt: (id) => online.at(id),
+      onlineAt: (id) => online.requestsAt(id),
       random,
       service,
       tried: this.hasAttemptLeft ? this.sentTo : NONE,
@@ -232,7 +232,7 @@
 
   /** Whether an answer that an engine begins now can be in time. */
   private isInTime(waitedMs: number): boolean {
-    const firstMs = this.context.pace.firstEvent.meanMs;
+    const firstMs = this.context.latencies.firstEvent.meanMs;
     return this.req.spentMs + waitedMs + firstMs < this.req.route.objectiveMs;
   }
 }
--- a/packages/stallpaddle-relay/src/RelayOnlineLoad.ts
+++ b/packages/stallpaddle-relay/src/RelayOnlineLoad.ts
@@ -49,7 +49,7 @@
    *
    * @param id the engine
    */
-  at(id: EngineId): number {
+  requestsAt(id: EngineId): number {
     const others = this.isTold ? (this.others[id] ?? 0) : 0;
     return (this.own.get(id) ?? 0) + others;
   }
@@ -107,7 +107,7 @@
    * @param isAll whether engines that are not named have none; else they have as many as before
    * @param suspects engines that have fallen silent towards the dispatcher
    */
-  learn(others: OnlineCounts, isAll: boolean, suspects: readonly EngineId[]): void {
+  applyReport(others: OnlineCounts, isAll: boolean, suspects: readonly EngineId[]): void {
     if (!isAll) {
       this.newOnes += MEAN_GAIN * (begunBetween(this.others, others) - this.newOnes);
     }
--- a/packages/stallpaddle-relay/src/RelayProbe.ts
+++ b/packages/stallpaddle-relay/src/RelayProbe.ts
@@ -54,7 +54,7 @@
     });
     req.on('socket', (socket) => socket.once('connect', () => (connected = true)));
     req.on('response', (res) => {
-      const {otherEngine} = wire.readAnswer(res.statusCode ?? 0, res.headers);
+      const {otherEngine} = wire.readResponse(res.statusCode ?? 0, res.headers);
       resolve(otherEngine ? 'otherEngine' : 'lives');
       req.destroy();
     });
--- a/packages/stallpaddle-relay/src/RelayRun.ts
+++ b/packages/stallpaddle-relay/src/RelayRun.ts
@@ -54,7 +54,7 @@
     this.choice = new RelayEngineSelector(context, req, () => this.suspicion.suspect);
     this.pass = new RelayForwarder({
       isOver: () => this.end !== undefined,
-      lastEvent: req.facts.resumeAfter,
+      lastEvent: req.metadata.resumeAfter,
       onHead: () => {
         this.firstMs = Math.round(this.waitedMs);
       },
@@ -69,12 +69,12 @@
       giveUp: (fields) => this.giveUp(fields),
       isResumable: req.route.resumable,
       mayMove: () => this.choice.mayMove,
-      pace: context.pace,
+      pace: context.latencies,
     });
   }
 
   /** Whether no engine has run the request, nor will. */
-  get ranNowhere(): boolean {
+  get neverRan(): boolean {
     return this.verdict === 'notRun';
   }
 
@@ -88,7 +88,7 @@
   }
 
   private get remainingMs(): number {
-    const {arrivedAt, facts, route} = this.req;
+    const {arrivedAt, metadata: facts, route} = this.req;
     const allowed = Math.min(route.timeoutMs, facts.deadlineMs ?? Infinity);
     return arrivedAt + allowed - this.context.clock.monotonicMs();
   }
@@ -120,7 +120,7 @@
   }
 
   private logEnd(): void {
-    const {caller, facts, route} = this.req;
+    const {caller, metadata: facts, route} = this.req;
     this.context.decide('ended', facts.requestId, {
       customer: caller.kind === 'customer' ? caller.name : undefined,
       end: this.end,
@@ -222,8 +222,8 @@
   }
 
   private async send(engine: EngineView): Promise<void> {
-    const {decide, experience, online, pace, viewAgeMs, wire} = this.context;
-    const {body, caller, facts, method, path, rawHeaders} = this.req;
+    const {decide, engineHealth: experience, online, latencies: pace, viewAgeMs, wire} = this.context;
+    const {body, caller, metadata: facts, method, path, rawHeaders} = this.req;
     const resumeAfter = this.pass.lastEvent;
     this.suspicion.noteRun();
     this.broke = false;
@@ -231,7 +231,7 @@
     decide(this.res.headersSent ? 'resumed' : 'placed', facts.requestId, {
       attempt: this.choice.attempts,
       engine: engine.id,
-      online: online.at(engine.id),
+      online: online.requestsAt(engine.id),
       resumeAfter: resumeAfter ?? undefined,
       spentMs: Math.round(this.req.spentMs),
       viewAgeMs: Math.round(viewAgeMs()),
@@ -273,7 +273,7 @@
       this.call = undefined;
       end();
       if (this.end === undefined && !this.silence.leftQueue) {
-        experience.note(engine, false);
+        experience.recordAttempt(engine, false);
       }
     }
     if (this.broke) {
@@ -291,7 +291,7 @@
 
   private giveUp(fields: LogFields): void {
     const resumeAfter = this.pass.lastEvent ?? undefined;
-    this.context.decide('silent', this.req.facts.requestId, {...fields, resumeAfter});
+    this.context.decide('silent', this.req.metadata.requestId, {...fields, resumeAfter});
     this.call?.close();
   }
 
@@ -299,7 +299,7 @@
     switch (start.kind) {
       case 'notRun':
         this.choice.noteNotRun(start.reason);
-        this.context.decide('declined', this.req.facts.requestId, {
+        this.context.decide('declined', this.req.metadata.requestId, {
           engine: engine.id,
           reason: start.reason,
         });
@@ -340,7 +340,7 @@
       return;
     }
     if (end === 'whole') {
-      this.context.experience.note(engine, true);
+      this.context.engineHealth.recordAttempt(engine, true);
       this.res.end();
       this.finish('served');
       return;
--- a/packages/stallpaddle-relay/src/RelaySuspects.ts
+++ b/packages/stallpaddle-relay/src/RelaySuspects.ts
@@ -29,7 +29,7 @@
   /** Records a finding for all processes; rejects when it may not have been recorded. */
   readonly record: (finding: NoteEngineEnd | ReleaseRequest) => Promise<unknown>;
   /** Suspects by the news. */
-  readonly told: () => readonly SuspectView[];
+  readonly reported: () => readonly SuspectView[];
   readonly wire: RelayWire;
 }
 
@@ -87,7 +87,7 @@
 
   /** Whether nobody is suspected, so that no request needs a digest. */
   get isEmpty(): boolean {
-    return this.own.size === 0 && this.options.told().length === 0;
+    return this.own.size === 0 && this.options.reported().length === 0;
   }
 
   /**
@@ -114,7 +114,7 @@
    * @param run the run
    * @returns whether it has ended; then it counts here, and others are told besides
    */
-  async noteBreak(run: InterruptedRun): Promise<boolean> {
+  async noteInterruption(run: InterruptedRun): Promise<boolean> {
     const {clock, decide, wire} = this.options;
     const {digest, engine, id, known} = run;
     if (this.isLeaving(engine) || !(await hasExited(wire, engine))) {
@@ -175,7 +175,7 @@
   }
 
   private told(digest: string): SuspectView | undefined {
-    const told = this.options.told();
+    const told = this.options.reported();
     if (told !== this.indexed) {
       this.indexed = told;
       this.index = new Map(told.map((suspect) => [suspect.digest, suspect]));
--- a/packages/stallpaddle-relay/src/RelayTypes.ts
+++ b/packages/stallpaddle-relay/src/RelayTypes.ts
@@ -23,7 +23,7 @@
   readonly arrivedAt: MonotonicMs;
   readonly body: Uint8Array;
   readonly caller: RelayCaller;
-  readonly facts: CallerMetadata;
+  readonly metadata: CallerMetadata;
   /** Name that the caller gave the server. */
   readonly host: string;
   readonly method: string;
@@ -58,9 +58,9 @@
   /** Writes one line for a decision. */
   readonly decide: (decision: RelayDecision, requestId: string, fields: LogFields) => void;
   readonly engines: () => readonly EngineView[];
-  readonly experience: RelayEngineHealth;
+  readonly engineHealth: RelayEngineHealth;
   readonly online: RelayOnlineLoad;
-  readonly pace: RelayLatencies;
+  readonly latencies: RelayLatencies;
   readonly random: Random;
   readonly suspects: RelaySuspects;
   /** Age of what is known of the fleet, in milliseconds. */
--- a/packages/stallpaddle-relay/src/RelayWire.ts
+++ b/packages/stallpaddle-relay/src/RelayWire.ts
@@ -68,15 +68,15 @@
   readonly engineHeaders: (facts: EngineCallMetadata) => readonly HeaderLine[];
   /** Where an engine says how many requests it holds. */
   readonly occupancyPath: string;
-  readonly readAnswer: (status: number, headers: IncomingHttpHeaders) => ResponseMetadata;
+  readonly readResponse: (status: number, headers: IncomingHttpHeaders) => ResponseMetadata;
   /** Null when the request lacks what it must carry. */
   readonly readCaller: (headers: IncomingHttpHeaders) => CallerMetadata | null;
   /** What an engine holds, by its own word; null when it can't be read. */
   readonly readOccupancy: (text: string) => EngineOccupancy | null;
   /** What a stopped run has left at its engine, by the answer to the order that stopped it; null for nothing. */
-  readonly readRemains: (text: string) => null | string;
+  readonly readRetainedState: (text: string) => null | string;
   /** Lets an engine forget what a stopped run has left. */
-  readonly releaseRemains: (remains: string) => EngineControlRequest;
+  readonly releaseRetainedState: (remains: string) => EngineControlRequest;
   /**
    * Stops a run whose connection nobody can close.
    *
--- a/packages/stallpaddle-relay/src/__tests__/RelayFixture.ts
+++ b/packages/stallpaddle-relay/src/__tests__/RelayFixture.ts
@@ -79,15 +79,15 @@
   }));
   const online = new RelayOnlineLoad(systemClock);
   if (isTold) {
-    online.learn({}, true, []);
+    online.applyReport({}, true, []);
   }
   return {
     clock: systemClock,
     decide: () => {},
     engines: () => views,
-    experience: new RelayEngineHealth(systemClock),
+    engineHealth: new RelayEngineHealth(systemClock),
     online,
-    pace: new RelayLatencies(),
+    latencies: new RelayLatencies(),
     random: seededRandom(1),
     suspects: new SuspectBoard().view(plainRelay, () => views),
     viewAgeMs: () => 0,
@@ -115,7 +115,7 @@
         arrivedAt: systemClock.monotonicMs(),
         body: Buffer.concat(chunks),
         caller,
-        facts: plainRelay.readCaller(req.headers)!,
+        metadata: plainRelay.readCaller(req.headers)!,
         host: req.headers.host ?? '',
         method: req.method!,
         path: req.url!,
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineHealth.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineHealth.test.ts
@@ -13,15 +13,15 @@
 describe('RelayExperience', () => {
   test('an engine that has started again is not held to what failed before', () => {
     const experience = new RelayEngineHealth(systemClock);
-    experience.note(BEFORE, false);
+    experience.recordAttempt(BEFORE, false);
     expect(experience.of(BEFORE).failures).toBe(1);
     expect(experience.of(AFTER)).toEqual(INITIAL_HEALTH);
   });
 
   test('an attempt at the start before that ends late says nothing of the present one', () => {
     const experience = new RelayEngineHealth(systemClock);
-    experience.note(AFTER, true);
-    experience.note(BEFORE, false);
+    experience.recordAttempt(AFTER, true);
+    experience.recordAttempt(BEFORE, false);
     expect(experience.of(AFTER).failures).toBe(0);
   });
 });
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
@@ -286,7 +286,7 @@
     // All engines are full alike; whoever moves begins anew at the end of the next queue.
     const engines = await startEngines(2);
     const context = contextOf(engines, false);
-    Array.from({length: 20}, () => context.pace.firstEvent.note(20));
+    Array.from({length: 20}, () => context.latencies.firstEvent.note(20));
     context.online.registerRequest('e1');
     engines[0]!.manners = [{kind: 'mute'}];
     const {port} = await startRelay(context, routeOf());
@@ -300,7 +300,7 @@
     const context = contextOf([engine!], false);
     const {port} = await startRelay(context, routeOf(), 1_000);
     const startedAt = performance.now();
-    setTimeout(() => context.online.learn({}, true, []), 100);
+    setTimeout(() => context.online.applyReport({}, true, []), 100);
     expect((await ask(port)).status).toBe(200);
     expect(performance.now() - startedAt).toBeLessThan(400);
   });
@@ -322,8 +322,8 @@
   function learnedContext(engines: readonly StreamEngine[]): RelayContext {
     const context = contextOf(engines);
     Array.from({length: 20}, () => {
-      context.pace.firstEvent.note(20);
-      context.pace.gap.note(5);
+      context.latencies.firstEvent.note(20);
+      context.latencies.gap.note(5);
     });
     return context;
   }
@@ -411,7 +411,7 @@
     const context = contextOf([engine!]);
     const {port} = await startRelay(context, routeOf());
     await ask(port);
-    const {connect, firstEvent, gap} = context.pace;
+    const {connect, firstEvent, gap} = context.latencies;
     expect(connect.limitMs).toBeLessThan(250);
     expect(firstEvent.limitMs).toBeLessThan(1_200);
     expect(gap.limitMs).toBeLessThan(700);
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
@@ -178,7 +178,7 @@
     const suspect = async (known: number): Promise<void> => {
       const engine = {...view!, id: 'e0', startedAtMs: known + 1};
       const seen = board.view(plainRelay, () => [engine]);
-      expect(await seen.noteBreak({digest, engine, id: 'q', known})).toBe(true);
+      expect(await seen.noteInterruption({digest, engine, id: 'q', known})).toBe(true);
     };
     await suspect(0);
     engines.forEach((engine) => (engine.manners = [{after: 2, kind: 'pause'}]));
@@ -201,9 +201,9 @@
     const run = {digest: 'd', engine: view!, id: 'q', known: 0};
     await engine!.stop();
     const leaving = board.view(plainRelay, () => [{...view!, draining: true}]);
-    expect(await leaving.noteBreak(run)).toBe(false);
-    expect(await board.view(plainRelay, () => []).noteBreak(run)).toBe(false);
-    expect(await board.view(plainRelay, () => [view!]).noteBreak(run)).toBe(true);
+    expect(await leaving.noteInterruption(run)).toBe(false);
+    expect(await board.view(plainRelay, () => []).noteInterruption(run)).toBe(false);
+    expect(await board.view(plainRelay, () => [view!]).noteInterruption(run)).toBe(true);
   });
 
   test('long past its first event it is no suspect', () => {
--- a/packages/stallpaddle-testing/src/PlainWire.ts
+++ b/packages/stallpaddle-testing/src/PlainWire.ts
@@ -44,7 +44,7 @@
     return lines;
   },
   occupancyPath: PLAIN.occupancy,
-  readAnswer: (status, headers) => ({
+  readResponse: (status, headers) => ({
     notRun: headers[PLAIN.declined] !== undefined,
     otherEngine: status === 421,
     requestId: text(headers[PLAIN.request]),
@@ -66,7 +66,7 @@
     const running = body.split(' ').filter((id) => id !== '');
     return {running, total: running.length};
   },
-  readRemains: (body) => (body === '' ? null : body),
-  releaseRemains: (remains) => ({body: '', method: 'DELETE', path: `${PLAIN.stop}/${remains}`}),
+  readRetainedState: (body) => (body === '' ? null : body),
+  releaseRetainedState: (remains) => ({body: '', method: 'DELETE', path: `${PLAIN.stop}/${remains}`}),
   stopRun: (requestId) => ({body: '', method: 'POST', path: `${PLAIN.stop}/${requestId}`}),
 };
--- a/packages/stallpaddle-testing/src/SuspectBoard.ts
+++ b/packages/stallpaddle-testing/src/SuspectBoard.ts
@@ -41,7 +41,7 @@
         }
         return Promise.resolve();
       },
-      told: () => this.views,
+      reported: () => this.views,
       wire,
     });
   }
