--- a/packages/stallpaddle-jobs/src/JobsItemRun.ts
+++ b/packages/stallpaddle-jobs/src/JobsItemRun.ts
@@ -12,9 +12,9 @@
 
 import {errorMessage, registerTimeout} from 'stallpaddle';
 import {
-  isNextEvent,
   EventSplitter,
   forwardedHeaders,
+  isNextEvent,
   SERVER_ERROR,
   startEngineCall,
 } from 'stallpaddle-relay';
--- a/packages/stallpaddle-jobs/src/JobsSurvey.ts
+++ b/packages/stallpaddle-jobs/src/JobsSurvey.ts
@@ -6,7 +6,7 @@
  */
 import type {EngineId} from 'stallpaddle';
 import type {EngineView} from 'stallpaddle-fleet';
-import type {EngineOccupancy, EngineControlRequest, RelayWire} from 'stallpaddle-relay';
+import type {EngineControlRequest, EngineOccupancy, RelayWire} from 'stallpaddle-relay';
 
 import {request} from 'node:http';
 import {delay, type LogFields} from 'stallpaddle';
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -10,13 +10,13 @@
 import {
   type RelayCaller,
   type RelayContext,
+  RelayDeadlines,
   type RelayDecision,
   RelayEngineHealth,
-  RelayOnlineLoad,
   RelayLatencies,
+  RelayOnlineLoad,
   type RelayRequest,
   RelayRun,
-  RelayDeadlines,
   sendRefusal,
 } from 'stallpaddle-relay';
 
@@ -89,10 +89,10 @@
     this.context = {
       clock,
       decide: (decision, id, fields) => this.decide(decision, id, fields),
-      engines: () => watch.view.news.engines,
       engineHealth: new RelayEngineHealth(clock),
-      online,
+      engines: () => watch.view.news.engines,
       latencies: new RelayLatencies(),
+      online,
       random: Math.random,
       suspects: makeSuspects({
         clock,
@@ -262,19 +262,19 @@
       case 'nonRepeatable':
       case 'repeatable':
       case 'streaming': {
-        const facts = wire.relay.readCaller(req.headers);
-        if (facts === null) {
+        const metadata = wire.relay.readCaller(req.headers);
+        if (metadata === null) {
           throw refuse('badRequest', 'The request carries no name of its own.');
         }
         const {method, url} = call;
         const {rawHeaders} = req;
-        const spentMs = this.usual.spentMs(route, facts.deadlineMs);
+        const spentMs = this.usual.spentMs(route, metadata.deadlineMs);
         const request = {
           arrivedAt,
           body,
           caller,
-          facts,
           host,
+          metadata,
           method,
           path: url,
           rawHeaders,
@@ -291,8 +291,8 @@
 
   /** Brings a request to an engine, within its customer's limit. */
   private async relay(request: RelayRequest, res: ServerResponse): Promise<void> {
-    const {caller, metadata: facts} = request;
-    await this.admission.admit(caller, facts.requestId);
+    const {caller, metadata} = request;
+    await this.admission.admit(caller, metadata.requestId);
     if (res.destroyed) {
       // Its caller left meanwhile.
       this.admission.giveBack(caller);
--- a/packages/stallpaddle-node/src/NodeEntryMetrics.ts
+++ b/packages/stallpaddle-node/src/NodeEntryMetrics.ts
@@ -2,7 +2,7 @@
  * Metrics of a process that serves callers.
  */
 import type {LogFields} from 'stallpaddle';
-import type {RelayOnlineLoad, RelayLatencies} from 'stallpaddle-relay';
+import type {RelayLatencies, RelayOnlineLoad} from 'stallpaddle-relay';
 
 import type {NodeIntake} from './NodeIntake';
 import type {NodeMetrics} from './NodeMetrics';
--- a/packages/stallpaddle-node/src/NodeSuspects.ts
+++ b/packages/stallpaddle-node/src/NodeSuspects.ts
@@ -10,7 +10,7 @@
 /** What it needs of its process. */
 export interface NodeSuspectsOptions extends Omit<
   RelaySuspectsOptions,
-  'engines' | 'record' | 'told'
+  'engines' | 'record' | 'reported'
 > {
   readonly fleet: Pick<NodeFleet, 'control' | 'watch'>;
 }
--- a/packages/stallpaddle-relay/src/RelayConstants.ts
+++ b/packages/stallpaddle-relay/src/RelayConstants.ts
@@ -1,75 +1,66 @@
 /**
- * Fixed numbers of the relay.
+ * Limits and intervals of the relay.
  */
 
 /**
- * Online requests beyond its slots that an engine may queue, as a part of its slots, for a request that can
- * still be in time: with eight slots one is free about every 0.1 s, so two more keep an objective of 0.3 s.
+ * Number of requests that an engine may queue beyond its slots, as a fraction of its slots. Kept small so that a
+ * queued request can still meet its objective.
  */
-export const QUEUED_IN_TIME = 0.25;
+export const QUEUE_FRACTION = 0.25;
 
-/**
- * Longest time that a request which can't be in time waits here for a free slot, behind those that can, in
- * milliseconds. Callers give up two seconds after they sent; what is left then is the time of a short queue.
- */
-export const LATE_WAIT_MS = 1_500;
+/** Maximum time that a request which can no longer meet its objective waits for a free slot, in milliseconds. */
+export const MAX_LATE_WAIT_MS = 1_500;
 
 /**
- * The same as a part of the time that the caller still allows: a request is refused while its caller can still come
- * back, and one that is sent has as long to run as it has waited.
+ * The same limit as a fraction of the caller's deadline: the caller can still retry after a refusal, and a request
+ * that is sent has as long to run as it has waited.
  */
-export const LATE_WAIT_PART = 0.5;
+export const MAX_LATE_WAIT_FRACTION = 0.5;
 
 /**
- * Longest time that a request which can't be in time waits here while nothing is known of the other VMs' requests, in
- * milliseconds: after a loss of many VMs their callers come again all at once, and a dispatcher is elected and tells counts within
- * a second.
+ * Maximum time that a request which can no longer meet its objective waits while the load from other VMs is unknown,
+ * in milliseconds. Covers the election of a dispatcher after many VMs were lost and their callers retry at once.
  */
-export const UNTOLD_WAIT_MS = 1_000;
+export const MAX_UNKNOWN_LOAD_WAIT_MS = 1_000;
 
-/** First of the statuses by which an engine says that it failed itself. */
+/** First HTTP status of a server error. */
 export const SERVER_ERROR = 500;
 
-/** Pause after which a refused caller should come back, in milliseconds: about one request's work. */
+/** Delay after which a refused caller should retry, in milliseconds. */
 export const RETRY_AFTER_MS = 250;
 
 /**
- * Time after a run's first event up to which the end of its engine speaks against its request, in milliseconds, where its
- * events are few or none. Engines ended 34 to 95 ms after they began the request that ended them; an answer of the fleets
- * measured takes 800 ms, an item 5 s.
+ * Time after a run's first event during which an exit of its engine counts as evidence against the request, in
+ * milliseconds.
  */
-export const BEGIN_MS = 250;
+export const STARTING_MS = 250;
 
 /**
- * Events of a run up to which the end of its engine speaks against its request. A request that ends engines does so as they
- * begin to run it (none of 18 such runs that were seen had an event); one that goes on from event to event comes to its end. Without this
- * bound three times as many of those that only stood beside are held (model, 6 engines: 137 and 44 of 400,000).
+ * Number of events up to which an exit of the engine counts as evidence against the request. A request that crashes
+ * engines does so when it starts; without this limit, requests that merely ran beside it would be quarantined too.
  */
-export const MOST_BEGIN_EVENTS = 1;
+export const MAX_STARTING_EVENTS = 1;
 
-/** Pause before a request looks again for an engine that it may go on at, in milliseconds. */
-export const LOOK_AGAIN_MS = 20;
+/** Interval at which a request checks again for an available engine, in milliseconds. */
+export const RECHECK_INTERVAL_MS = 20;
 
-/**
- * Most engines that may decline one request before it is refused: each look costs a round trip, and an
- * engine that declines says that it is full.
- */
+/** Maximum number of times that engines may decline a request before it is refused. */
 export const MAX_DECLINES = 4;
 
 /**
- * Most times that one request is sent in all, to whatever engines. Its route bounds the engines; one of them may be sent it
- * again when the others have failed, since what made it late or lost an answer is often over by then.
+ * Maximum number of times that a request is sent, over all engines. The route limits the number of engines; an engine
+ * may get the request again after the others have failed.
  */
-export const MOST_SENDS = 4;
+export const MAX_SENDS = 4;
 
-/** Answers up to this size are passed on whole, so that one that breaks off can be asked for again. */
-export const WHOLE_ANSWER_BYTES = 262_144;
+/** Responses up to this size are buffered, so that one that is interrupted can be requested again. */
+export const MAX_BUFFERED_BYTES = 262_144;
 
 /**
- * Silence after which a stream that may be resumed is given up though no other engine has room, in milliseconds.
- * Callers give a stream up after two seconds; an engine's pauses are a tenth of a second at most.
+ * Time without data after which a resumable stream is abandoned even if no other engine has a free slot, in
+ * milliseconds. Must be shorter than the time after which callers give up on a stream.
  */
-export const SILENT_STREAM_MS = 700;
+export const MAX_STREAM_STALL_MS = 700;
 
-/** The same before a stream's first event, which a full engine may keep waiting, in milliseconds. */
-export const SILENT_FIRST_MS = 1_200;
+/** The same limit before the first event of a stream, which a full engine may delay, in milliseconds. */
+export const MAX_FIRST_EVENT_STALL_MS = 1_200;
--- a/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
+++ b/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
@@ -1,6 +1,5 @@
 /**
- * What speaks for and against one request, over all runs of its attempt: how many engines ended when they began to run it,
- * and whether one has run it past its begin.
+ * Evidence that one request crashes engines.
  */
 import type {EngineView} from 'stallpaddle-fleet';
 
@@ -11,62 +10,71 @@
 import {requestDigest} from './RelayDigest';
 import {isStarting, type RunProgress} from './RelaySuspects';
 
-/** What it needs of its process. */
-type Needs = Pick<RelayContext, 'clock' | 'decide' | 'suspects'>;
+/** The part of the relay's dependencies that is used here. */
+type Dependencies = Pick<RelayContext, 'clock' | 'decide' | 'suspects'>;
 
-const NOT_BEGUN: RunProgress = {events: 0, firstAt: undefined};
+const NO_PROGRESS: RunProgress = {events: 0, firstAt: undefined};
 
-/** See the module's comment. */
+/**
+ * Collects evidence on whether one request crashes engines, over all its runs in this process: how many engines
+ * exited while they started it, and whether one ran it past its start.
+ */
 export class RelayCrashEvidence {
-  private begin = NOT_BEGUN;
-  private digestMade: string | undefined;
-  /** What was found of the engines that broke off so far: how many of them ended, one after the other. */
-  private found = Promise.resolve(0);
-  private hasBroken = false;
-  /** Whether an engine has run the request past its begin in this attempt: then it doesn't end every engine. */
+  private progress = NO_PROGRESS;
+  private cachedDigest: string | undefined;
+  /** Number of engines that were found to have exited so far; checks run one after the other. */
+  private exits = Promise.resolve(0);
+  private wasInterrupted = false;
+  /**
+   * Whether an engine has run the request past its start in this process, which shows that it doesn't crash every
+   * engine.
+   */
   private isCleared = false;
-  /** Level at which the request stood when its present run began. */
-  private known = 0;
+  /** Suspicion level of the request when its current run started. */
+  private startLevel = 0;
 
   /**
-   * @param needs what it needs of its process
+   * @param dependencies the part of the relay's dependencies that is used here
    * @param req the request
    */
   constructor(
-    private readonly needs: Needs,
+    private readonly dependencies: Dependencies,
     private readonly req: RelayRequest,
   ) {}
 
-  /** The request, whatever this attempt is called; worked out only while there are suspects, or once an engine broke off. */
+  /**
+   * Digest of the request, the same for every attempt; computed only while there are suspects or after an engine's
+   * connection broke.
+   */
   private get digest(): string {
-    const {body, caller, metadata: facts, host, method, path} = this.req;
-    // A customer's request is the same with another of its keys.
-    const sender = caller.kind === 'customer' ? caller.name : facts.caller;
-    this.digestMade ??= requestDigest({body, caller: sender, host, method, path});
-    return this.digestMade;
+    const {body, caller, host, metadata, method, path} = this.req;
+    // Requests of one customer are the same whichever of its keys they carry.
+    const sender = caller.kind === 'customer' ? caller.name : metadata.caller;
+    this.cachedDigest ??= requestDigest({body, caller: sender, host, method, path});
+    return this.cachedDigest;
   }
 
-  /** The request's digest where it was worked out, for the log. */
-  get digestKnown(): string | undefined {
-    return this.digestMade;
+  /** The request's digest if it was computed, for the log. */
+  get computedDigest(): string | undefined {
+    return this.cachedDigest;
   }
 
-  /** The digest of a suspect, null for any other request. */
-  get suspect(): string | null {
+  /** The request's digest while it is a suspect, otherwise null. */
+  get suspectDigest(): string | null {
     return this.level > 0 ? this.digest : null;
   }
 
-  /** How many engines ended, one after the other, when they began to run the request. */
+  /** Suspicion level: number of successive engine exits while the request was starting. */
   private get level(): number {
-    const {suspects} = this.needs;
+    const {suspects} = this.dependencies;
     return suspects.isEmpty ? 0 : suspects.levelOf(this.digest);
   }
 
   /**
-   * Time for which the request is held off the engines, in milliseconds; undefined when it is not. A stream that has gone on
-   * past its begin is not, whatever became of others with its body: it would be broken off.
+   * Time for which the request remains quarantined, in milliseconds; undefined when it is not. A request that has run
+   * past its start here is not quarantined, whatever others with the same digest did: its stream would be aborted.
    */
-  heldMs(): number | undefined {
+  quarantineMs(): number | undefined {
     if (this.level < HELD_LEVEL) {
       return undefined;
     }
@@ -74,66 +82,74 @@
       this.noteServed();
       return undefined;
     }
-    const {decide, suspects} = this.needs;
+    const {decide, suspects} = this.dependencies;
     const {digest, level} = this;
     const holdMs = suspects.holdMs(digest);
     decide('held', this.req.metadata.requestId, {digest, holdMs, level});
     return holdMs;
   }
 
-  /** A run begins. */
-  noteRun(): void {
-    this.begin = NOT_BEGUN;
-    this.known = this.level;
+  /** Records that a run starts. */
+  noteStart(): void {
+    this.progress = NO_PROGRESS;
+    this.startLevel = this.level;
   }
 
   /**
-   * Bytes have come from the run's engine.
+   * Records data from the run's engine.
    *
-   * @param events whole events among them
+   * @param events number of events that the data completes
    */
-  noteHeard(events: number): void {
-    const {clock} = this.needs;
+  noteData(events: number): void {
+    const {clock} = this.dependencies;
     const now = clock.monotonicMs();
-    const {begin} = this;
-    this.begin = {events: begin.events + events, firstAt: begin.firstAt ?? now};
-    if (!this.isCleared && !isStarting(this.begin, now)) {
+    const {progress} = this;
+    this.progress = {events: progress.events + events, firstAt: progress.firstAt ?? now};
+    if (!this.isCleared && !isStarting(this.progress, now)) {
       this.isCleared = true;
       this.noteServed();
     }
   }
 
-  /** An engine has run the request past its begin, or to an end: others need not hold it any more. */
+  /** Records that an engine has run the request past its start or to its end, which clears it for all VMs. */
   noteServed(): void {
     if (this.level > 0) {
-      this.needs.suspects.noteServed(this.digest);
+      this.dependencies.suspects.noteServed(this.digest);
     }
   }
 
   /**
-   * The run's engine broke its answer off. Whether it has ended is looked at beside what follows; only a request that has met
-   * this before waits for what is found, since its next run may end another engine.
+   * Records that the run's engine interrupted its response, and checks whether the engine has exited. The first
+   * interruption of a request that is no suspect is checked in the background; later ones are awaited, since the next
+   * run might crash another engine.
    *
    * @param engine the engine
    */
-  async noteBreak(engine: EngineView): Promise<void> {
-    const {clock} = this.needs;
-    if (!isStarting(this.begin, clock.monotonicMs())) {
+  async noteInterruption(engine: EngineView): Promise<void> {
+    const {clock} = this.dependencies;
+    if (!isStarting(this.progress, clock.monotonicMs())) {
       return;
     }
-    const {known} = this;
-    const isFirst = !this.hasBroken && known === 0;
-    this.hasBroken = true;
-    this.found = this.found.then((ends) => this.look(engine, Math.max(known, ends), ends));
+    const known = this.startLevel;
+    const isFirst = !this.wasInterrupted && known === 0;
+    this.wasInterrupted = true;
+    this.exits = this.exits.then((exits) =>
+      this.checkEngine(engine, Math.max(known, exits), exits),
+    );
     if (!isFirst) {
-      await this.found;
+      await this.exits;
     }
   }
 
-  /** Each run of this attempt began after the one before had broken off, whether or not its end was known by then. */
-  private async look(engine: EngineView, known: number, ends: number): Promise<number> {
+  /**
+   * Checks one engine. Each run counts as started after the engines of the earlier runs had exited, even if that was
+   * not yet known.
+   */
+  private async checkEngine(engine: EngineView, known: number, exits: number): Promise<number> {
     const id = this.req.metadata.requestId;
     const {digest} = this;
-    return (await this.needs.suspects.noteInterruption({digest, engine, id, known})) ? ends + 1 : ends;
+    return (await this.dependencies.suspects.noteInterruption({digest, engine, id, known}))
+      ? exits + 1
+      : exits;
   }
 }
--- a/packages/stallpaddle-relay/src/RelayDeadlines.ts
+++ b/packages/stallpaddle-relay/src/RelayDeadlines.ts
@@ -1,48 +1,51 @@
 /**
- * How long callers of each route usually wait in all. One that says less has spent the rest on earlier
- * attempts, so its answer is already that late.
+ * Usual caller deadlines of each route.
  */
 import type {FleetRoute} from 'stallpaddle-fleet';
 
-/** Deadlines that are remembered: routes of one configuration, and some that were removed. */
-const MOST_ROUTES = 4_096;
+/** Maximum number of routes that are tracked: those of one configuration and some removed ones. */
+const MAX_ROUTES = 4_096;
 
 /**
- * Requests of a route from which on the longest deadline seen is the usual one. Right after a start most callers come for
- * the second time; until first attempts are seen, too, the longest time that the operator allows stands for theirs.
+ * Number of requests after which the longest observed deadline is taken for the usual one. Right after a start most
+ * requests are retries with shorter deadlines, so until then the route's time limit is used if it is longer.
  */
-const ENOUGH_REQUESTS = 16;
+const MIN_REQUESTS = 16;
 
-/** What was seen of a route's callers. */
-interface SeenDeadlines {
+/** Deadlines observed on one route. */
+interface ObservedDeadlines {
   readonly longestMs: number;
   readonly requests: number;
 }
 
-const NONE: SeenDeadlines = {longestMs: 0, requests: 0};
+const NONE: ObservedDeadlines = {longestMs: 0, requests: 0};
 
-/** See the module's comment. */
+/**
+ * Learns the usual deadline that callers of each route send. A caller that sends a shorter one has spent the
+ * difference on earlier attempts.
+ */
 export class RelayDeadlines {
-  private readonly seen = new Map<string, SeenDeadlines>();
+  private readonly observed = new Map<string, ObservedDeadlines>();
 
   /**
-   * Time that a caller has spent before this attempt, in milliseconds.
+   * Records a caller's deadline and estimates the time that the caller has spent on earlier attempts, in
+   * milliseconds.
    *
    * @param route the route
-   * @param deadlineMs time that the caller still waits; null when it doesn't say
+   * @param deadlineMs the caller's deadline in milliseconds; null when it sends none
    */
   spentMs({name, timeoutMs}: FleetRoute, deadlineMs: number | null): number {
     if (deadlineMs === null) {
       return 0;
     }
-    const before = this.seen.get(name) ?? NONE;
+    const before = this.observed.get(name) ?? NONE;
     const longestMs = Math.max(before.longestMs, deadlineMs);
     const requests = before.requests + 1;
-    if (this.seen.size >= MOST_ROUTES) {
-      this.seen.clear();
+    if (this.observed.size >= MAX_ROUTES) {
+      this.observed.clear();
     }
-    this.seen.set(name, {longestMs, requests});
-    const usual = requests < ENOUGH_REQUESTS ? Math.max(longestMs, timeoutMs) : longestMs;
-    return usual - deadlineMs;
+    this.observed.set(name, {longestMs, requests});
+    const usualMs = requests < MIN_REQUESTS ? Math.max(longestMs, timeoutMs) : longestMs;
+    return usualMs - deadlineMs;
   }
 }
--- a/packages/stallpaddle-relay/src/RelayDigest.ts
+++ b/packages/stallpaddle-relay/src/RelayDigest.ts
@@ -1,13 +1,13 @@
 /**
- * What makes two requests the same, whatever their attempts are called: method, host, path with query, caller and the whole
- * body. Header lines say more of an attempt than of a request, and are left out but for the caller's own.
+ * Digests that identify equal requests, independent of attempt ids: method, host, path with query, caller and the
+ * complete body. Headers mostly describe the attempt and are left out, except for the one that identifies the caller.
  */
 import {createHash} from 'node:crypto';
 
-/** A request, as far as it makes a difference. */
+/** The parts of a request that identify it. */
 export interface DigestInput {
   readonly body: Uint8Array;
-  /** What tells callers apart who send the same; empty where nothing does. */
+  /** Value that distinguishes callers that send the same request; empty if there is none. */
   readonly caller: string;
   readonly host: string;
   readonly method: string;
@@ -15,17 +15,17 @@
   readonly path: string;
 }
 
-/** Digits that are kept: 132 bits, so that nobody finds another request with the same digest. */
-const DIGITS = 22;
+/** Number of base64url digits that are kept: 132 bits, so that no other request with the same digest can be found. */
+const DIGEST_LENGTH = 22;
 
 /**
- * A request's digest. Made only for suspects and while there are any: 15 µs for 15 KB, 3.6 ms for 4 MB.
+ * Computes the digest of a request. Called only while there are suspects, since it hashes the whole body.
  *
- * @param input the request
+ * @param input the parts of the request
  */
 export function requestDigest({body, caller, host, method, path}: DigestInput): string {
-  // As JSON, so that no part can run over into the next.
+  // JSON keeps the parts separate, so that no two inputs yield the same text.
   const head = JSON.stringify([method, host.toLowerCase(), path, caller]);
   const hash = createHash('sha256').update(`${head}\n`).update(body);
-  return hash.digest('base64url').slice(0, DIGITS);
+  return hash.digest('base64url').slice(0, DIGEST_LENGTH);
 }
--- a/packages/stallpaddle-relay/src/RelayEngineCall.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineCall.ts
@@ -1,6 +1,6 @@
 /**
- * One request to one engine, on a connection of its own: an answer that comes late can't meet another
- * request, and no idle connection can be closed just as a request is sent.
+ * Sends one request to one engine on a connection of its own, so that a late response can't be taken for that of
+ * another request and no idle connection is closed just as a request is sent.
  */
 import type {ClientRequest, IncomingMessage} from 'node:http';
 
@@ -8,77 +8,85 @@
 import {registerResetWatch, registerTimeout} from 'stallpaddle';
 
 import type {RelayLatencies} from './RelayLatencies';
-import type {ResponseMetadata, RelayWire} from './RelayWire';
+import type {RelayWire, ResponseMetadata} from './RelayWire';
 
-/** A request as it is sent. */
+/** Request to an engine. */
 export interface EngineRequest {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   readonly body: Uint8Array;
-  /** Flat list of names and values, without a length. */
+  /** Flat list of names and values, without content-length. */
   readonly headers: readonly string[];
   readonly method: string;
   readonly path: string;
   readonly requestId: string;
 }
 
-/** Why a request was not run, for certain. */
+/** Why a request certainly did not run. */
 export type NotRunReason =
-  /** No connection came up. */
+  /** No connection could be established. */
   | 'noConnection'
-  /** The engine says so itself: it is full or leaves. */
+  /** The engine declined the request: it is full or draining. */
   | 'declined'
   /** Another engine has the address. */
   | 'otherEngine';
 
-/** How an attempt began. */
+/** Outcome of an attempt up to the response head. */
 export type EngineCallStart =
-  | {readonly facts: ResponseMetadata; readonly kind: 'answer'; readonly res: IncomingMessage}
+  | {readonly metadata: ResponseMetadata; readonly kind: 'answer'; readonly res: IncomingMessage}
   | {readonly kind: 'mayHaveRun'; readonly reason: string}
   | {readonly kind: 'notRun'; readonly reason: NotRunReason};
 
-/** An attempt under way. */
+/** An attempt in progress. */
 export interface EngineCall {
-  /** Closes the connection at once; the engine then drops the request. */
+  /** Closes the connection; the engine then drops the request. */
   readonly close: () => void;
   readonly started: Promise<EngineCallStart>;
 }
 
 /**
- * Host and port of an address.
+ * Splits an address into host and port.
  *
- * @param address IP number and port
+ * @param address IP address and port
  */
 export function splitAddress(address: string): {readonly host: string; readonly port: number} {
   const colon = address.lastIndexOf(':');
   return {host: address.slice(0, colon), port: Number(address.slice(colon + 1))};
 }
 
-function startOf(wire: RelayWire, res: IncomingMessage, requestId: string): EngineCallStart {
-  const facts = wire.readResponse(res.statusCode ?? 0, res.headers);
-  if (facts.otherEngine) {
+function classifyResponse(
+  wire: RelayWire,
+  res: IncomingMessage,
+  requestId: string,
+): EngineCallStart {
+  const metadata = wire.readResponse(res.statusCode ?? 0, res.headers);
+  if (metadata.otherEngine) {
     return {kind: 'notRun', reason: 'otherEngine'};
   }
-  if (facts.notRun) {
+  if (metadata.notRun) {
     return {kind: 'notRun', reason: 'declined'};
   }
-  if (facts.requestId !== requestId) {
-    return {kind: 'mayHaveRun', reason: 'the answer belongs to another request'};
+  if (metadata.requestId !== requestId) {
+    return {kind: 'mayHaveRun', reason: 'the response belongs to another request'};
   }
-  if (!facts.signed || res.headers['content-encoding'] !== undefined) {
-    return {kind: 'mayHaveRun', reason: 'the answer is not the engine’s own'};
+  if (!metadata.signed || res.headers['content-encoding'] !== undefined) {
+    return {kind: 'mayHaveRun', reason: 'the response is not signed by the engine or is encoded'};
   }
-  return {facts, kind: 'answer', res};
+  return {kind: 'answer', metadata, res};
 }
 
 /**
  * Sends a request.
  *
- * @param wire the engines' words
- * @param pace how fast engines are
+ * @param wire the engines' protocol
+ * @param latencies learned latency limits
  * @param req the request
  */
-export function startEngineCall(wire: RelayWire, pace: RelayLatencies, req: EngineRequest): EngineCall {
+export function startEngineCall(
+  wire: RelayWire,
+  latencies: RelayLatencies,
+  req: EngineRequest,
+): EngineCall {
   const {host, port} = splitAddress(req.address);
   const headers = [...req.headers, 'Content-Length', String(req.body.length)];
   let connected = false;
@@ -94,29 +102,29 @@
     });
     registerResetWatch(out);
     const openedAt = performance.now();
-    const giveUp = (): void => {
+    const onTimeout = (): void => {
       out?.destroy(new Error('no connection'));
     };
-    const endWait = registerTimeout(pace.connect.limitMs, giveUp);
+    const cancelTimeout = registerTimeout(latencies.connect.limitMs, onTimeout);
     out.on('socket', (socket) => {
       socket.setNoDelay(true);
       socket.once('connect', () => {
         connected = true;
-        endWait();
-        pace.connect.note(performance.now() - openedAt);
+        cancelTimeout();
+        latencies.connect.note(performance.now() - openedAt);
       });
     });
     out.on('response', (res) => {
-      // Errors of the body are seen by whoever reads it; before that they must not go unhandled.
+      // Without a listener, an error before the body is read would be an uncaught exception.
       res.on('error', () => {});
-      const start = startOf(wire, res, req.requestId);
+      const start = classifyResponse(wire, res, req.requestId);
       if (start.kind !== 'answer') {
         out?.destroy();
       }
       resolve(start);
     });
     out.on('error', (err) => {
-      endWait();
+      cancelTimeout();
       resolve(
         connected
           ? {kind: 'mayHaveRun', reason: err.message}
@@ -124,7 +132,7 @@
       );
     });
     out.on('close', () => {
-      endWait();
+      cancelTimeout();
       resolve(
         connected
           ? {kind: 'mayHaveRun', reason: 'the connection was closed'}
--- a/packages/stallpaddle-relay/src/RelayEngineHealth.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineHealth.ts
@@ -1,23 +1,23 @@
 /**
- * What one sender has seen of each engine, so that requests keep off those that fail.
+ * Health of engines as one sender has observed it.
  */
 import type {Clock, EngineId} from 'stallpaddle';
 import type {EngineView} from 'stallpaddle-fleet';
 
-import {healthAfterAttempt, type EngineHealth, INITIAL_HEALTH} from './RelayPlacement';
+import {type EngineHealth, healthAfterAttempt, INITIAL_HEALTH} from './RelayPlacement';
 
-/** One start of an engine: what was seen of an earlier one says nothing of it. */
+/** One lifetime of an engine process; failures of an earlier one don't count against it. */
 export type EngineIncarnation = Pick<EngineView, 'id' | 'startedAtMs'>;
 
-/** What was seen of one start. */
-interface SeenStart {
-  readonly experience: EngineHealth;
+/** Health observed in one incarnation. */
+interface ObservedHealth {
+  readonly health: EngineHealth;
   readonly startedAtMs: number;
 }
 
-/** See the module's comment. */
+/** Tracks the health of each engine by the attempts of this sender, so that it avoids engines that fail. */
 export class RelayEngineHealth {
-  private readonly seen = new Map<EngineId, SeenStart>();
+  private readonly observed = new Map<EngineId, ObservedHealth>();
 
   /**
    * @param clock this process's clock
@@ -25,26 +25,26 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Experience with an engine.
+   * Returns the health of an engine.
    *
-   * @param start the engine, as it runs now
+   * @param incarnation the engine's current incarnation
    */
   of({id, startedAtMs}: EngineIncarnation): EngineHealth {
-    const seen = this.seen.get(id);
-    return seen?.startedAtMs === startedAtMs ? seen.experience : INITIAL_HEALTH;
+    const observed = this.observed.get(id);
+    return observed?.startedAtMs === startedAtMs ? observed.health : INITIAL_HEALTH;
   }
 
   /**
-   * Notes how an attempt went. What comes from an earlier start than the one seen last is passed over.
+   * Records the outcome of an attempt. Outcomes of incarnations before the latest known one are ignored.
    *
-   * @param start the engine, as it was when it was sent the request
-   * @param ok whether the engine answered
+   * @param incarnation the engine's incarnation when the request was sent
+   * @param ok whether the engine responded
    */
-  recordAttempt(start: EngineIncarnation, ok: boolean): void {
-    const {id, startedAtMs} = start;
-    if (startedAtMs >= (this.seen.get(id)?.startedAtMs ?? startedAtMs)) {
-      const experience = healthAfterAttempt(this.of(start), ok, this.clock.monotonicMs());
-      this.seen.set(id, {experience, startedAtMs});
+  recordAttempt(incarnation: EngineIncarnation, ok: boolean): void {
+    const {id, startedAtMs} = incarnation;
+    if (startedAtMs >= (this.observed.get(id)?.startedAtMs ?? startedAtMs)) {
+      const health = healthAfterAttempt(this.of(incarnation), ok, this.clock.monotonicMs());
+      this.observed.set(id, {health, startedAtMs});
     }
   }
 }
--- a/packages/stallpaddle-relay/src/RelayEngineSelector.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineSelector.ts
@@ -1,5 +1,5 @@
 /**
- * Which engine one request goes to next, and whether it may go anywhere yet.
+ * Selection of the next engine for one request.
  */
 import type {EngineId} from 'stallpaddle';
 import type {EngineView} from 'stallpaddle-fleet';
@@ -10,110 +10,110 @@
 import type {RelayContext, RelayRequest} from './RelayTypes';
 
 import {
-  LATE_WAIT_MS,
-  LATE_WAIT_PART,
   MAX_DECLINES,
-  MOST_SENDS,
-  QUEUED_IN_TIME,
-  UNTOLD_WAIT_MS,
+  MAX_LATE_WAIT_FRACTION,
+  MAX_LATE_WAIT_MS,
+  MAX_SENDS,
+  MAX_UNKNOWN_LOAD_WAIT_MS,
+  QUEUE_FRACTION,
 } from './RelayConstants';
-import {selectService, isHealthy, selectEngine} from './RelayPlacement';
+import {isHealthy, selectEngine, selectService} from './RelayPlacement';
 
 const NONE: ReadonlySet<EngineId> = new Set();
 
-/** See the module's comment. */
+/** Selects the next engine for one request, and decides whether the request may be sent yet. */
 export class RelayEngineSelector {
   private declines = 0;
-  /** Engines that count as attempts: they may have run the request, and have not been found ended since. */
-  private readonly counted = new Set<EngineId>();
-  /** Engines that could not be reached, or whose address another one has. */
+  /** Engines that count as attempts: they may have run the request and were not found to have exited since. */
+  private readonly attempted = new Set<EngineId>();
+  /** Engines that were unreachable or whose address belongs to another engine. */
   private readonly unreached = new Set<EngineId>();
-  /** The engine that was sent the request last. */
+  /** The engine that the request was last sent to. */
   private last: EngineId | undefined;
-  /** Whether that engine counted before, when it was sent the request another time. */
-  private countedBefore = false;
+  /** Whether that engine was an attempt already before the request was sent to it again. */
+  private wasAttempted = false;
   private sends = 0;
   private readonly sentTo = new Set<EngineId>();
 
   /**
-   * @param context what the relay needs of its process
+   * @param context dependencies of the relay
    * @param req the request
-   * @param apart the request's digest while it is a suspect, else null
+   * @param suspectDigest returns the request's digest while it is a suspect, otherwise null
    */
   constructor(
     private readonly context: RelayContext,
     private readonly req: RelayRequest,
-    private readonly apart: () => null | string,
+    private readonly suspectDigest: () => null | string,
   ) {}
 
-  /** Number of engines that the request was sent to, also of those that declined it. */
+  /** Number of engines that the request was sent to, including those that declined it. */
   get attempts(): number {
     return this.sentTo.size;
   }
 
-  /** Whether the request may be sent to one more engine, those left out that have not run it. */
+  /** Whether the route allows an attempt at one more engine; engines that have not run the request don't count. */
   get hasAttemptLeft(): boolean {
-    return this.counted.size < this.req.route.maxAttempts;
+    return this.attempted.size < this.req.route.maxAttempts;
   }
 
-  /** Whether the request may be sent again at all, to another engine or to one that was sent it before. */
+  /** Whether the request may be sent again, to another engine or to one that it was already sent to. */
   get hasSendLeft(): boolean {
-    return this.hasAttemptLeft || this.sends < MOST_SENDS;
+    return this.hasAttemptLeft || this.sends < MAX_SENDS;
   }
 
-  /** Whether so many engines have said that they are full that no further one is asked. */
+  /** Whether too many engines have declined the request to try another one. */
   get isDeclined(): boolean {
     return this.declines >= MAX_DECLINES;
   }
 
-  /** Whether another engine that works well has a free slot, and the request may be sent there. */
-  get mayMove(): boolean {
-    const {clock, engineHealth: experience, online} = this.context;
+  /** Whether another healthy engine has a free slot and may get the request. */
+  get canMove(): boolean {
+    const {clock, engineHealth, online} = this.context;
     const engine = this.hasAttemptLeft ? this.next() : undefined;
     return (
       engine !== undefined &&
-      // Else all move at once, from full engines to others as full.
-      online.hasKnownOthers &&
-      isHealthy(engine, experience.of(engine), clock.monotonicMs()) &&
-      !online.isSuspect(engine.id) &&
-      this.hasRoom(engine)
+      // Without any report from other VMs, engines that look free may be full, and all requests would move at once.
+      online.hasReceivedReport &&
+      isHealthy(engine, engineHealth.of(engine), clock.monotonicMs()) &&
+      !online.isUnresponsive(engine.id) &&
+      this.hasFreeSlot(engine)
     );
   }
 
   /** Names of all engines that the request was sent to, for the log. */
-  get names(): string {
+  get engineNames(): string {
     return [...this.sentTo].join(',');
   }
 
   /**
-   * Whether the request has waited here for a free slot as long as it may.
+   * Whether the request has waited for a free slot as long as it may.
    *
-   * @param waitedMs time since the request came, in milliseconds
+   * @param waitedMs time since the request arrived, in milliseconds
    */
-  hasWaited(waitedMs: number): boolean {
-    const {metadata: facts, route} = this.req;
-    const allowedMs = Math.min(route.timeoutMs, facts.deadlineMs ?? Infinity);
-    return waitedMs >= Math.min(LATE_WAIT_MS, allowedMs * LATE_WAIT_PART);
+  hasWaitedLimit(waitedMs: number): boolean {
+    const {metadata, route} = this.req;
+    const allowedMs = Math.min(route.timeoutMs, metadata.deadlineMs ?? Infinity);
+    return waitedMs >= Math.min(MAX_LATE_WAIT_MS, allowedMs * MAX_LATE_WAIT_FRACTION);
   }
 
   /**
-   * Whether a request that no engine could be reached for may wait for one: some are back soon, and while its answer can be in
-   * time it is served sooner than if its caller came again.
+   * Whether a request may wait for an engine although none could be reached: while it can still meet its objective,
+   * waiting for one to recover is faster than a retry by the caller.
    *
-   * @param waitedMs time since the request came, in milliseconds
+   * @param waitedMs time since the request arrived, in milliseconds
    */
   mayWaitForEngine(waitedMs: number): boolean {
-    return this.unreached.size > 0 && this.isInTime(waitedMs);
+    return this.unreached.size > 0 && this.canMeetObjective(waitedMs);
   }
 
-  /** Lets the request go again to engines that it was sent to. */
-  forget(): void {
+  /** Allows the request to be sent again to all engines. */
+  allowAllEngines(): void {
     this.sentTo.clear();
-    this.counted.clear();
+    this.attempted.clear();
   }
 
-  /** Lets the request go again to engines that could not be reached. */
-  forgetUnreached(): void {
+  /** Allows the request to be sent again to engines that were unreachable. */
+  allowUnreached(): void {
     this.unreached.forEach((id) => this.sentTo.delete(id));
     this.unreached.clear();
   }
@@ -123,51 +123,54 @@
    *
    * @param engine the engine
    */
-  hasRoom({id, slots}: EngineView): boolean {
+  hasFreeSlot({id, slots}: EngineView): boolean {
     return this.context.online.requestsAt(id) < slots;
   }
 
   /**
-   * Whether the request may be sent to an engine now, perhaps to queue there.
+   * Whether the request may be sent to an engine now, where it may have to queue.
    *
    * @param engine the engine
-   * @param waitedMs time since the request came, in milliseconds
+   * @param waitedMs time since the request arrived, in milliseconds
    */
-  mayQueue({id, slots}: EngineView, waitedMs: number): boolean {
+  maySend({id, slots}: EngineView, waitedMs: number): boolean {
     const {online} = this.context;
-    const mayBeHeld = waitedMs < UNTOLD_WAIT_MS && !this.hasWaited(waitedMs);
-    if (!online.knowsOthers && mayBeHeld && !this.isHurried(waitedMs)) {
+    const mayDelay = waitedMs < MAX_UNKNOWN_LOAD_WAIT_MS && !this.hasWaitedLimit(waitedMs);
+    if (!online.hasCurrentReport && mayDelay && !this.hasPriority(waitedMs)) {
       return false;
     }
-    return online.requestsAt(id) < slots * (1 + this.queuedPart(waitedMs));
+    return online.requestsAt(id) < slots * (1 + this.queueFraction(waitedMs));
   }
 
-  /** The best engine that the request was not sent to; undefined when there is none. */
+  /**
+   * Selects the best engine that the request was not yet sent to, or, when no attempts are left, the best one that
+   * already got it; undefined when there is none.
+   */
   next(): EngineView | undefined {
-    const {clock, engines, engineHealth: experience, online, random, zone} = this.context;
+    const {clock, engineHealth, engines, online, random, zone} = this.context;
     const service = selectService(this.req.route, random);
     if (service === undefined) {
       return undefined;
     }
     return selectEngine({
-      apart: this.apart(),
       engines: this.hasAttemptLeft ? engines() : this.knownEngines(),
-      experienceOf: (engine) => experience.of(engine),
-      isSuspect: (id) => online.isSuspect(id),
+      healthOf: (engine) => engineHealth.of(engine),
+      isUnresponsive: (id) => online.isUnresponsive(id),
       now: clock.monotonicMs(),
       onlineAt: (id) => online.requestsAt(id),
       random,
       service,
+      suspectDigest: this.suspectDigest(),
       tried: this.hasAttemptLeft ? this.sentTo : NONE,
-      unseen: online.unseen,
+      unreported: online.unreported,
       zone,
     });
   }
 
   /**
-   * Notes that the engine that was sent the request last has not run it.
+   * Records that the engine that the request was last sent to has not run it.
    *
-   * @param reason why
+   * @param reason why it was not run
    */
   noteNotRun(reason: NotRunReason): void {
     if (this.last === undefined) {
@@ -176,15 +179,15 @@
     switch (reason) {
       case 'declined':
         this.declines++;
-        if (!this.countedBefore) {
-          this.counted.delete(this.last);
+        if (!this.wasAttempted) {
+          this.attempted.delete(this.last);
         }
         return;
       case 'noConnection':
       case 'otherEngine':
-        // One that has ended says nothing of the others' room.
+        // An engine that has exited says nothing about the load of others, so this doesn't count as a decline.
         this.unreached.add(this.last);
-        this.counted.delete(this.last);
+        this.attempted.delete(this.last);
         return;
       default:
         unreachable(reason);
@@ -192,21 +195,21 @@
   }
 
   /**
-   * Notes that the request is sent to an engine.
+   * Records that the request is sent to an engine.
    *
    * @param id the engine
    */
   noteSent(id: EngineId): void {
     this.last = id;
     this.sends++;
-    // The engine that was asked last stands last.
+    // Moves the engine to the end: the log lists engines in the order of their last attempt.
     this.sentTo.delete(id);
     this.sentTo.add(id);
-    this.countedBefore = this.counted.has(id);
-    this.counted.add(id);
+    this.wasAttempted = this.attempted.has(id);
+    this.attempted.add(id);
   }
 
-  /** Engines that were sent the request before; the last of them only when there is no other. */
+  /** Engines that the request was already sent to; the last of them only when there is no other. */
   private knownEngines(): readonly EngineView[] {
     const known = this.context.engines().filter(({id}) => this.sentTo.has(id));
     const others = known.filter(({id}) => id !== this.last);
@@ -214,24 +217,24 @@
   }
 
   /**
-   * How far beyond its slots an engine may be sent this request, as a part of its slots. A request that can
-   * be in time goes before those that can't: these wait for a free slot, and queue only at last.
+   * Queue that an engine may have when the request is sent, as a fraction of its slots. Requests that can still meet
+   * their objective may queue; the others wait for a free slot and queue only when their wait is over.
    */
-  private queuedPart(waitedMs: number): number {
-    if (this.hasWaited(waitedMs)) {
-      // A longer queue would make late what comes next, too.
-      return QUEUED_IN_TIME;
+  private queueFraction(waitedMs: number): number {
+    if (this.hasWaitedLimit(waitedMs)) {
+      // A longer queue would make later requests miss their objective too.
+      return QUEUE_FRACTION;
     }
-    return this.isHurried(waitedMs) ? QUEUED_IN_TIME : 0;
+    return this.hasPriority(waitedMs) ? QUEUE_FRACTION : 0;
   }
 
-  /** Whether the request goes before others: it can still be in time, or nobody says when it should be answered. */
-  private isHurried(waitedMs: number): boolean {
-    return this.isInTime(waitedMs) || this.req.route.objectiveMs === 0;
+  /** Whether the request has priority: it can still meet its objective, or its route has none. */
+  private hasPriority(waitedMs: number): boolean {
+    return this.canMeetObjective(waitedMs) || this.req.route.objectiveMs === 0;
   }
 
-  /** Whether an answer that an engine begins now can be in time. */
-  private isInTime(waitedMs: number): boolean {
+  /** Whether the request meets its objective if an engine starts it now. */
+  private canMeetObjective(waitedMs: number): boolean {
     const firstMs = this.context.latencies.firstEvent.meanMs;
     return this.req.spentMs + waitedMs + firstMs < this.req.route.objectiveMs;
   }
--- a/packages/stallpaddle-relay/src/RelayEvents.ts
+++ b/packages/stallpaddle-relay/src/RelayEvents.ts
@@ -1,15 +1,14 @@
 /**
- * Splits a stream of server-sent events into whole events, so that a stream which breaks off can go on
- * at another engine without a piece lost or doubled.
+ * Server-sent events of streams.
  */
 
-/** One whole event. */
+/** One complete event. */
 export interface StreamEvent {
   /** Its data lines, joined by line feeds. */
   readonly data: string;
-  /** Its number as the engine gave it; null when it has none. */
+  /** The event's id as set by the engine; null when it has none. */
   readonly id: string | null;
-  /** As it came, with the blank line that ends it. */
+  /** The received bytes, including the blank line that ends the event. */
   readonly raw: Buffer;
 }
 
@@ -33,7 +32,7 @@
   return {data: data.join('\n'), id, raw};
 }
 
-/** End of the first event in the bytes, after its blank line; -1 when it isn't whole. */
+/** End of the first event in the bytes, after its blank line; -1 when the event is incomplete. */
 function eventEnd(bytes: Buffer, from: number): number {
   for (let at = bytes.indexOf(LINE_FEED, from); at !== -1; at = bytes.indexOf(LINE_FEED, at + 1)) {
     const next = bytes[at + 1];
@@ -47,38 +46,41 @@
   return -1;
 }
 
-/** See the module's comment. */
+/**
+ * Splits a stream of server-sent events into complete events, so that an interrupted stream can be resumed at another
+ * engine without a lost or duplicated event.
+ */
 export class EventSplitter {
-  private rest: Buffer = EMPTY;
+  private buffered: Buffer = EMPTY;
 
-  /** Bytes of an event that isn't whole yet. */
+  /** Number of buffered bytes of an incomplete event. */
   get pending(): number {
-    return this.rest.length;
+    return this.buffered.length;
   }
 
   /**
-   * Takes in bytes.
+   * Adds received bytes.
    *
-   * @param chunk what came
-   * @returns the events that are whole now
+   * @param chunk the bytes
+   * @returns the events that are now complete
    */
   push(chunk: Buffer): readonly StreamEvent[] {
-    let bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
+    let bytes = this.buffered.length === 0 ? chunk : Buffer.concat([this.buffered, chunk]);
     const events: StreamEvent[] = [];
     for (let end = eventEnd(bytes, 0); end !== -1; end = eventEnd(bytes, 0)) {
       events.push(parseEvent(bytes.subarray(0, end)));
       bytes = bytes.subarray(end);
     }
-    this.rest = bytes;
+    this.buffered = bytes;
     return events;
   }
 }
 
 /**
- * Whether an event may follow another in one answer.
+ * Whether an event continues a response: its id follows the last one.
  *
- * @param last number of the last event; null before the first
- * @param next number of the next
+ * @param last id of the last event; null before the first
+ * @param next id of the next event
  */
 export function isNextEvent(last: string | null, next: string | null): boolean {
   if (last === null) {
--- a/packages/stallpaddle-relay/src/RelayForwarder.ts
+++ b/packages/stallpaddle-relay/src/RelayForwarder.ts
@@ -1,138 +1,135 @@
 /**
- * Reads an engine's answer and passes it on to the caller, so that nothing which broke off can be taken
- * for whole.
+ * Forwarding of an engine's response to the caller.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
-import {WHOLE_ANSWER_BYTES} from './RelayConstants';
-import {isNextEvent, EventSplitter, type StreamEvent} from './RelayEvents';
+import {MAX_BUFFERED_BYTES} from './RelayConstants';
+import {EventSplitter, isNextEvent, type StreamEvent} from './RelayEvents';
 import {forwardedHeaders} from './RelayHeaders';
 
-/** What reading an answer came to. */
+/** Whether a response was forwarded completely. */
 export type ForwardResult = 'broken' | 'whole';
 
-/** What passing answers on needs of its request. */
+/** Dependencies on the request whose responses are forwarded. */
 export interface RelayForwarderOptions {
-  /** Whether the request has ended, so that nothing more may be passed on. */
+  /** Whether the request has ended, so that nothing more may be forwarded. */
   readonly isOver: () => boolean;
-  /** Last event that the caller already has. */
-  readonly lastEvent: string | null;
-  /** Called once, before the head of the answer is written. */
+  /** Id of the last event that the caller already has; null for none. */
+  readonly lastEventId: string | null;
+  /** Called once, before the response head is written. */
   readonly onHead: () => void;
-  /** Called with each arrival of a stream, with the number of events that are whole by it. */
-  readonly onHeard: (events: number) => void;
+  /** Called for each chunk of a stream with the number of events that it completes. */
+  readonly onChunk: (events: number) => void;
   /** The caller's response. */
   readonly res: ServerResponse;
 }
 
-/** See the module's comment. */
+/** Forwards responses of engines to one caller. A response that was interrupted never looks complete to the caller. */
 export class RelayForwarder {
-  private last: string | null;
+  private lastId: string | null;
   private readonly res: ServerResponse;
 
-  /**
-   * @param options what it needs of its request
-   */
+  /** @param options dependencies on the request */
   constructor(private readonly options: RelayForwarderOptions) {
-    this.last = options.lastEvent;
+    this.lastId = options.lastEventId;
     this.res = options.res;
   }
 
-  /** Last event that the caller has; null before the first, and where events have no numbers. */
-  get lastEvent(): string | null {
-    return this.last;
+  /** Id of the last event that the caller has; null before the first, and for events without ids. */
+  get lastEventId(): string | null {
+    return this.lastId;
   }
 
   /**
-   * Passes events on as they come, each of them whole.
+   * Forwards the events of a stream as they arrive, each of them complete.
    *
-   * @param answer the engine's answer
+   * @param response the engine's response
    */
-  async passStream(answer: IncomingMessage): Promise<ForwardResult> {
+  async forwardStream(response: IncomingMessage): Promise<ForwardResult> {
     const splitter = new EventSplitter();
     try {
-      for await (const chunk of answer) {
+      for await (const chunk of response) {
         const events = splitter.push(chunk as Buffer);
-        this.options.onHeard(events.length);
-        if (!(await this.passEvents(answer, events))) {
+        this.options.onChunk(events.length);
+        if (!(await this.forwardEvents(response, events))) {
           return 'broken';
         }
       }
     } catch {
       return 'broken';
     }
-    return answer.complete && splitter.pending === 0 && this.res.headersSent ? 'whole' : 'broken';
+    return response.complete && splitter.pending === 0 && this.res.headersSent ? 'whole' : 'broken';
   }
 
   /**
-   * Passes an answer on once it has come whole; a long one as it comes.
+   * Forwards a response once it is complete, or chunk by chunk if it exceeds {@link MAX_BUFFERED_BYTES}.
    *
-   * @param answer the engine's answer
+   * @param response the engine's response
    */
-  async passWhole(answer: IncomingMessage): Promise<ForwardResult> {
-    let held: Buffer[] | null = [];
+  async forwardResponse(response: IncomingMessage): Promise<ForwardResult> {
+    let buffered: Buffer[] | null = [];
     let size = 0;
     try {
-      for await (const chunk of answer) {
+      for await (const chunk of response) {
         const bytes = chunk as Buffer;
         size += bytes.length;
-        held?.push(bytes);
-        if (held !== null && size > WHOLE_ANSWER_BYTES) {
-          const length = answer.headers['content-length'];
-          this.writeHead(answer, length === undefined ? null : Number(length));
-          await this.write(Buffer.concat(held));
-          held = null;
-        } else if (held === null) {
+        buffered?.push(bytes);
+        if (buffered !== null && size > MAX_BUFFERED_BYTES) {
+          const length = response.headers['content-length'];
+          this.writeHead(response, length === undefined ? null : Number(length));
+          await this.write(Buffer.concat(buffered));
+          buffered = null;
+        } else if (buffered === null) {
           await this.write(bytes);
         }
       }
     } catch {
       return 'broken';
     }
-    if (!answer.complete || this.options.isOver()) {
+    if (!response.complete || this.options.isOver()) {
       return 'broken';
     }
-    if (held !== null) {
-      const whole = Buffer.concat(held);
-      this.writeHead(answer, whole.length);
-      await this.write(whole);
+    if (buffered !== null) {
+      const bytes = Buffer.concat(buffered);
+      this.writeHead(response, bytes.length);
+      await this.write(bytes);
     }
     return 'whole';
   }
 
-  /** Passes on in one write what came together; false once an event is out of order. */
-  private async passEvents(
-    answer: IncomingMessage,
+  /** Forwards events that arrived together in one write; false once an event is out of sequence. */
+  private async forwardEvents(
+    response: IncomingMessage,
     events: readonly StreamEvent[],
   ): Promise<boolean> {
     if (this.options.isOver()) {
       return false;
     }
-    const passed: Buffer[] = [];
+    const forwarded: Buffer[] = [];
     for (const {id, raw} of events) {
-      if (!isNextEvent(this.last, id)) {
+      if (!isNextEvent(this.lastId, id)) {
         break;
       }
-      this.last = id ?? this.last;
-      passed.push(raw);
+      this.lastId = id ?? this.lastId;
+      forwarded.push(raw);
     }
-    if (passed.length > 0) {
-      this.writeHead(answer, null);
-      await this.write(passed.length === 1 ? passed[0]! : Buffer.concat(passed));
+    if (forwarded.length > 0) {
+      this.writeHead(response, null);
+      await this.write(forwarded.length === 1 ? forwarded[0]! : Buffer.concat(forwarded));
     }
-    return passed.length === events.length;
+    return forwarded.length === events.length;
   }
 
-  private writeHead(answer: IncomingMessage, length: number | null): void {
+  private writeHead(response: IncomingMessage, length: number | null): void {
     if (this.res.headersSent) {
       return;
     }
     this.options.onHead();
-    const headers = forwardedHeaders(answer.rawHeaders);
+    const headers = forwardedHeaders(response.rawHeaders);
     if (length !== null) {
       headers.push('Content-Length', String(length));
     }
-    this.res.writeHead(answer.statusCode!, answer.statusMessage ?? '', headers);
+    this.res.writeHead(response.statusCode!, response.statusMessage ?? '', headers);
   }
 
   private async write(bytes: Uint8Array): Promise<void> {
--- a/packages/stallpaddle-relay/src/RelayHeaders.ts
+++ b/packages/stallpaddle-relay/src/RelayHeaders.ts
@@ -1,10 +1,10 @@
 /**
- * Header lines as they go from one connection to another.
+ * Headers that are forwarded between connections.
  */
 import type {HeaderLine} from './RelayWire';
 
-/** Concern one connection only (RFC 9110, section 7.6.1), or are set anew from the body. */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+/** Hop-by-hop headers (RFC 9110, section 7.6.1) and those that are set again from the body. */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'content-length',
   'expect',
@@ -22,7 +22,7 @@
   return name.toLowerCase();
 }
 
-function namedByConnection(raw: readonly string[]): ReadonlySet<string> {
+function connectionOptions(raw: readonly string[]): ReadonlySet<string> {
   const names = new Set<string>();
   for (let at = 0; at < raw.length; at += 2) {
     if (raw[at]!.toLowerCase() === 'connection') {
@@ -33,11 +33,11 @@
 }
 
 /**
- * Header lines that travel on, in order, as a flat list of names and values.
+ * Returns the headers to forward, in order, as a flat list of names and values.
  *
- * @param raw header lines as they came
- * @param set lines that replace any of the same name
- * @param dropped names of further lines that stay here
+ * @param raw headers as they were received
+ * @param set headers that replace any of the same name
+ * @param dropped names of further headers that are not forwarded
  */
 export function forwardedHeaders(
   raw: readonly string[],
@@ -45,14 +45,14 @@
   dropped: readonly string[] = [],
 ): string[] {
   const replaced = new Set([...set.map(([name]) => name), ...dropped].map(lowerCase));
-  const connection = namedByConnection(raw);
-  const passed: string[] = [];
+  const connection = connectionOptions(raw);
+  const forwarded: string[] = [];
   for (let at = 0; at < raw.length; at += 2) {
     const name = raw[at]!.toLowerCase();
-    if (!CONNECTION_HEADERS.has(name) && !replaced.has(name) && !connection.has(name)) {
-      passed.push(raw[at]!, raw[at + 1]!);
+    if (!HOP_BY_HOP_HEADERS.has(name) && !replaced.has(name) && !connection.has(name)) {
+      forwarded.push(raw[at]!, raw[at + 1]!);
     }
   }
-  set.forEach(([name, value]) => passed.push(name, value));
-  return passed;
+  set.forEach(([name, value]) => forwarded.push(name, value));
+  return forwarded;
 }
--- a/packages/stallpaddle-relay/src/RelayOnlineLoad.ts
+++ b/packages/stallpaddle-relay/src/RelayOnlineLoad.ts
@@ -1,43 +1,45 @@
 /**
- * How many online requests each engine has: exactly those of this VM, and those of the others as far as
- * the dispatcher of batch items has told.
+ * Counts of online requests at each engine.
  */
 import type {Clock, EngineId, MonotonicMs} from 'stallpaddle';
 
-/** Online requests by engine; engines without one are left out. */
+/** Number of online requests per engine; engines with none are omitted. */
 export type OnlineCounts = Readonly<Record<EngineId, number>>;
 
 /**
- * Age up to which the others' counts say anything, in milliseconds: online requests last about a second, and the
- * dispatcher is told, and tells, after a second at most.
+ * Age up to which a report on the other VMs' requests is used, in milliseconds. Longer than the interval of the
+ * reports.
  */
-const OTHERS_COUNT_MS = 2_000;
+const MAX_REPORT_AGE_MS = 2_000;
 
-/** Weight of the newest answer in the mean of what answers bring (RFC 6298 weighs round trips so). */
+/** Weight of the newest report in the moving average of new requests (as for round trips in RFC 6298). */
 const MEAN_GAIN = 1 / 8;
 
-/** Requests that have begun between two counts. */
-function begunBetween(before: OnlineCounts, after: OnlineCounts): number {
+/** Number of requests that started between two reports. */
+function startedBetween(before: OnlineCounts, after: OnlineCounts): number {
   return Object.entries(after).reduce(
     (sum, [id, count]) => sum + Math.max(0, count - (before[id] ?? 0)),
     0,
   );
 }
 
-/** Counts with some of them replaced; engines without any are left out, so that those that are gone are forgotten. */
+/** Applies changed counts; engines with none are dropped, so that removed engines don't accumulate. */
 function merged(before: OnlineCounts, changed: OnlineCounts): OnlineCounts {
   const counts = Object.entries({...before, ...changed});
   return Object.fromEntries(counts.filter(([, count]) => count > 0));
 }
 
-/** See the module's comment. */
+/**
+ * Counts the online requests of this VM at each engine, and adds the counts of the other VMs that the batch
+ * dispatcher last reported.
+ */
 export class RelayOnlineLoad {
   private readonly listeners = new Set<() => void>();
   private readonly own = new Map<EngineId, number>();
-  private others: OnlineCounts = {};
-  private newOnes = 0;
-  private suspects: ReadonlySet<EngineId> = new Set();
-  private toldAt: MonotonicMs = -Infinity;
+  private otherVms: OnlineCounts = {};
+  private meanNewRequests = 0;
+  private unresponsive: ReadonlySet<EngineId> = new Set();
+  private reportedAt: MonotonicMs = -Infinity;
 
   /**
    * @param clock this process's clock
@@ -45,49 +47,55 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Online requests of all VMs at an engine, as far as known.
+   * Number of online requests of all VMs at an engine, as far as known.
    *
    * @param id the engine
    */
   requestsAt(id: EngineId): number {
-    const others = this.isTold ? (this.others[id] ?? 0) : 0;
+    const others = this.isCurrent ? (this.otherVms[id] ?? 0) : 0;
     return (this.own.get(id) ?? 0) + others;
   }
 
   /**
-   * Whether an engine has fallen silent towards the dispatcher, whose items stream from it all the time.
+   * Whether the dispatcher has reported an engine as unresponsive: its batch items have stopped streaming.
    *
    * @param id the engine
    */
-  isSuspect(id: EngineId): boolean {
-    return this.isTold && this.suspects.has(id);
+  isUnresponsive(id: EngineId): boolean {
+    return this.isCurrent && this.unresponsive.has(id);
   }
 
-  /** Whether the others' requests are known; else engines may be fuller than they seem. */
-  get knowsOthers(): boolean {
-    return this.isTold;
+  /**
+   * Whether the report on the other VMs' requests is recent; otherwise engines may have fewer free slots than the
+   * counts show.
+   */
+  get hasCurrentReport(): boolean {
+    return this.isCurrent;
   }
 
-  /** Whether the others' requests were ever known, so that an engine with few of this VM's own may be taken for a free one. */
-  get hasKnownOthers(): boolean {
-    return this.toldAt > -Infinity;
+  /** Whether any report on the other VMs' requests was received, so that a low count can be taken for a free slot. */
+  get hasReceivedReport(): boolean {
+    return this.reportedAt > -Infinity;
   }
 
-  /** Requests that other VMs begin between two answers on average, so that nobody knows of them when it chooses. */
-  get unseen(): number {
-    return this.newOnes;
+  /**
+   * Average number of requests that other VMs start between two reports, unknown to this VM when it selects an
+   * engine.
+   */
+  get unreported(): number {
+    return this.meanNewRequests;
   }
 
-  /** This VM's own requests. */
+  /** Number of this VM's own requests per engine. */
   ownCounts(): OnlineCounts {
     return Object.fromEntries(this.own);
   }
 
   /**
-   * Notes that a request goes to an engine.
+   * Counts a request that is sent to an engine.
    *
    * @param id the engine
-   * @returns notes that it has ended; further calls do nothing
+   * @returns removes the request from the count; further calls do nothing
    */
   registerRequest(id: EngineId): () => void {
     this.change(id, 1);
@@ -101,34 +109,35 @@
   }
 
   /**
-   * Takes in the others' counts.
+   * Applies a report on the other VMs' requests.
    *
-   * @param others online requests of all other VMs, 0 for none
-   * @param isAll whether engines that are not named have none; else they have as many as before
-   * @param suspects engines that have fallen silent towards the dispatcher
+   * @param counts online requests of all other VMs per engine, 0 for none
+   * @param isComplete whether engines that are not listed have none; otherwise their counts are unchanged
+   * @param unresponsive engines that the dispatcher found unresponsive
    */
-  applyReport(others: OnlineCounts, isAll: boolean, suspects: readonly EngineId[]): void {
-    if (!isAll) {
-      this.newOnes += MEAN_GAIN * (begunBetween(this.others, others) - this.newOnes);
+  applyReport(counts: OnlineCounts, isComplete: boolean, unresponsive: readonly EngineId[]): void {
+    if (!isComplete) {
+      this.meanNewRequests +=
+        MEAN_GAIN * (startedBetween(this.otherVms, counts) - this.meanNewRequests);
     }
-    this.others = isAll ? others : merged(this.others, others);
-    this.suspects = new Set(suspects);
-    this.toldAt = this.clock.monotonicMs();
+    this.otherVms = isComplete ? counts : merged(this.otherVms, counts);
+    this.unresponsive = new Set(unresponsive);
+    this.reportedAt = this.clock.monotonicMs();
   }
 
   /**
-   * Calls back after each change of this VM's own counts.
+   * Registers a listener that is called after each change of this VM's own counts.
    *
-   * @param listener what to call
-   * @returns ends the calls
+   * @param listener called without arguments
+   * @returns removes the listener
    */
   registerListener(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
   }
 
-  private get isTold(): boolean {
-    return this.clock.monotonicMs() - this.toldAt < OTHERS_COUNT_MS;
+  private get isCurrent(): boolean {
+    return this.clock.monotonicMs() - this.reportedAt < MAX_REPORT_AGE_MS;
   }
 
   private change(id: EngineId, by: number): void {
--- a/packages/stallpaddle-relay/src/RelayPlacement.ts
+++ b/packages/stallpaddle-relay/src/RelayPlacement.ts
@@ -1,40 +1,43 @@
 /**
- * Which engine an online request goes to: pure, from what this VM knows.
+ * Selects the engine for an online request: pure functions of this VM's view.
  */
 import type {EngineId, MonotonicMs, Random, ZoneId} from 'stallpaddle';
 import type {EngineView, FleetRoute} from 'stallpaddle-fleet';
 
 import {rendezvousOwner} from 'stallpaddle';
 
-/** What a sender has seen of an engine itself. */
+/** Health of an engine, as one sender has observed it. */
 export interface EngineHealth {
-  /** Failures in a row. */
+  /** Number of consecutive failures. */
   readonly failures: number;
   readonly lastSuccessAt: MonotonicMs;
-  /** Until then the engine gets a request only when no other may have it. */
-  readonly suspectUntil: MonotonicMs;
+  /** Until then the engine is used only when no other engine is available. */
+  readonly avoidUntil: MonotonicMs;
 }
 
-/** Longest time for which an engine's silence towards the control group is outweighed by an answer. */
-const SUCCESS_COUNTS_MS = 2_000;
-/** First time for which a sender keeps off an engine that failed; doubled with each failure in a row. */
-const SUSPECT_FIRST_MS = 500;
-/** Longest such time, in milliseconds: an engine that is back should not idle for longer. */
-const SUSPECT_MOST_MS = 4_000;
+/** Time for which a successful attempt outweighs a report that the engine sends no heartbeat, in milliseconds. */
+const SUCCESS_VALID_MS = 2_000;
+/**
+ * Time for which an engine is avoided after its first failure, in milliseconds; doubled with each consecutive
+ * failure.
+ */
+const INITIAL_BACKOFF_MS = 500;
+/** Upper limit of that time, in milliseconds, so that a recovered engine gets requests again soon. */
+const MAX_BACKOFF_MS = 4_000;
 
-/** Experience with an engine that was never called. */
+/** Health of an engine that was never called. */
 export const INITIAL_HEALTH: EngineHealth = {
+  avoidUntil: -Infinity,
   failures: 0,
   lastSuccessAt: -Infinity,
-  suspectUntil: -Infinity,
 };
 
 /**
- * Experience after an attempt.
+ * Returns the health of an engine after one more attempt.
  *
- * @param before experience so far
- * @param ok whether the engine answered
- * @param now present time
+ * @param before health before the attempt
+ * @param ok whether the engine responded
+ * @param now current time
  */
 export function healthAfterAttempt(
   before: EngineHealth,
@@ -42,32 +45,32 @@
   now: MonotonicMs,
 ): EngineHealth {
   if (ok) {
-    return {failures: 0, lastSuccessAt: now, suspectUntil: -Infinity};
+    return {avoidUntil: -Infinity, failures: 0, lastSuccessAt: now};
   }
   const failures = before.failures + 1;
-  const pause = Math.min(SUSPECT_MOST_MS, SUSPECT_FIRST_MS * 2 ** (failures - 1));
-  return {...before, failures, suspectUntil: now + pause};
+  const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** (failures - 1));
+  return {...before, avoidUntil: now + backoffMs, failures};
 }
 
 /**
- * Whether an engine may be sent work without a second thought.
+ * Whether an engine is considered healthy.
  *
- * @param engine as the control group knows it
- * @param seen this sender's experience
- * @param now present time
+ * @param engine the engine in the fleet view
+ * @param seen its health as this sender has observed it
+ * @param now current time
  */
 export function isHealthy(engine: EngineView, seen: EngineHealth, now: MonotonicMs): boolean {
-  if (now < seen.suspectUntil) {
+  if (now < seen.avoidUntil) {
     return false;
   }
-  return !engine.silent || now - seen.lastSuccessAt < SUCCESS_COUNTS_MS;
+  return !engine.silent || now - seen.lastSuccessAt < SUCCESS_VALID_MS;
 }
 
 /**
- * Draws the service for a request by the route's weights.
+ * Selects the service for a request at random by the route's weights.
  *
  * @param route the request's route
- * @param random source of the draw
+ * @param random source of randomness
  */
 export function selectService(route: FleetRoute, random: Random): string | undefined {
   const total = route.split.reduce((sum, {weight}) => sum + weight, 0);
@@ -81,104 +84,104 @@
   return route.split.find(({weight}) => weight > 0)?.service;
 }
 
-/** What placement looks at. */
+/** Input of the selection. */
 export interface PlacementInput {
-  /** Digest of a suspect, which is kept apart from other suspects; null for any other request. */
-  readonly apart: null | string;
+  /** Digest of a suspect request, which is placed apart from other suspects; null for any other request. */
+  readonly suspectDigest: null | string;
   readonly engines: readonly EngineView[];
-  readonly experienceOf: (engine: EngineView) => EngineHealth;
-  /** Whether others have found an engine silent. */
-  readonly isSuspect: (id: EngineId) => boolean;
+  readonly healthOf: (engine: EngineView) => EngineHealth;
+  /** Whether the dispatcher has reported an engine as unresponsive. */
+  readonly isUnresponsive: (id: EngineId) => boolean;
   readonly now: MonotonicMs;
-  /** Online requests at an engine, of all senders, as far as known. */
+  /** Number of online requests of all VMs at an engine, as far as known. */
   readonly onlineAt: (id: EngineId) => number;
   readonly random: Random;
   readonly service: string;
-  /** Engines that this request was already sent to. */
+  /** Engines that the request was already sent to; they are excluded. */
   readonly tried: ReadonlySet<EngineId>;
-  /** Requests that others have likely placed since they told their counts. */
-  readonly unseen: number;
+  /** Estimated number of requests that other VMs have placed since their last report. */
+  readonly unreported: number;
   /** Availability zone of this VM. */
   readonly zone: ZoneId;
 }
 
 /**
- * Requests that an engine of the sender's own availability zone may have more than others and still be taken:
- * bytes between zones are paid for, and one request in some slots delays none.
+ * Number of requests by which an engine of the own availability zone may exceed others and still be preferred, to
+ * avoid the cost of traffic between zones.
  */
-const NEAR_BONUS = 1;
-/** Part of its slots from which on an engine's zone counts no more: then every free slot counts alike. */
-const NEAR_COUNTS_BELOW = 0.5;
+const LOCAL_ZONE_BONUS = 1;
+/** Load, as a fraction of its slots, from which on an engine gets no preference for its zone. */
+const LOCAL_ZONE_MAX_LOAD = 0.5;
 
-/** Fewest engines among which the best is taken: two random ones spread requests nearly as well as all. */
-const FEWEST_CHOICES = 2;
+/** Minimum number of candidates: the better of two random ones balances load nearly as well as the best of all. */
+const MIN_CANDIDATES = 2;
 
 /**
- * Engines among which the best is taken. All VMs that know the same counts would choose the same engine, so with more
- * unseen requests each chooses among fewer, drawn by chance.
+ * Draws the candidates for a request. VMs with the same counts would all select the same engine, so the more requests
+ * are unreported, the fewer random candidates each VM considers.
  */
-function drawChoices(
+function drawCandidates(
   engines: readonly EngineView[],
-  {random, unseen}: PlacementInput,
+  {random, unreported}: PlacementInput,
 ): readonly EngineView[] {
-  const count = Math.max(FEWEST_CHOICES, Math.ceil(engines.length / Math.max(1, unseen)));
+  const count = Math.max(MIN_CANDIDATES, Math.ceil(engines.length / Math.max(1, unreported)));
   if (count >= engines.length) {
     return engines;
   }
-  const drawn = engines.map((engine) => ({engine, lot: random()}));
+  const drawn = engines.map((engine) => ({engine, rank: random()}));
   return drawn
-    .sort((a, b) => a.lot - b.lot)
+    .sort((a, b) => a.rank - b.rank)
     .slice(0, count)
     .map(({engine}) => engine);
 }
 
-/** Online requests at an engine, less what its nearness is worth, for each of its slots. */
+/** Online requests per slot, reduced by the preference for the own zone; a random fraction breaks ties. */
 function loadOf({id, slots, zone}: EngineView, input: PlacementInput): number {
   const online = input.onlineAt(id);
-  const isNear = zone === input.zone && online < slots * NEAR_COUNTS_BELOW;
-  return (online + input.random() / 2 - (isNear ? NEAR_BONUS : 0)) / slots;
+  const isLocal = zone === input.zone && online < slots * LOCAL_ZONE_MAX_LOAD;
+  return (online + input.random() / 2 - (isLocal ? LOCAL_ZONE_BONUS : 0)) / slots;
 }
 
 /**
- * An engine for a suspect. What one engine's end cut off comes again at the same moment, from many VMs that know the same
- * counts; drawn by their digests they part, so that the next end takes two of them along with one chance in as many as there
- * are engines.
+ * Selects an engine for a suspect request. Requests that one engine's exit interrupted are retried by many VMs at
+ * once; rendezvous hashing of their digests spreads them over the engines, so that another crash rarely interrupts
+ * the same set.
  */
-function placeApart(
+function selectForSuspect(
   engines: readonly EngineView[],
   digest: string,
   {onlineAt}: PlacementInput,
 ): EngineView | undefined {
   const free = engines.filter(({id, slots}) => onlineAt(id) < slots);
-  const choice = free.length > 0 ? free : engines;
+  const candidates = free.length > 0 ? free : engines;
   const owner = rendezvousOwner(
     digest,
-    choice.map(({id, startedAtMs}) => `${id}@${startedAtMs}`),
+    candidates.map(({id, startedAtMs}) => `${id}@${startedAtMs}`),
   );
-  return choice.find(({id, startedAtMs}) => `${id}@${startedAtMs}` === owner);
+  return candidates.find(({id, startedAtMs}) => `${id}@${startedAtMs}` === owner);
 }
 
 /**
- * The engine with the fewest online requests for its slots, the sender's own availability zone before others
- * while there is room; chance decides between equals. Engines that leave get nothing, suspects only when there is no other.
+ * Selects the engine with the lowest load per slot, preferring the own availability zone at low load; ties are broken
+ * at random. Draining engines are never selected, unhealthy or unresponsive ones only when there is no other.
  *
- * @param input what is known
+ * @param input the state to select from
  */
 export function selectEngine(input: PlacementInput): EngineView | undefined {
-  const {apart, engines, experienceOf, isSuspect, now, service, tried} = input;
+  const {engines, healthOf, isUnresponsive, now, service, suspectDigest, tried} = input;
   const open = engines.filter(
     (engine) => engine.service === service && !engine.draining && !tried.has(engine.id),
   );
-  const sound = open.filter(
-    (engine) => isHealthy(engine, experienceOf(engine), now) && !isSuspect(engine.id),
+  const healthy = open.filter(
+    (engine) => isHealthy(engine, healthOf(engine), now) && !isUnresponsive(engine.id),
   );
-  const choice = sound.length > 0 ? sound : open;
-  if (apart !== null) {
-    return placeApart(choice, apart, input);
+  const candidates = healthy.length > 0 ? healthy : open;
+  if (suspectDigest !== null) {
+    return selectForSuspect(candidates, suspectDigest, input);
   }
   let best: EngineView | undefined;
   let bestLoad = Infinity;
-  for (const engine of drawChoices(choice, input)) {
+  for (const engine of drawCandidates(candidates, input)) {
     const load = loadOf(engine, input);
     if (load < bestLoad) {
       best = engine;
--- a/packages/stallpaddle-relay/src/RelayProbe.ts
+++ b/packages/stallpaddle-relay/src/RelayProbe.ts
@@ -1,6 +1,6 @@
 /**
- * Whether an engine whose connection broke off has ended. A broken connection alone says little: links reset connections,
- * engines spoil answers. An engine that has ended takes no connection, or another one has its address.
+ * Probe of an engine after its connection broke. A broken connection alone doesn't show an exit: an engine that has
+ * exited refuses connections, or another engine has its address.
  */
 import type {EngineView} from 'stallpaddle-fleet';
 
@@ -11,44 +11,47 @@
 
 import {splitAddress} from './RelayEngineCall';
 
-/** Looks at one engine. An engine that takes no more connections for a moment takes one soon. */
-const LOOKS = 3;
-/** Pause between two looks, in milliseconds: a few round trips, and far shorter than a process needs to start. */
-const LOOK_AGAIN_MS = 40;
-/** Longest wait for one look, in milliseconds: an engine says what it holds without any work; a dark VM says nothing of its engine. */
-const LOOK_MS = 150;
+/** Number of probes of one engine: a live one may refuse connections for a moment. */
+const MAX_PROBES = 3;
+/** Pause between two probes, in milliseconds: much shorter than the start of an engine process. */
+const PROBE_INTERVAL_MS = 40;
+/**
+ * Timeout of one probe, in milliseconds. A VM that is down doesn't answer at all, which says nothing about its
+ * engine.
+ */
+const PROBE_TIMEOUT_MS = 150;
 
-/** What one look finds. */
-type Look =
-  /** The engine answers. */
+/** Result of one probe. */
+type ProbeResult =
+  /** The engine responds. */
   | 'lives'
-  /** Another engine answers at its address. */
+  /** Another engine responds at its address. */
   | 'otherEngine'
-  /** No connection comes up, and the VM says so. */
+  /** The connection was refused. */
   | 'refused'
-  /** Nothing is said. */
+  /** No response, or the connection broke. */
   | 'unknown';
 
-/** Name of the look's own request. */
-const LOOK_ID = 'look';
+/** Request id of a probe. */
+const PROBE_REQUEST_ID = 'look';
 
-function look(wire: RelayWire, {address, id}: EngineView): Promise<Look> {
+function probe(wire: RelayWire, {address, id}: EngineView): Promise<ProbeResult> {
   return new Promise((resolve) => {
     let connected = false;
-    const lines = wire.engineHeaders({
-      deadlineMs: LOOK_MS,
+    const headerLines = wire.engineHeaders({
+      deadlineMs: PROBE_TIMEOUT_MS,
       engine: id,
-      requestId: LOOK_ID,
+      requestId: PROBE_REQUEST_ID,
       resumeAfter: null,
     });
-    const headers = Object.fromEntries(lines);
+    const headers = Object.fromEntries(headerLines);
     const req = request({
       agent: false,
       headers,
       path: wire.occupancyPath,
       ...splitAddress(address),
     });
-    const endWait = registerTimeout(LOOK_MS, () => {
+    const cancelTimeout = registerTimeout(PROBE_TIMEOUT_MS, () => {
       resolve('unknown');
       req.destroy();
     });
@@ -58,28 +61,28 @@
       resolve(otherEngine ? 'otherEngine' : 'lives');
       req.destroy();
     });
-    // A connection that came up and broke off is no sign of life, and none of an end.
+    // A connection that was established and then broke shows neither that the engine is alive nor that it has exited.
     req.on('error', () => resolve(connected ? 'unknown' : 'refused'));
-    req.on('close', endWait);
+    req.on('close', cancelTimeout);
     req.end();
   });
 }
 
 /**
- * Looks whether an engine has ended.
+ * Checks whether an engine has exited.
  *
- * @param wire the engines' words
+ * @param wire the engines' protocol
  * @param engine the engine, as it was when the request was sent
- * @returns false also when it can't be known
+ * @returns false also when the state is unknown
  */
 export async function hasExited(wire: RelayWire, engine: EngineView): Promise<boolean> {
-  let last: Look = 'unknown';
-  for (let looks = 0; looks < LOOKS; looks++) {
-    last = await look(wire, engine);
+  let last: ProbeResult = 'unknown';
+  for (let probes = 0; probes < MAX_PROBES; probes++) {
+    last = await probe(wire, engine);
     if (last === 'lives' || last === 'otherEngine') {
       return last === 'otherEngine';
     }
-    await delay(LOOK_AGAIN_MS);
+    await delay(PROBE_INTERVAL_MS);
   }
   return last === 'refused';
 }
--- a/packages/stallpaddle-relay/src/RelayRun.ts
+++ b/packages/stallpaddle-relay/src/RelayRun.ts
@@ -1,6 +1,5 @@
 /**
- * Brings one online request to an engine and its answer back, with further attempts where nothing can
- * run twice by them.
+ * Serving of one online request.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {LogFields, Verdict} from 'stallpaddle';
@@ -10,38 +9,41 @@
 
 import type {RelayContext, RelayEnd, RelayRequest} from './RelayTypes';
 
-import {sendRefusal} from './RelayAnswers';
-import {RelayEngineSelector} from './RelayEngineSelector';
-import {LOOK_AGAIN_MS, RETRY_AFTER_MS, SERVER_ERROR} from './RelayConstants';
+import {RECHECK_INTERVAL_MS, RETRY_AFTER_MS, SERVER_ERROR} from './RelayConstants';
+import {RelayCrashEvidence} from './RelayCrashEvidence';
 import {type EngineCall, type EngineCallStart, startEngineCall} from './RelayEngineCall';
-import {forwardedHeaders} from './RelayHeaders';
+import {RelayEngineSelector} from './RelayEngineSelector';
 import {RelayForwarder} from './RelayForwarder';
+import {forwardedHeaders} from './RelayHeaders';
+import {sendRefusal} from './RelayRefusals';
 import {RelayStallDetector} from './RelayStallDetector';
-import {RelayCrashEvidence} from './RelayCrashEvidence';
 
-type Answer = Extract<EngineCallStart, {kind: 'answer'}>;
+type EngineResponse = Extract<EngineCallStart, {kind: 'answer'}>;
 
-/** The engine's word that it did not run the request. */
+/** Status by which an engine states that it did not run the request. */
 const UNAVAILABLE = 503;
-/** First status that is no success; events come with a success only. */
+/** First status that is no success; only successful responses are event streams. */
 const REDIRECTION = 300;
 
-/** See the module's comment. */
+/**
+ * Serves one online request: sends it to an engine and forwards the response, with further attempts where the request
+ * can't run twice or may be repeated.
+ */
 export class RelayRun {
-  /** Whether the engine asked last broke off, and not this side. */
-  private broke = false;
+  /** Whether the last attempt was interrupted by the engine, not by this side. */
+  private wasInterrupted = false;
   private call: EngineCall | undefined;
-  private readonly choice: RelayEngineSelector;
+  private readonly selector: RelayEngineSelector;
   private end: RelayEnd | undefined;
   private firstMs: number | undefined;
-  private readonly pass: RelayForwarder;
+  private readonly forwarder: RelayForwarder;
   private reason: string | undefined;
-  private readonly silence: RelayStallDetector;
-  private readonly suspicion: RelayCrashEvidence;
+  private readonly stallDetector: RelayStallDetector;
+  private readonly crashEvidence: RelayCrashEvidence;
   private verdict: Verdict = 'notRun';
 
   /**
-   * @param context what the relay needs of its process
+   * @param context dependencies of the relay
    * @param req the request
    * @param res the caller's response
    */
@@ -50,35 +52,35 @@
     private readonly req: RelayRequest,
     private readonly res: ServerResponse,
   ) {
-    this.suspicion = new RelayCrashEvidence(context, req);
-    this.choice = new RelayEngineSelector(context, req, () => this.suspicion.suspect);
-    this.pass = new RelayForwarder({
+    this.crashEvidence = new RelayCrashEvidence(context, req);
+    this.selector = new RelayEngineSelector(context, req, () => this.crashEvidence.suspectDigest);
+    this.forwarder = new RelayForwarder({
       isOver: () => this.end !== undefined,
-      lastEvent: req.metadata.resumeAfter,
+      lastEventId: req.metadata.resumeAfter,
+      onChunk: (events) => {
+        this.crashEvidence.noteData(events);
+        this.stallDetector.noteData();
+      },
       onHead: () => {
         this.firstMs = Math.round(this.waitedMs);
       },
-      onHeard: (events) => {
-        this.suspicion.noteHeard(events);
-        this.silence.hear();
-      },
       res,
     });
-    this.silence = new RelayStallDetector({
+    this.stallDetector = new RelayStallDetector({
+      abandon: (fields) => this.abandonAttempt(fields),
+      canMove: () => this.selector.canMove,
       clock: context.clock,
-      giveUp: (fields) => this.giveUp(fields),
       isResumable: req.route.resumable,
-      mayMove: () => this.choice.mayMove,
-      pace: context.latencies,
+      latencies: context.latencies,
     });
   }
 
-  /** Whether no engine has run the request, nor will. */
+  /** Whether no engine has run the request or will run it. */
   get neverRan(): boolean {
     return this.verdict === 'notRun';
   }
 
-  private get repeatable(): boolean {
+  private get isRepeatable(): boolean {
     const {kind, resumable} = this.req.route;
     return kind === 'repeatable' || (kind === 'streaming' && resumable);
   }
@@ -88,13 +90,13 @@
   }
 
   private get remainingMs(): number {
-    const {arrivedAt, metadata: facts, route} = this.req;
-    const allowed = Math.min(route.timeoutMs, facts.deadlineMs ?? Infinity);
+    const {arrivedAt, metadata, route} = this.req;
+    const allowed = Math.min(route.timeoutMs, metadata.deadlineMs ?? Infinity);
     return arrivedAt + allowed - this.context.clock.monotonicMs();
   }
 
   /**
-   * Serves the request to its end.
+   * Serves the request until it ends.
    *
    * @returns how it ended
    */
@@ -120,16 +122,16 @@
   }
 
   private logEnd(): void {
-    const {caller, metadata: facts, route} = this.req;
-    this.context.decide('ended', facts.requestId, {
+    const {caller, metadata, route} = this.req;
+    this.context.decide('ended', metadata.requestId, {
       customer: caller.kind === 'customer' ? caller.name : undefined,
       end: this.end,
-      engines: this.choice.names,
+      engines: this.selector.engineNames,
       firstMs: this.firstMs,
       kind: route.kind,
       ms: Math.round(this.waitedMs),
       reason: this.reason,
-      request: this.suspicion.digestKnown,
+      request: this.crashEvidence.computedDigest,
       route: route.name,
       verdict: this.verdict,
     });
@@ -139,12 +141,12 @@
     if (this.end === undefined) {
       this.end = end;
       if (this.call !== undefined) {
-        // An attempt that is cut off may have run.
+        // An attempt that is aborted may have run.
         this.verdict = joinVerdicts(this.verdict, 'mayHaveRun');
         this.call.close();
       }
       if (end === 'served' || end === 'serverFailure') {
-        this.suspicion.noteServed();
+        this.crashEvidence.noteServed();
       }
     }
   }
@@ -156,7 +158,7 @@
     this.reason = message;
     this.finish(this.res.headersSent ? 'broken' : 'refused');
     if (this.res.headersSent) {
-      // Without its last chunk the answer can't be taken for a whole one.
+      // Without the last chunk the caller sees that the response is incomplete.
       this.res.destroy();
     } else if (this.verdict === 'notRun') {
       sendRefusal(this.res, new RefusalError('unavailable', 'notRun', message, {retryAfterMs}));
@@ -175,61 +177,70 @@
       return;
     }
     const code = this.verdict === 'notRun' ? 'unavailable' : 'deadlineExceeded';
-    sendRefusal(this.res, new RefusalError(code, this.verdict, 'The request’s time is over.'));
+    sendRefusal(
+      this.res,
+      new RefusalError(code, this.verdict, 'The request’s time limit has passed.'),
+    );
   }
 
-  /** Whether what may have run may be sent once more. */
-  private get mayGoOn(): boolean {
-    return this.choice.hasAttemptLeft || (this.repeatable && this.choice.hasSendLeft);
+  /** Whether a request that may have run may be sent again. */
+  private get mayRetry(): boolean {
+    return this.selector.hasAttemptLeft || (this.isRepeatable && this.selector.hasSendLeft);
   }
 
   private async attempt(): Promise<void> {
-    if (this.verdict !== 'notRun' && !this.mayGoOn) {
+    if (this.verdict !== 'notRun' && !this.mayRetry) {
       this.refuse('All engines that the request may be sent to have failed.');
       return;
     }
-    const heldMs = this.suspicion.heldMs();
-    if (heldMs !== undefined) {
-      // One more run would most likely end another engine, with all that runs there.
-      this.refuse('Engines ended when they began to run this request.', heldMs);
+    const quarantineMs = this.crashEvidence.quarantineMs();
+    if (quarantineMs !== undefined) {
+      // Another run would probably crash another engine and interrupt all requests there.
+      this.refuse(
+        'The request is quarantined because engines exited when they started it.',
+        quarantineMs,
+      );
       return;
     }
-    const engine = this.choice.next();
+    const engine = this.selector.next();
     if (engine === undefined) {
       await this.onNoEngine();
       return;
     }
-    if (this.res.headersSent || this.choice.mayQueue(engine, this.waitedMs)) {
+    if (this.res.headersSent || this.selector.maySend(engine, this.waitedMs)) {
       await this.send(engine);
-    } else if (!this.choice.hasWaited(this.waitedMs)) {
-      await delay(LOOK_AGAIN_MS);
+    } else if (!this.selector.hasWaitedLimit(this.waitedMs)) {
+      await delay(RECHECK_INTERVAL_MS);
     } else {
       this.refuse('All engines of the service are full.');
     }
   }
 
-  /** A stream that has begun is worth a wait, and so is a request that can still be in time. */
+  /**
+   * Waits for an engine if the response has started or the request can still meet its objective; refuses it
+   * otherwise.
+   */
   private async onNoEngine(): Promise<void> {
     if (this.res.headersSent) {
-      this.choice.forget();
-    } else if (this.verdict === 'notRun' && this.choice.mayWaitForEngine(this.waitedMs)) {
-      this.choice.forgetUnreached();
+      this.selector.allowAllEngines();
+    } else if (this.verdict === 'notRun' && this.selector.mayWaitForEngine(this.waitedMs)) {
+      this.selector.allowUnreached();
     } else {
       this.refuse('No engine of the service can take the request.');
       return;
     }
-    await delay(LOOK_AGAIN_MS);
+    await delay(RECHECK_INTERVAL_MS);
   }
 
   private async send(engine: EngineView): Promise<void> {
-    const {decide, engineHealth: experience, online, latencies: pace, viewAgeMs, wire} = this.context;
-    const {body, caller, metadata: facts, method, path, rawHeaders} = this.req;
-    const resumeAfter = this.pass.lastEvent;
-    this.suspicion.noteRun();
-    this.broke = false;
-    this.choice.noteSent(engine.id);
-    decide(this.res.headersSent ? 'resumed' : 'placed', facts.requestId, {
-      attempt: this.choice.attempts,
+    const {decide, engineHealth, latencies, online, viewAgeMs, wire} = this.context;
+    const {body, caller, metadata, method, path, rawHeaders} = this.req;
+    const resumeAfter = this.forwarder.lastEventId;
+    this.crashEvidence.noteStart();
+    this.wasInterrupted = false;
+    this.selector.noteSent(engine.id);
+    decide(this.res.headersSent ? 'resumed' : 'placed', metadata.requestId, {
+      attempt: this.selector.attempts,
       engine: engine.id,
       online: online.requestsAt(engine.id),
       resumeAfter: resumeAfter ?? undefined,
@@ -237,17 +248,17 @@
       viewAgeMs: Math.round(viewAgeMs()),
       waitedMs: Math.round(this.waitedMs),
     });
-    const hadRoom = this.choice.hasRoom(engine);
+    const hadFreeSlot = this.selector.hasFreeSlot(engine);
     const end = online.registerRequest(engine.id);
     try {
       const headers = wire.engineHeaders({
         customer: caller.kind === 'customer' ? caller.name : undefined,
         deadlineMs: Math.max(1, Math.floor(this.remainingMs)),
         engine: engine.id,
-        requestId: facts.requestId,
+        requestId: metadata.requestId,
         resumeAfter,
       });
-      this.call = startEngineCall(wire, pace, {
+      this.call = startEngineCall(wire, latencies, {
         address: engine.address,
         body,
         headers: forwardedHeaders(
@@ -257,9 +268,9 @@
         ),
         method,
         path,
-        requestId: facts.requestId,
+        requestId: metadata.requestId,
       });
-      this.silence.start(hadRoom);
+      this.stallDetector.start(hadFreeSlot);
       const start = await this.call.started;
       if (start.kind === 'notRun') {
         this.call = undefined;
@@ -268,29 +279,29 @@
         await this.onStart(engine, start);
       }
     } finally {
-      this.silence.stop();
+      this.stallDetector.stop();
       this.call?.close();
       this.call = undefined;
       end();
-      if (this.end === undefined && !this.silence.leftQueue) {
-        experience.recordAttempt(engine, false);
+      if (this.end === undefined && !this.stallDetector.stalledInQueue) {
+        engineHealth.recordAttempt(engine, false);
       }
     }
-    if (this.broke) {
-      await this.onBreak(engine);
+    if (this.wasInterrupted) {
+      await this.onInterruption(engine);
     }
   }
 
-  /** The caller of a request that has ended has its answer; no look holds it up. */
-  private async onBreak(engine: EngineView): Promise<void> {
-    const looked = this.suspicion.noteBreak(engine);
+  /** Checks whether the engine of an interrupted attempt has exited; a request that has ended doesn't wait for it. */
+  private async onInterruption(engine: EngineView): Promise<void> {
+    const checked = this.crashEvidence.noteInterruption(engine);
     if (this.end === undefined) {
-      await looked;
+      await checked;
     }
   }
 
-  private giveUp(fields: LogFields): void {
-    const resumeAfter = this.pass.lastEvent ?? undefined;
+  private abandonAttempt(fields: LogFields): void {
+    const resumeAfter = this.forwarder.lastEventId ?? undefined;
     this.context.decide('silent', this.req.metadata.requestId, {...fields, resumeAfter});
     this.call?.close();
   }
@@ -298,34 +309,34 @@
   private async onStart(engine: EngineView, start: EngineCallStart): Promise<void> {
     switch (start.kind) {
       case 'notRun':
-        this.choice.noteNotRun(start.reason);
+        this.selector.noteNotRun(start.reason);
         this.context.decide('declined', this.req.metadata.requestId, {
           engine: engine.id,
           reason: start.reason,
         });
-        if (this.choice.isDeclined) {
-          this.refuse('The engines are full or can’t be reached.');
+        if (this.selector.isDeclined) {
+          this.refuse('The engines are full or unreachable.');
         }
         return;
       case 'mayHaveRun':
         this.onFailure(start.reason);
         return;
       case 'answer':
-        await this.onAnswer(engine, start);
+        await this.onResponse(engine, start);
         return;
     }
   }
 
-  /** An attempt failed after the request was sent. */
+  /** Handles an attempt that failed after the request was sent. */
   private onFailure(reason: string): void {
     this.verdict = joinVerdicts(this.verdict, 'mayHaveRun');
-    this.broke = !this.silence.hasLeft;
-    if (!this.repeatable) {
+    this.wasInterrupted = !this.stallDetector.isStalled;
+    if (!this.isRepeatable) {
       this.refuse(`The engine failed: ${reason}.`);
     }
   }
 
-  private async onAnswer(engine: EngineView, {res}: Answer): Promise<void> {
+  private async onResponse(engine: EngineView, {res}: EngineResponse): Promise<void> {
     const status = res.statusCode ?? SERVER_ERROR;
     if (status >= SERVER_ERROR) {
       await this.onServerFailure(status, res);
@@ -334,7 +345,9 @@
     this.verdict = 'ran';
     const isStream = (res.headers['content-type'] ?? '').startsWith('text/event-stream');
     const read =
-      isStream && status < REDIRECTION ? this.pass.passStream(res) : this.pass.passWhole(res);
+      isStream && status < REDIRECTION
+        ? this.forwarder.forwardStream(res)
+        : this.forwarder.forwardResponse(res);
     const end = await read;
     if (this.end !== undefined) {
       return;
@@ -345,28 +358,31 @@
       this.finish('served');
       return;
     }
-    this.broke = !this.silence.hasLeft;
-    if (!this.repeatable || (!isStream && this.res.headersSent)) {
-      this.refuse('The engine broke its answer off.');
+    this.wasInterrupted = !this.stallDetector.isStalled;
+    if (!this.isRepeatable || (!isStream && this.res.headersSent)) {
+      this.refuse('The engine interrupted its response.');
     }
   }
 
-  /** The engine's own failure: another engine may do better, if the request may run again. */
+  /**
+   * Handles a 5xx response: the request goes to another engine if it may run again, otherwise the response is
+   * forwarded.
+   */
   private async onServerFailure(status: number, res: IncomingMessage): Promise<void> {
     this.verdict = 'ran';
-    if (this.res.headersSent || (this.repeatable && this.choice.hasAttemptLeft)) {
+    if (this.res.headersSent || (this.isRepeatable && this.selector.hasAttemptLeft)) {
       return;
     }
     if (status === UNAVAILABLE) {
-      // The status would promise that nothing ran.
+      // A forwarded 503 would state that the request did not run.
       this.refuse('The engine failed.');
       return;
     }
-    if ((await this.pass.passWhole(res)) === 'whole' && this.end === undefined) {
+    if ((await this.forwarder.forwardResponse(res)) === 'whole' && this.end === undefined) {
       this.res.end();
       this.finish('serverFailure');
     } else {
-      this.refuse('The engine failed and broke its answer off.');
+      this.refuse('The engine failed and interrupted its response.');
     }
   }
 }
--- a/packages/stallpaddle-relay/src/RelayStallDetector.ts
+++ b/packages/stallpaddle-relay/src/RelayStallDetector.ts
@@ -1,7 +1,5 @@
 /**
- * Listens to the engine of one attempt: learns how fast engines are, and ends an attempt whose engine says nothing.
- * Silence that is longer than usual ends it as soon as another engine has room for the request; silence that no
- * engine should keep ends it in any case.
+ * Detection of engines that stall during an attempt.
  */
 import type {Clock, LearnedLimit, LogFields, MonotonicMs} from 'stallpaddle';
 
@@ -9,99 +7,100 @@
 
 import type {RelayLatencies} from './RelayLatencies';
 
-import {LOOK_AGAIN_MS, SILENT_FIRST_MS, SILENT_STREAM_MS} from './RelayConstants';
+import {MAX_FIRST_EVENT_STALL_MS, MAX_STREAM_STALL_MS, RECHECK_INTERVAL_MS} from './RelayConstants';
 
-/** What it needs of its request. */
+/** Dependencies on the request. */
 export interface RelayStallDetectorOptions {
   readonly clock: Clock;
-  /** Ends the attempt; the fields say why, for the log. */
-  readonly giveUp: (fields: LogFields) => void;
-  /** Whether the stream may go on at another engine at all. */
+  /** Ends the attempt; the fields give the reason in the log. */
+  readonly abandon: (fields: LogFields) => void;
+  /** Whether the stream can be resumed at another engine. */
   readonly isResumable: boolean;
-  /** Whether another engine would begin at once. */
-  readonly mayMove: () => boolean;
-  readonly pace: RelayLatencies;
+  /** Whether another engine has a free slot for the request. */
+  readonly canMove: () => boolean;
+  readonly latencies: RelayLatencies;
 }
 
-/** See the module's comment. */
+/**
+ * Ends an attempt whose engine stalls, and learns the usual latencies of engines. A pause that is longer than usual
+ * ends the attempt as soon as another engine has a free slot, a pause of the maximum length in any case.
+ */
 export class RelayStallDetector {
   /** Whether the engine had a free slot when the request was sent. */
-  private hadRoom = false;
-  private isHeard = false;
-  /** When the request was sent, or its engine last heard. */
-  private lastAt: MonotonicMs = 0;
-  private left = false;
-  private endWait: () => void = () => {};
+  private hadFreeSlot = false;
+  private hasData = false;
+  /** When the request was sent or data last arrived. */
+  private lastDataAt: MonotonicMs = 0;
+  private hasStalled = false;
+  private cancelCheck: () => void = () => {};
 
-  /**
-   * @param options what it needs of its request
-   */
+  /** @param options dependencies on the request */
   constructor(private readonly options: RelayStallDetectorOptions) {}
 
-  /** Whether the attempt was ended for its engine's silence. */
-  get hasLeft(): boolean {
-    return this.left;
+  /** Whether the attempt was ended because the engine stalled. */
+  get isStalled(): boolean {
+    return this.hasStalled;
   }
 
-  /** Whether the engine was left only because it had yet to begin and another one had room. */
-  get leftQueue(): boolean {
-    return this.left && !this.isHeard && !this.hadRoom;
+  /** Whether the attempt was ended while it waited for a slot: the engine was full and had sent nothing. */
+  get stalledInQueue(): boolean {
+    return this.hasStalled && !this.hasData && !this.hadFreeSlot;
   }
 
   /**
-   * Begins to listen: a request was sent.
+   * Starts to watch an attempt whose request was just sent.
    *
-   * @param hadRoom whether its engine has a free slot
+   * @param hadFreeSlot whether the engine had a free slot
    */
-  start(hadRoom: boolean): void {
-    this.hadRoom = hadRoom;
-    this.isHeard = false;
-    this.left = false;
-    this.lastAt = this.options.clock.monotonicMs();
-    this.wait(this.options.pace.firstEvent, SILENT_FIRST_MS);
+  start(hadFreeSlot: boolean): void {
+    this.hadFreeSlot = hadFreeSlot;
+    this.hasData = false;
+    this.hasStalled = false;
+    this.lastDataAt = this.options.clock.monotonicMs();
+    this.watch(this.options.latencies.firstEvent, MAX_FIRST_EVENT_STALL_MS);
   }
 
-  /** Notes that a part of a stream has come. */
-  hear(): void {
-    const {clock, pace} = this.options;
+  /** Records that data of a stream arrived. */
+  noteData(): void {
+    const {clock, latencies} = this.options;
     const now = clock.monotonicMs();
-    if (this.isHeard) {
-      pace.gap.note(now - this.lastAt);
-    } else if (this.hadRoom) {
-      pace.firstEvent.note(now - this.lastAt);
+    if (this.hasData) {
+      latencies.gap.note(now - this.lastDataAt);
+    } else if (this.hadFreeSlot) {
+      latencies.firstEvent.note(now - this.lastDataAt);
     }
-    this.isHeard = true;
-    this.lastAt = now;
-    this.wait(pace.gap, SILENT_STREAM_MS);
+    this.hasData = true;
+    this.lastDataAt = now;
+    this.watch(latencies.gap, MAX_STREAM_STALL_MS);
   }
 
-  /** Listens no more. */
+  /** Stops watching. */
   stop(): void {
-    this.endWait();
+    this.cancelCheck();
   }
 
-  private get silentMs(): number {
-    return this.options.clock.monotonicMs() - this.lastAt;
+  private get idleMs(): number {
+    return this.options.clock.monotonicMs() - this.lastDataAt;
   }
 
-  private wait(usual: LearnedLimit, worstMs: number): void {
+  private watch(limit: LearnedLimit, maxMs: number): void {
     if (this.options.isResumable) {
-      this.lookAfter(Math.min(usual.limitMs, worstMs), worstMs);
+      this.scheduleCheck(Math.min(limit.limitMs, maxMs), maxMs);
     }
   }
 
-  private lookAfter(ms: number, worstMs: number): void {
-    this.endWait();
-    this.endWait = registerTimeout(ms, () => this.look(worstMs));
+  private scheduleCheck(ms: number, maxMs: number): void {
+    this.cancelCheck();
+    this.cancelCheck = registerTimeout(ms, () => this.check(maxMs));
   }
 
-  private look(worstMs: number): void {
-    const leftMs = worstMs - this.silentMs;
-    if (leftMs > 0 && !this.options.mayMove()) {
-      this.lookAfter(Math.min(LOOK_AGAIN_MS, leftMs), worstMs);
+  private check(maxMs: number): void {
+    const remainingMs = maxMs - this.idleMs;
+    if (remainingMs > 0 && !this.options.canMove()) {
+      this.scheduleCheck(Math.min(RECHECK_INTERVAL_MS, remainingMs), maxMs);
       return;
     }
-    this.left = true;
-    this.options.giveUp({hadRoom: this.hadRoom, ms: Math.round(this.silentMs)});
+    this.hasStalled = true;
+    this.options.abandon({hadRoom: this.hadFreeSlot, ms: Math.round(this.idleMs)});
   }
 }
--- a/packages/stallpaddle-relay/src/RelaySuspects.ts
+++ b/packages/stallpaddle-relay/src/RelaySuspects.ts
@@ -1,6 +1,5 @@
 /**
- * What one process knows of requests during whose runs engines ended: by the news, and by what it has seen itself and the
- * news don't tell yet.
+ * Requests during whose runs engines exited.
  */
 import type {Clock, LogFields, MonotonicMs} from 'stallpaddle';
 
@@ -16,143 +15,148 @@
 
 import type {RelayWire} from './RelayWire';
 
-import {BEGIN_MS, MOST_BEGIN_EVENTS} from './RelayConstants';
+import {MAX_STARTING_EVENTS, STARTING_MS} from './RelayConstants';
 import {hasExited} from './RelayProbe';
 
-/** What it needs of its process. */
+/** Dependencies of {@link RelaySuspects}. */
 export interface RelaySuspectsOptions {
   readonly clock: Clock;
-  /** Writes one line for a finding on a request or item. */
+  /** Logs a finding on a request or item. */
   readonly decide: (id: string, fields: LogFields) => void;
-  /** Engines as they are known now. */
+  /** Engines of the current fleet view. */
   readonly engines: () => readonly EngineView[];
   /** Records a finding for all processes; rejects when it may not have been recorded. */
   readonly record: (finding: NoteEngineEnd | ReleaseRequest) => Promise<unknown>;
-  /** Suspects by the news. */
+  /** Suspects of the current fleet status. */
   readonly reported: () => readonly SuspectView[];
   readonly wire: RelayWire;
 }
 
-/** A run that broke off. */
+/** A run whose connection was interrupted. */
 export interface InterruptedRun {
   readonly digest: string;
   readonly engine: EngineView;
-  /** Name of the attempt or item, for the log. */
+  /** Id of the attempt or item, for the log. */
   readonly id: string;
-  /** Level at which the request stood when the run began. */
+  /** Suspicion level of the request when the run started. */
   readonly known: number;
 }
 
-/** What this process has seen itself. */
-interface OwnLevel {
+/** Suspicion level that this process has found itself. */
+interface LocalLevel {
   readonly level: number;
-  /** Until then it counts: the news tell of it soon after it was recorded. */
+  /** The level is used until then; by that time the fleet status includes the recorded finding. */
   until: MonotonicMs;
 }
 
-/** Time for which an own finding counts once it is recorded, in milliseconds: longer than news take to come back. */
-const NEWS_MS = 2_000;
+/**
+ * Time for which a local finding is used after it was recorded, in milliseconds: longer than the fleet status takes
+ * to include it.
+ */
+const RECORDED_VALID_MS = 2_000;
 
-/** Tries to record a finding; each lasts half a minute while there is no leader. */
-const RECORD_TRIES = 20;
+/** Maximum number of attempts to record a finding; an attempt may last half a minute while there is no leader. */
+const MAX_RECORD_ATTEMPTS = 20;
 
-/** How far a run has come. */
+/** Progress of a run. */
 export interface RunProgress {
-  /** Events that it has brought. */
+  /** Number of events received. */
   readonly events: number;
-  /** When the first of them, or of an answer's bytes, came; undefined before it. */
+  /** When the first event, or the first byte of a response, arrived; undefined before. */
   readonly firstAt: MonotonicMs | undefined;
 }
 
 /**
- * Whether a run has only begun, so that the end of its engine speaks against its request.
+ * Whether a run is still starting, so that an exit of its engine counts as evidence against its request.
  *
- * @param run how far it has come
- * @param now the present moment
+ * @param run progress of the run
+ * @param now current time
  */
 export function isStarting({events, firstAt}: RunProgress, now: MonotonicMs): boolean {
-  return events <= MOST_BEGIN_EVENTS && (firstAt === undefined || now - firstAt <= BEGIN_MS);
+  return events <= MAX_STARTING_EVENTS && (firstAt === undefined || now - firstAt <= STARTING_MS);
 }
 
-/** See the module's comment. */
+/**
+ * Suspicion levels of requests: from the fleet status, and from findings of this process that the fleet status
+ * doesn't include yet.
+ */
 export class RelaySuspects {
-  private index: ReadonlyMap<string, SuspectView> = new Map();
-  private indexed: readonly SuspectView[] = [];
-  private readonly own = new Map<string, OwnLevel>();
+  private reportedByDigest: ReadonlyMap<string, SuspectView> = new Map();
+  private indexedSuspects: readonly SuspectView[] = [];
+  private readonly localLevels = new Map<string, LocalLevel>();
 
-  /**
-   * @param options what it needs of its process
-   */
+  /** @param options dependencies */
   constructor(private readonly options: RelaySuspectsOptions) {}
 
-  /** Whether nobody is suspected, so that no request needs a digest. */
+  /** Whether there are no suspects, so that no digests need to be computed. */
   get isEmpty(): boolean {
-    return this.own.size === 0 && this.options.reported().length === 0;
+    return this.localLevels.size === 0 && this.options.reported().length === 0;
   }
 
   /**
-   * Level at which a request stands; {@link HELD_LEVEL} holds it off the engines.
+   * Suspicion level of a request; it is quarantined from {@link HELD_LEVEL} on.
    *
-   * @param digest the request
+   * @param digest the request's digest
    */
   levelOf(digest: string): number {
-    return Math.max(this.told(digest)?.level ?? 0, this.ownLevel(digest));
+    return Math.max(this.reported(digest)?.level ?? 0, this.localLevel(digest));
   }
 
   /**
-   * Time after which a request that is held may run again, in milliseconds.
+   * Time for which a request stays quarantined, in milliseconds.
    *
-   * @param digest the request
+   * @param digest the request's digest
    */
   holdMs(digest: string): number {
-    return this.told(digest)?.holdMs || FIRST_HOLD_MS;
+    return this.reported(digest)?.holdMs || FIRST_HOLD_MS;
   }
 
   /**
-   * Looks whether the engine of a run that broke off has ended, and holds it against the run's request.
+   * Checks whether the engine of an interrupted run has exited, and if so raises the suspicion level of the run's
+   * request: here at once, and for all processes by a record.
    *
    * @param run the run
-   * @returns whether it has ended; then it counts here, and others are told besides
+   * @returns whether the engine has exited
    */
   async noteInterruption(run: InterruptedRun): Promise<boolean> {
     const {clock, decide, wire} = this.options;
     const {digest, engine, id, known} = run;
-    if (this.isLeaving(engine) || !(await hasExited(wire, engine))) {
+    if (this.isDraining(engine) || !(await hasExited(wire, engine))) {
       return false;
     }
     const before = this.levelOf(digest);
     const level = known >= before ? before + 1 : before;
     const held = level >= HELD_LEVEL;
     decide(id, {digest, engine: engine.id, held, known, level, startedAtMs: engine.startedAtMs});
-    const own: OwnLevel = {level, until: Infinity};
-    this.own.set(digest, own);
+    const local: LocalLevel = {level, until: Infinity};
+    this.localLevels.set(digest, local);
     const {id: name, startedAtMs} = engine;
     void this.record({digest, engine: name, kind: 'noteEngineEnd', known, startedAtMs}).then(() => {
-      own.until = clock.monotonicMs() + NEWS_MS;
-      setTimeout(() => this.forget(digest, own), NEWS_MS).unref();
+      local.until = clock.monotonicMs() + RECORDED_VALID_MS;
+      setTimeout(() => this.forget(digest, local), RECORDED_VALID_MS).unref();
     });
     return true;
   }
 
   /**
-   * Notes that an engine has run a suspect past its begin, or to an end.
+   * Records that an engine has run a suspect past its start or to its end, which clears it.
    *
-   * @param digest the request
+   * @param digest the request's digest
    */
   noteServed(digest: string): void {
-    this.own.delete(digest);
+    this.localLevels.delete(digest);
     void this.record({by: 'engine', digest, kind: 'releaseRequest'});
   }
 
-  /** Whether an engine said itself that it would end; then no request has ended it. */
-  private isLeaving({id, startedAtMs}: EngineView): boolean {
+  /** Whether the engine was draining or removed, so that no request caused its exit. */
+  private isDraining({id, startedAtMs}: EngineView): boolean {
     const now = this.options.engines().find((engine) => engine.id === id);
     return now === undefined || (now.startedAtMs === startedAtMs && now.draining);
   }
 
-  /** Records a finding, again while nobody takes it: the group may be without a leader for as long as a VM is repaired. */
+  /** Records a finding, with retries: the group may have no leader until a VM is replaced. */
   private async record(finding: NoteEngineEnd | ReleaseRequest): Promise<void> {
-    for (let tries = 0; tries < RECORD_TRIES; tries++) {
+    for (let tries = 0; tries < MAX_RECORD_ATTEMPTS; tries++) {
       try {
         await this.options.record(finding);
         return;
@@ -163,23 +167,23 @@
     }
   }
 
-  private forget(digest: string, own: OwnLevel): void {
-    if (this.own.get(digest) === own) {
-      this.own.delete(digest);
+  private forget(digest: string, local: LocalLevel): void {
+    if (this.localLevels.get(digest) === local) {
+      this.localLevels.delete(digest);
     }
   }
 
-  private ownLevel(digest: string): number {
-    const own = this.own.get(digest);
-    return own !== undefined && this.options.clock.monotonicMs() < own.until ? own.level : 0;
+  private localLevel(digest: string): number {
+    const local = this.localLevels.get(digest);
+    return local !== undefined && this.options.clock.monotonicMs() < local.until ? local.level : 0;
   }
 
-  private told(digest: string): SuspectView | undefined {
-    const told = this.options.reported();
-    if (told !== this.indexed) {
-      this.indexed = told;
-      this.index = new Map(told.map((suspect) => [suspect.digest, suspect]));
+  private reported(digest: string): SuspectView | undefined {
+    const reported = this.options.reported();
+    if (reported !== this.indexedSuspects) {
+      this.indexedSuspects = reported;
+      this.reportedByDigest = new Map(reported.map((suspect) => [suspect.digest, suspect]));
     }
-    return this.index.get(digest);
+    return this.reportedByDigest.get(digest);
   }
 }
--- a/packages/stallpaddle-relay/src/RelayTypes.ts
+++ b/packages/stallpaddle-relay/src/RelayTypes.ts
@@ -1,61 +1,61 @@
 /**
- * A request on its way through the relay, and what the relay needs of its process.
+ * Types of a request in the relay, and the dependencies of the relay.
  */
 import type {Clock, LogFields, MonotonicMs, Random, ZoneId} from 'stallpaddle';
 import type {EngineView, FleetRoute} from 'stallpaddle-fleet';
 
 import type {RelayEngineHealth} from './RelayEngineHealth';
-import type {RelayOnlineLoad} from './RelayOnlineLoad';
 import type {RelayLatencies} from './RelayLatencies';
+import type {RelayOnlineLoad} from './RelayOnlineLoad';
 import type {RelaySuspects} from './RelaySuspects';
 import type {CallerMetadata, RelayWire} from './RelayWire';
 
-/** Who sends a request. */
+/** Identity of the caller that sends a request. */
 export type RelayCaller =
-  /** Nobody in particular, where the fleet knows customers: its own words on who it is go nowhere. */
+  /** Anonymous caller of a fleet that has customers: headers in which it identifies itself are not forwarded. */
   | {readonly kind: 'anybody'}
   | {readonly kind: 'customer'; readonly name: string}
-  /** The fleet knows no customers: what a caller says of itself is passed on. */
+  /** The fleet has no customers: headers in which the caller identifies itself are forwarded. */
   | {readonly kind: 'untold'};
 
-/** A caller's request, read whole. */
+/** A caller's request with its complete body. */
 export interface RelayRequest {
   readonly arrivedAt: MonotonicMs;
   readonly body: Uint8Array;
   readonly caller: RelayCaller;
   readonly metadata: CallerMetadata;
-  /** Name that the caller gave the server. */
+  /** Host to which the caller addressed the request. */
   readonly host: string;
   readonly method: string;
   /** Path and query, unchanged. */
   readonly path: string;
   readonly rawHeaders: readonly string[];
   readonly route: FleetRoute;
-  /** Time that the caller has spent on earlier attempts, in milliseconds. */
+  /** Estimated time that the caller has spent on earlier attempts, in milliseconds. */
   readonly spentMs: number;
 }
 
-/** How a request ended, for counters and logs. */
+/** Outcome of a request, for metrics and logs. */
 export type RelayEnd =
-  /** Broken off midway: the caller can see that its answer isn't whole. */
+  /** The response was aborted after its head was sent; the caller can see that it is incomplete. */
   | 'broken'
-  /** The caller left. */
+  /** The caller closed the connection. */
   | 'left'
   | 'refused'
   | 'served'
-  /** Answered with an engine's own failure. */
+  /** The engine's own 5xx response was forwarded. */
   | 'serverFailure'
-  /** Ended by its deadline or the route's time limit. */
+  /** Ended by the caller's deadline or the route's time limit. */
   | 'timedOut';
 
-/** One decision on a request. */
+/** Decision on a request, as it is named in the log. */
 export type RelayDecision =
   'declined' | 'ended' | 'held' | 'placed' | 'resumed' | 'silent' | 'suspected' | 'taken';
 
-/** What the relay needs of its process. */
+/** Dependencies of the relay. */
 export interface RelayContext {
   readonly clock: Clock;
-  /** Writes one line for a decision. */
+  /** Logs one decision. */
   readonly decide: (decision: RelayDecision, requestId: string, fields: LogFields) => void;
   readonly engines: () => readonly EngineView[];
   readonly engineHealth: RelayEngineHealth;
@@ -63,7 +63,7 @@
   readonly latencies: RelayLatencies;
   readonly random: Random;
   readonly suspects: RelaySuspects;
-  /** Age of what is known of the fleet, in milliseconds. */
+  /** Age of this process's fleet view, in milliseconds. */
   readonly viewAgeMs: () => number;
   readonly wire: RelayWire;
   /** Availability zone of this VM. */
--- a/packages/stallpaddle-relay/src/RelayWire.ts
+++ b/packages/stallpaddle-relay/src/RelayWire.ts
@@ -1,87 +1,89 @@
 /**
- * What the relay must know of the words that callers and engines use. An adapter supplies it; the
- * relay itself knows no header by name but those of HTTP.
+ * Interface between the relay and the protocols of callers and engines. An adapter implements it; the relay itself
+ * knows only the standard HTTP headers.
  */
 import type {IncomingHttpHeaders} from 'node:http';
 import type {EngineId} from 'stallpaddle';
 
-/** What a caller says of its request. */
+/** Metadata of a caller's request. */
 export interface CallerMetadata {
-  /** What tells callers apart who send the same, such as a key; empty where nothing does. */
+  /** Value that distinguishes callers that send the same request, such as a key; empty if there is none. */
   readonly caller: string;
-  /** How long the caller will wait, in milliseconds, where it says so. */
+  /** Time that the caller will wait, in milliseconds; null when it is not given. */
   readonly deadlineMs: number | null;
-  /** The caller's name for this attempt. */
+  /** The caller's id for this attempt. */
   readonly requestId: string;
-  /** Last event that the caller already has, when it takes up a stream again. */
+  /** Id of the last event that the caller already has, when it resumes a stream. */
   readonly resumeAfter: string | null;
 }
 
-/** What an engine must be told with a request. */
+/** Metadata that is sent to an engine with a request. */
 export interface EngineCallMetadata {
-  /** The customer in whose name the request runs; left out for none. */
+  /** The customer on whose behalf the request runs; omitted for none. */
   readonly customer?: string | undefined;
-  /** Time left, in milliseconds; null when the caller named none and the work has none. */
+  /** Remaining time in milliseconds; null when neither the caller nor the work has a deadline. */
   readonly deadlineMs: number | null;
-  /** The engine that is meant: another one at its address must not run the request. */
+  /** The intended engine: another one at its address must not run the request. */
   readonly engine: EngineId;
   readonly requestId: string;
-  /** Last event that has arrived, when a stream goes on at another engine. */
+  /** Id of the last event received, when a stream is resumed at another engine. */
   readonly resumeAfter: string | null;
 }
 
-/** What the head of an engine's answer tells. */
+/** Metadata in the head of an engine's response. */
 export interface ResponseMetadata {
-  /** The engine itself says that it did not run the request. */
+  /** The engine states that it did not run the request. */
   readonly notRun: boolean;
   /** The address now belongs to another engine, which did not run the request. */
   readonly otherEngine: boolean;
-  /** Name of the request that the answer belongs to. */
+  /** Id of the request that the response belongs to. */
   readonly requestId: string | null;
-  /** Whether the answer carries the engine's signature. */
+  /** Whether the response carries the engine's signature. */
   readonly signed: boolean;
 }
 
-/** What an engine says of its load. */
+/** Load that an engine reports. */
 export interface EngineOccupancy {
-  /** Names of the requests that run there, where it names them. */
+  /** Ids of the requests that run there, if the engine reports them. */
   readonly running: readonly string[];
-  /** Requests that it holds, also those that wait. */
+  /** Number of requests, including queued ones. */
   readonly total: number;
 }
 
-/** A call to an engine that is no request of a caller. */
+/** Control request to an engine. */
 export interface EngineControlRequest {
   readonly body: string;
   readonly method: string;
   readonly path: string;
 }
 
-/** One header line. */
+/** One HTTP header. */
 export type HeaderLine = readonly [name: string, value: string];
 
-/** See the module's comment. */
+/** Adapter that maps the relay's metadata to the headers and control requests of a protocol. */
 export interface RelayWire {
-  /** Names of header lines in which a caller says who it is; where the fleet knows customers, none of them goes to an engine. */
+  /**
+   * Names of headers in which a caller identifies itself; never forwarded to an engine in a fleet that has customers.
+   */
   readonly callerHeaders: readonly string[];
-  /** Header lines that the relay sets in place of any that the caller sent under these names. */
-  readonly engineHeaders: (facts: EngineCallMetadata) => readonly HeaderLine[];
-  /** Where an engine says how many requests it holds. */
+  /** Headers that the relay sets on a request to an engine, replacing any of the same name that the caller sent. */
+  readonly engineHeaders: (metadata: EngineCallMetadata) => readonly HeaderLine[];
+  /** Path at which an engine reports its occupancy. */
   readonly occupancyPath: string;
   readonly readResponse: (status: number, headers: IncomingHttpHeaders) => ResponseMetadata;
-  /** Null when the request lacks what it must carry. */
+  /** Returns null when the request lacks required metadata. */
   readonly readCaller: (headers: IncomingHttpHeaders) => CallerMetadata | null;
-  /** What an engine holds, by its own word; null when it can't be read. */
+  /** Parses an occupancy report; null when it is invalid. */
   readonly readOccupancy: (text: string) => EngineOccupancy | null;
-  /** What a stopped run has left at its engine, by the answer to the order that stopped it; null for nothing. */
+  /** Reads from the response to a stop request which state the stopped run has left at its engine; null for none. */
   readonly readRetainedState: (text: string) => null | string;
-  /** Lets an engine forget what a stopped run has left. */
+  /** Control request that releases the state of a stopped run. */
   readonly releaseRetainedState: (remains: string) => EngineControlRequest;
   /**
-   * Stops a run whose connection nobody can close.
+   * Control request that stops a run whose connection can't be closed.
    *
-   * @param requestId the run's request
-   * @param other address of another engine of the service, which is offered what the run has in memory
+   * @param requestId id of the run's request
+   * @param other address of another engine of the service, to which the run's state in memory is offered
    */
   readonly stopRun: (requestId: string, other: string) => EngineControlRequest;
 }
--- a/packages/stallpaddle-relay/src/__tests__/RelayFixture.ts
+++ b/packages/stallpaddle-relay/src/__tests__/RelayFixture.ts
@@ -1,5 +1,5 @@
 /**
- * A relay before stand-in engines, and its callers.
+ * Starts a relay with simulated engines and sends it requests.
  */
 import type {FleetRoute} from 'stallpaddle-fleet';
 
@@ -11,34 +11,34 @@
 import type {RelayCaller, RelayContext, RelayEnd} from '../RelayTypes';
 
 import {RelayEngineHealth} from '../RelayEngineHealth';
-import {RelayOnlineLoad} from '../RelayOnlineLoad';
 import {RelayLatencies} from '../RelayLatencies';
+import {RelayOnlineLoad} from '../RelayOnlineLoad';
 import {RelayRun} from '../RelayRun';
 
-/** What a caller got. */
-export interface CallerAnswer {
+/** Response that a caller received. */
+export interface CallerResponse {
   readonly body: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
-  /** False when the answer broke off. */
-  readonly isWhole: boolean;
+  /** False when the response was interrupted. */
+  readonly isComplete: boolean;
   readonly status: number;
 }
 
-const undo: (() => Promise<void> | void)[] = [];
+const cleanups: (() => Promise<void> | void)[] = [];
 
-/** Adds what the end of a test must stop. */
-export function registerUndo(step: () => Promise<void> | void): void {
-  undo.push(step);
+/** Registers a step that runs at the end of a test. */
+export function registerCleanup(step: () => Promise<void> | void): void {
+  cleanups.push(step);
 }
 
-/** Stops whatever a test has started. */
+/** Runs all registered cleanup steps. */
 export async function stopAll(): Promise<void> {
-  for (const step of undo.splice(0)) {
+  for (const step of cleanups.splice(0)) {
     await step();
   }
 }
 
-/** A route; what a test doesn't name is a resumable stream's. */
+/** A route of a resumable stream, with changes. */
 export function routeOf(changes: Partial<FleetRoute> = {}): FleetRoute {
   return {
     giveUpAfterMs: 0,
@@ -57,15 +57,15 @@
   };
 }
 
-/** Starts engines. */
+/** Starts simulated engines. */
 export async function startEngines(count: number): Promise<readonly StreamEngine[]> {
   const engines = await Promise.all(Array.from({length: count}, () => StreamEngine.start()));
-  engines.forEach((engine) => undo.push(() => engine.stop()));
+  engines.forEach((engine) => cleanups.push(() => engine.stop()));
   return engines;
 }
 
-/** What a relay before some engines needs of its process, where other VMs have no requests or nothing is known of them. */
-export function contextOf(engines: readonly StreamEngine[], isTold = true): RelayContext {
+/** Context of a relay; isLoadKnown says whether a report on the other VMs' requests (there are none) was received. */
+export function contextOf(engines: readonly StreamEngine[], isLoadKnown = true): RelayContext {
   const views = engines.map((engine, at) => ({
     address: engine.address,
     draining: false,
@@ -78,16 +78,16 @@
     zone: 'z',
   }));
   const online = new RelayOnlineLoad(systemClock);
-  if (isTold) {
+  if (isLoadKnown) {
     online.applyReport({}, true, []);
   }
   return {
     clock: systemClock,
     decide: () => {},
-    engines: () => views,
     engineHealth: new RelayEngineHealth(systemClock),
-    online,
+    engines: () => views,
     latencies: new RelayLatencies(),
+    online,
     random: seededRandom(1),
     suspects: new SuspectBoard().view(plainRelay, () => views),
     viewAgeMs: () => 0,
@@ -96,7 +96,7 @@
   };
 }
 
-/** A relay before engines; counts how its requests ended. */
+/** Starts a relay; the result collects the outcomes of its requests. */
 export async function startRelay(
   context: RelayContext,
   route: FleetRoute,
@@ -115,8 +115,8 @@
         arrivedAt: systemClock.monotonicMs(),
         body: Buffer.concat(chunks),
         caller,
-        metadata: plainRelay.readCaller(req.headers)!,
         host: req.headers.host ?? '',
+        metadata: plainRelay.readCaller(req.headers)!,
         method: req.method!,
         path: req.url!,
         rawHeaders: req.rawHeaders,
@@ -128,20 +128,20 @@
     ends.push(await run.run());
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-  undo.push(() => {
+  cleanups.push(() => {
     server.closeAllConnections();
     server.close();
   });
   return {ends, port: (server.address() as AddressInfo).port};
 }
 
-/** Sends a request. */
-export function ask(
+/** Sends a request and waits for the response; closes the connection after leaveAfterMs if given. */
+export function sendRequest(
   port: number,
   leaveAfterMs?: number,
   more: Readonly<Record<string, string>> = {},
   body = 'the body',
-): Promise<CallerAnswer> {
+): Promise<CallerResponse> {
   return new Promise((resolve) => {
     const req = request({
       headers: {
@@ -157,8 +157,8 @@
       port,
     });
     let text = '';
-    const finish = (isWhole: boolean, status = 0, headers = {}): void =>
-      resolve({body: text, headers, isWhole, status});
+    const finish = (isComplete: boolean, status = 0, headers = {}): void =>
+      resolve({body: text, headers, isComplete, status});
     req.on('response', (res) => {
       res.on('data', (chunk: Buffer) => (text += chunk.toString()));
       res.on('error', () => {});
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayDeadlines.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayDeadlines.test.ts
@@ -1,5 +1,5 @@
 /**
- * What a caller has spent before, at a VM that has just started and at one that has seen others.
+ * Guards against wrong estimates of the time that callers spent on earlier attempts, also right after a start.
  */
 import {describe, expect, test} from 'vitest';
 
@@ -8,21 +8,21 @@
 
 const ROUTE = routeOf({timeoutMs: 5_000});
 
-describe('RelayUsual', () => {
-  test('takes the longest deadline of a route for the usual one', () => {
-    const usual = new RelayDeadlines();
-    expect(usual.spentMs(ROUTE, 5_050)).toBe(0);
-    expect(usual.spentMs(ROUTE, 4_050)).toBe(1_000);
-    expect(usual.spentMs(ROUTE, null)).toBe(0);
+describe('RelayDeadlines', () => {
+  test('takes the longest deadline of a route as the usual one', () => {
+    const deadlines = new RelayDeadlines();
+    expect(deadlines.spentMs(ROUTE, 5_050)).toBe(0);
+    expect(deadlines.spentMs(ROUTE, 4_050)).toBe(1_000);
+    expect(deadlines.spentMs(ROUTE, null)).toBe(0);
   });
 
-  test('right after a start the operator’s time limit stands for what was not seen yet', () => {
+  test('uses the route’s time limit right after a start', () => {
     expect(new RelayDeadlines().spentMs(ROUTE, 3_600)).toBe(1_400);
   });
 
-  test('callers that always wait for less have spent nothing, as is found soon', () => {
-    const usual = new RelayDeadlines();
-    const spent = Array.from({length: 40}, () => usual.spentMs(ROUTE, 2_000));
+  test('learns a usual deadline that is shorter than the route’s time limit', () => {
+    const deadlines = new RelayDeadlines();
+    const spent = Array.from({length: 40}, () => deadlines.spentMs(ROUTE, 2_000));
     expect(spent[39]).toBe(0);
     expect(spent.filter((ms) => ms > 0).length).toBeLessThanOrEqual(16);
   });
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineCall.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineCall.test.ts
@@ -1,6 +1,6 @@
 /**
- * Answers without a length: whole when the engine ends the connection, never when it is reset, also when the
- * reset has come before the answer was read.
+ * Guards against taking an interrupted response without a length for a complete one, and against mistaking a delay of
+ * this process for an unreachable engine.
  */
 import type {AddressInfo} from 'node:net';
 
@@ -11,7 +11,7 @@
 import {startEngineCall} from '../../RelayEngineCall';
 import {RelayLatencies} from '../../RelayLatencies';
 
-/** Enough resets: without the look at the peer, 3 in 100 pass for whole. */
+/** Number of resets; the failure occurs only in some of them. */
 const RESETS = 300;
 const ENDS = 50;
 let server: Server;
@@ -28,14 +28,14 @@
     const id = String(req.headers[PLAIN.request]);
     res.writeHead(200, {[PLAIN.request]: id, [PLAIN.signature]: 's'});
     res.write('x'.repeat(100));
-    // Bytes and end wait together when the caller reads.
+    // The data and the end are both pending when the caller reads.
     setImmediate(() => (how === 'end' ? res.end() : req.socket.resetAndDestroy()));
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-async function isWhole(address: string, requestId: string): Promise<boolean> {
+async function isComplete(address: string, requestId: string): Promise<boolean> {
   const call = startEngineCall(plainRelay, new RelayLatencies(), {
     address,
     body: Buffer.from('b'),
@@ -58,26 +58,26 @@
   return start.res.complete;
 }
 
-async function countWhole(address: string, calls: number): Promise<number> {
-  let whole = 0;
+async function countComplete(address: string, calls: number): Promise<number> {
+  let complete = 0;
   for (let number = 0; number < calls; number++) {
-    whole += Number(await isWhole(address, `q${number}`));
+    complete += Number(await isComplete(address, `q${number}`));
   }
-  return whole;
+  return complete;
 }
 
-/** Keeps this process from its event loop. */
-function holdUp(ms: number): void {
+/** Blocks the event loop. */
+function blockEventLoop(ms: number): void {
   const end = performance.now() + ms;
   while (performance.now() < end);
 }
 
 describe('startEngineCall', () => {
-  test('a process that was held up does not take its own lateness for an engine that can’t be reached', async () => {
+  test('a blocked event loop is not taken for an unreachable engine', async () => {
     const address = await startEngine('end');
-    const pace = new RelayLatencies();
-    Array.from({length: 20}, () => pace.connect.note(1));
-    const call = startEngineCall(plainRelay, pace, {
+    const latencies = new RelayLatencies();
+    Array.from({length: 20}, () => latencies.connect.note(1));
+    const call = startEngineCall(plainRelay, latencies, {
       address,
       body: Buffer.from('b'),
       headers: ['Host', 'h', PLAIN.request, 'q'],
@@ -86,15 +86,15 @@
       requestId: 'q',
     });
     await new Promise((resolve) => process.nextTick(resolve));
-    holdUp(2 * pace.connect.limitMs);
+    blockEventLoop(2 * latencies.connect.limitMs);
     expect((await call.started).kind).toBe('answer');
   });
 
-  test('never takes an answer for whole whose connection was reset', async () => {
-    expect(await countWhole(await startEngine('reset'), RESETS)).toBe(0);
+  test('a response whose connection was reset is never complete', async () => {
+    expect(await countComplete(await startEngine('reset'), RESETS)).toBe(0);
   }, 30_000);
 
-  test('takes an answer without a length for whole when the engine ended it', async () => {
-    expect(await countWhole(await startEngine('end'), ENDS)).toBe(ENDS);
+  test('a response without a length is complete when the engine ended it', async () => {
+    expect(await countComplete(await startEngine('end'), ENDS)).toBe(ENDS);
   }, 30_000);
 });
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineHealth.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineHealth.test.ts
@@ -1,5 +1,5 @@
 /**
- * What a sender has seen of an engine counts for one start of it.
+ * Guards against attributing attempts at one incarnation of an engine to another.
  */
 import {systemClock} from 'stallpaddle';
 import {describe, expect, test} from 'vitest';
@@ -10,18 +10,18 @@
 const BEFORE = {id: 'e', startedAtMs: 1_000};
 const AFTER = {id: 'e', startedAtMs: 2_000};
 
-describe('RelayExperience', () => {
-  test('an engine that has started again is not held to what failed before', () => {
-    const experience = new RelayEngineHealth(systemClock);
-    experience.recordAttempt(BEFORE, false);
-    expect(experience.of(BEFORE).failures).toBe(1);
-    expect(experience.of(AFTER)).toEqual(INITIAL_HEALTH);
+describe('RelayEngineHealth', () => {
+  test('a restarted engine does not inherit failures', () => {
+    const health = new RelayEngineHealth(systemClock);
+    health.recordAttempt(BEFORE, false);
+    expect(health.of(BEFORE).failures).toBe(1);
+    expect(health.of(AFTER)).toEqual(INITIAL_HEALTH);
   });
 
-  test('an attempt at the start before that ends late says nothing of the present one', () => {
-    const experience = new RelayEngineHealth(systemClock);
-    experience.recordAttempt(AFTER, true);
-    experience.recordAttempt(BEFORE, false);
-    expect(experience.of(AFTER).failures).toBe(0);
+  test('a late result of an earlier incarnation is ignored', () => {
+    const health = new RelayEngineHealth(systemClock);
+    health.recordAttempt(AFTER, true);
+    health.recordAttempt(BEFORE, false);
+    expect(health.of(AFTER).failures).toBe(0);
   });
 });
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayEvents.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayEvents.test.ts
@@ -1,14 +1,14 @@
 /**
- * Events of a stream stay whole, however the bytes are cut.
+ * Guards against events that are split, lost or altered at chunk boundaries.
  */
 import fc from 'fast-check';
 import {assertHistories} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {isNextEvent, EventSplitter} from '../../RelayEvents';
+import {EventSplitter, isNextEvent} from '../../RelayEvents';
 
 describe('EventSplitter', () => {
-  test('gives the same events for every way to cut the bytes', async () => {
+  test('yields the same events for any chunk boundaries', async () => {
     const texts = fc.array(fc.stringMatching(/^[a-z äé]{0,12}$/), {maxLength: 8, minLength: 1});
     const cuts = fc.array(fc.integer({max: 9, min: 1}), {maxLength: 40, minLength: 1});
     const ends = fc.constantFrom('\n', '\r\n');
@@ -30,20 +30,20 @@
     await assertHistories('cuts of a stream', property, 300);
   });
 
-  test('keeps back an event that is not whole', () => {
+  test('buffers an incomplete event', () => {
     const splitter = new EventSplitter();
     expect(splitter.push(Buffer.from('id: 1\ndata: a\n'))).toEqual([]);
     expect(splitter.pending).toBeGreaterThan(0);
     expect(splitter.push(Buffer.from('\nid'))).toMatchObject([{data: 'a', id: '1'}]);
   });
 
-  test('joins data lines and passes over other fields', () => {
+  test('joins data lines and ignores other fields', () => {
     const [event] = new EventSplitter().push(Buffer.from('weights: 3\ndata: a\ndata:b\n: c\n\n'));
     expect(event).toMatchObject({data: 'a\nb', id: null});
   });
 });
 
-describe('continues', () => {
+describe('isNextEvent', () => {
   test.each([
     [null, '7', true],
     ['7', '8', true],
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
@@ -1,5 +1,5 @@
 /**
- * Which engine a request goes to.
+ * Guards against poor engine selection: overload, unavailable engines, needless traffic between zones.
  */
 import type {EngineView} from 'stallpaddle-fleet';
 
@@ -8,11 +8,11 @@
 
 import {
   healthAfterAttempt,
-  selectService,
-  isHealthy,
   INITIAL_HEALTH,
+  isHealthy,
   type PlacementInput,
   selectEngine,
+  selectService,
 } from '../../RelayPlacement';
 
 function engineOf(id: string, changes: Partial<EngineView> = {}): EngineView {
@@ -32,34 +32,34 @@
 
 function place(engines: readonly EngineView[], changes: Partial<PlacementInput> = {}) {
   return selectEngine({
-    apart: null,
     engines,
-    experienceOf: () => INITIAL_HEALTH,
-    isSuspect: () => false,
+    healthOf: () => INITIAL_HEALTH,
+    isUnresponsive: () => false,
     now: 1_000,
     onlineAt: () => 0,
     random: seededRandom(7),
     service: 's',
+    suspectDigest: null,
     tried: new Set(),
-    unseen: 0,
+    unreported: 0,
     zone: 'elsewhere',
     ...changes,
   })?.id;
 }
 
-describe('placeRequest', () => {
-  test('takes the engine with the fewest requests for its slots', () => {
+describe('selectEngine', () => {
+  test('selects the engine with the fewest requests per slot', () => {
     const engines = [engineOf('1'), engineOf('2', {slots: 16}), engineOf('3')];
     const online: Record<string, number> = {'1': 3, '2': 4, '3': 5};
     expect(place(engines, {onlineAt: (id) => online[id]!})).toBe('2');
   });
 
-  test('never takes one that leaves, was tried or serves something else', () => {
+  test('never selects an engine that is draining, was tried or runs another service', () => {
     const engines = [engineOf('1', {draining: true}), engineOf('2'), engineOf('3', {service: 't'})];
     expect(place(engines, {tried: new Set(['2'])})).toBeUndefined();
   });
 
-  test('prefers its own availability zone by one request, and only while there is room', () => {
+  test('prefers its own availability zone by one request, and only at low load', () => {
     const engines = [engineOf('near', {zone: 'own'}), engineOf('far')];
     const choose = (near: number, far: number) =>
       place(engines, {onlineAt: (id) => (id === 'near' ? near : far), zone: 'own'});
@@ -68,68 +68,71 @@
     expect(choose(4, 5)).toBe('near');
   });
 
-  test('many VMs that know the same counts do not all choose the same engine', () => {
+  test('many VMs with the same counts do not all select the same engine', () => {
     const engines = Array.from({length: 40}, (_, at) => engineOf(`${at}`));
-    // One engine is emptier than all others.
+    // One engine has a lower load than all others.
     const onlineAt = (id: string): number => (id === '0' ? 2 : 4);
     const random = seededRandom(11);
-    const chosenBy = (unseen: number): number =>
-      Array.from({length: 200}, () => place(engines, {onlineAt, random, unseen})).filter(
+    const chosenBy = (unreported: number): number =>
+      Array.from({length: 200}, () => place(engines, {onlineAt, random, unreported})).filter(
         (id) => id === '0',
       ).length;
     expect(chosenBy(1)).toBe(200);
     expect(chosenBy(20)).toBeLessThan(25);
   });
 
-  test('never takes more requests to an engine than a draw of two would, with many unseen', () => {
+  test('with many unreported requests, no engine gets more than with two random choices', () => {
     const engines = Array.from({length: 40}, (_, at) => engineOf(`${at}`));
     const random = seededRandom(12);
     const placed = new Map<string, number>();
-    // Forty requests are placed before any count is told.
+    // All forty requests are placed before any count is reported.
     for (let request = 0; request < 40; request++) {
-      const id = place(engines, {onlineAt: (at) => Number(at) % 5, random, unseen: 20})!;
+      const id = place(engines, {onlineAt: (at) => Number(at) % 5, random, unreported: 20})!;
       placed.set(id, (placed.get(id) ?? 0) + 1);
     }
     expect(Math.max(...placed.values())).toBeLessThanOrEqual(6);
   });
 
-  test('keeps off a suspect, but takes it when there is no other', () => {
-    const suspect = healthAfterAttempt(INITIAL_HEALTH, false, 900);
-    const experienceOf = ({id}: EngineView) => (id === '1' ? suspect : INITIAL_HEALTH);
+  test('avoids an engine that failed, but selects it when there is no other', () => {
+    const failed = healthAfterAttempt(INITIAL_HEALTH, false, 900);
+    const healthOf = ({id}: EngineView) => (id === '1' ? failed : INITIAL_HEALTH);
     expect(
-      place([engineOf('1'), engineOf('2')], {experienceOf, onlineAt: (id) => (id === '2' ? 7 : 0)}),
+      place([engineOf('1'), engineOf('2')], {healthOf, onlineAt: (id) => (id === '2' ? 7 : 0)}),
     ).toBe('2');
-    expect(place([engineOf('1')], {experienceOf})).toBe('1');
+    expect(place([engineOf('1')], {healthOf})).toBe('1');
   });
 
-  test('keeps off an engine that others have found silent', () => {
-    const isSuspect = (id: string) => id === '1';
+  test('avoids an engine that was reported as unresponsive', () => {
+    const isUnresponsive = (id: string) => id === '1';
     expect(
-      place([engineOf('1'), engineOf('2')], {isSuspect, onlineAt: (id) => (id === '2' ? 7 : 0)}),
+      place([engineOf('1'), engineOf('2')], {
+        isUnresponsive,
+        onlineAt: (id) => (id === '2' ? 7 : 0),
+      }),
     ).toBe('2');
   });
 
-  test('believes its own recent answer more than silence towards others', () => {
+  test('an own recent success outweighs missing heartbeats', () => {
     const silent = engineOf('1', {silent: true});
     expect(isHealthy(silent, INITIAL_HEALTH, 1_000)).toBe(false);
     expect(isHealthy(silent, healthAfterAttempt(INITIAL_HEALTH, true, 500), 1_000)).toBe(true);
   });
 });
 
-describe('afterAttempt', () => {
-  test('keeps off for longer with each failure in a row, up to a limit', () => {
-    let seen = INITIAL_HEALTH;
-    const pauses = Array.from({length: 6}, () => {
-      seen = healthAfterAttempt(seen, false, 0);
-      return seen.suspectUntil;
+describe('healthAfterAttempt', () => {
+  test('backs off longer after each consecutive failure, up to a limit', () => {
+    let health = INITIAL_HEALTH;
+    const backoffs = Array.from({length: 6}, () => {
+      health = healthAfterAttempt(health, false, 0);
+      return health.avoidUntil;
     });
-    expect(pauses).toEqual([500, 1_000, 2_000, 4_000, 4_000, 4_000]);
-    expect(healthAfterAttempt(seen, true, 0).failures).toBe(0);
+    expect(backoffs).toEqual([500, 1_000, 2_000, 4_000, 4_000, 4_000]);
+    expect(healthAfterAttempt(health, true, 0).failures).toBe(0);
   });
 });
 
-describe('drawService', () => {
-  test('follows the weights and never draws a weight of 0', () => {
+describe('selectService', () => {
+  test('follows the weights and never selects a weight of 0', () => {
     const random = seededRandom(3);
     const split = [
       {service: 'a', weight: 90},
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
@@ -1,5 +1,6 @@
 /**
- * Requests that end engines, and requests that only stood beside: what each VM finds, and what it does with it.
+ * Guards against requests that crash engine after engine, and against quarantine of requests that only ran beside
+ * them.
  */
 import {delay, VERDICT_HEADER} from 'stallpaddle';
 import {HELD_LEVEL} from 'stallpaddle-fleet';
@@ -11,11 +12,11 @@
 import {requestDigest} from '../../RelayDigest';
 import {hasExited} from '../../RelayProbe';
 import {isStarting} from '../../RelaySuspects';
-import {ask, contextOf, routeOf, startEngines, startRelay, stopAll} from '../RelayFixture';
+import {contextOf, routeOf, sendRequest, startEngines, startRelay, stopAll} from '../RelayFixture';
 
 const FATAL = 'ends engines';
-/** Time in which an end is looked into, in milliseconds: three looks and their pauses. */
-const LOOKED_MS = 400;
+/** Time in which the check of an engine completes, in milliseconds: all probes and their pauses. */
+const CHECK_MS = 400;
 
 afterEach(stopAll);
 
@@ -28,31 +29,31 @@
   return engines;
 }
 
-function endedOf(engines: readonly StreamEngine[]): number {
+function crashedCount(engines: readonly StreamEngine[]): number {
   return engines.filter(({seen}) => seen.some(({body}) => body === FATAL)).length;
 }
 
-/** The context of one more VM before the same engines. */
+/** Context of another VM with the same engines. */
 function contextAt(board: SuspectBoard, engines: readonly StreamEngine[]): RelayContext {
   const context = contextOf(engines);
   return {...context, suspects: board.view(plainRelay, context.engines)};
 }
 
-describe('a request that ends engines', () => {
+describe('a request that crashes engines', () => {
   test.each([0, 1])(
-    'one attempt ends two engines at most (ends after event %i)',
+    'one attempt crashes two engines at most (crash after event %i)',
     async (events) => {
       const engines = await startFatal(6, events);
       const {ends, port} = await startRelay(contextOf(engines), routeOf({maxAttempts: 4}));
-      const answer = await ask(port, undefined, {}, FATAL);
-      expect(endedOf(engines)).toBe(2);
-      // What ran is never said not to have run.
-      expect(answer.isWhole ? answer.status : 0).not.toBe(503);
+      const response = await sendRequest(port, undefined, {}, FATAL);
+      expect(crashedCount(engines)).toBe(2);
+      // A request that ran is never reported as not run.
+      expect(response.isComplete ? response.status : 0).not.toBe(503);
       expect(['broken', 'refused']).toContain(ends[0]);
     },
   );
 
-  test('what may not be repeated is answered at once, and found out all the same', async () => {
+  test('a request that may not be repeated gets its response at once and is still detected', async () => {
     const board = new SuspectBoard();
     const engines = await startFatal(6);
     const route = routeOf({maxAttempts: 1, resumable: false});
@@ -62,104 +63,107 @@
     const statuses: number[] = [];
     for (const {port} of relays) {
       const sentAt = performance.now();
-      statuses.push((await ask(port, undefined, {}, FATAL)).status);
-      expect(performance.now() - sentAt).toBeLessThan(LOOKED_MS);
-      await delay(LOOKED_MS);
+      statuses.push((await sendRequest(port, undefined, {}, FATAL)).status);
+      expect(performance.now() - sentAt).toBeLessThan(CHECK_MS);
+      await delay(CHECK_MS);
     }
     expect(statuses).toEqual([502, 502, 503]);
-    expect(endedOf(engines)).toBe(2);
+    expect(crashedCount(engines)).toBe(2);
   });
 
-  test('is refused at every VM before it runs, with the time for which it is held; others are served', async () => {
+  test('is refused at every VM with the quarantine time as retry-after; other requests are served', async () => {
     const board = new SuspectBoard();
     const engines = await startFatal(6);
     const route = routeOf();
     const [first, second] = await Promise.all(
       [1, 2].map(() => startRelay(contextAt(board, engines), route)),
     );
-    await ask(first!.port, undefined, {}, FATAL);
-    await delay(LOOKED_MS);
-    const refused = await ask(second!.port, undefined, {}, FATAL);
-    expect(refused).toMatchObject({isWhole: true, status: 503});
+    await sendRequest(first!.port, undefined, {}, FATAL);
+    await delay(CHECK_MS);
+    const refused = await sendRequest(second!.port, undefined, {}, FATAL);
+    expect(refused).toMatchObject({isComplete: true, status: 503});
     expect(refused.headers[VERDICT_HEADER]).toBe('notRun');
     expect(Number(refused.headers['retry-after'])).toBeGreaterThan(60);
-    // One byte more, another caller or another path: another request.
-    expect((await ask(second!.port, undefined, {}, `${FATAL}.`)).status).toBe(200);
+    // A request with one more byte is a different one.
+    expect((await sendRequest(second!.port, undefined, {}, `${FATAL}.`)).status).toBe(200);
   });
 
-  test('two VMs that run it at the same moment: both ends make one', async () => {
+  test('concurrent crashes at two VMs raise the level only once', async () => {
     const board = new SuspectBoard();
     const engines = await startFatal(6);
     const route = routeOf({maxAttempts: 1, resumable: false});
     const relays = await Promise.all(
       [1, 2].map(() => startRelay(contextAt(board, engines), route)),
     );
-    await Promise.all(relays.map(({port}) => ask(port, undefined, {}, FATAL)));
-    await delay(LOOKED_MS);
+    await Promise.all(relays.map(({port}) => sendRequest(port, undefined, {}, FATAL)));
+    await delay(CHECK_MS);
     const [suspect] = board.suspects.values();
     expect(suspect!.level).toBeLessThan(HELD_LEVEL);
   });
 
-  test('counts at the VM that saw it though nobody can be told', async () => {
+  test('is quarantined at the VM that detected it even if it can’t be recorded', async () => {
     const board = new SuspectBoard();
     board.isTold = false;
     const engines = await startFatal(6);
     const {port} = await startRelay(contextAt(board, engines), routeOf());
-    await ask(port, undefined, {}, FATAL);
-    expect((await ask(port, undefined, {}, FATAL)).status).toBe(503);
-    expect(endedOf(engines)).toBe(2);
+    await sendRequest(port, undefined, {}, FATAL);
+    expect((await sendRequest(port, undefined, {}, FATAL)).status).toBe(503);
+    expect(crashedCount(engines)).toBe(2);
   });
 });
 
-describe('a request that ends no engine', () => {
+describe('a request that crashes no engine', () => {
   test.each(['reset', 'wrongRequest'] as const)(
-    'is no suspect when engines that live answer with %s',
+    'is no suspect when live engines respond with %s',
     async (kind) => {
       const board = new SuspectBoard();
       const engines = await startEngines(2);
       engines.forEach((engine) => (engine.manners = [{kind}, {kind}, {kind}]));
       const {port} = await startRelay(contextAt(board, engines), routeOf());
-      await ask(port);
-      await delay(LOOKED_MS);
+      await sendRequest(port);
+      await delay(CHECK_MS);
       expect(board.suspects.size).toBe(0);
     },
   );
 
-  test('is cleared for all VMs by a run to its end', async () => {
+  test('is cleared for all VMs by a complete run', async () => {
     const board = new SuspectBoard();
     const engines = await startEngines(3);
     const [first, second] = await Promise.all(
       [1, 2].map(() => startRelay(contextAt(board, engines), routeOf())),
     );
     engines.forEach((engine) => (engine.manners = [{after: 1, kind: 'pause'}]));
-    const asked = ask(first!.port);
+    const asked = sendRequest(first!.port);
     await delay(50);
     const busy = engines.find(({seen}) => seen.length > 0)!;
     engines.forEach((engine) => (engine.manners = [{kind: 'reset'}]));
-    // Ends by a cause from outside, soon after the request began.
+    // Exits for an external reason soon after the request started.
     await busy.stop();
     await asked;
-    await delay(LOOKED_MS);
+    await delay(CHECK_MS);
     engines.forEach((engine) => (engine.manners = []));
-    expect((await ask(second!.port)).status).toBe(200);
+    expect((await sendRequest(second!.port)).status).toBe(200);
     expect(board.suspects.size).toBe(0);
   });
 
   /**
-   * Seen with no other load: a stream that had passed several events was broken off. Others with the same body had stood beside
-   * two ends, so its next engine was refused to it, though its own run had shown that it ends no engine.
+   * Guards against aborting a stream that has shown that it crashes no engine, because requests with the same digest
+   * were running when two engines exited.
    */
-  test('that goes on from event to event is no suspect, and its stream goes on at the next engine', async () => {
+  test('that continues past its first events is no suspect, and its stream is resumed at the next engine', async () => {
     const board = new SuspectBoard();
     const engines = await startFatal(6, 2);
     const {port} = await startRelay(contextAt(board, engines), routeOf());
-    expect(await ask(port, undefined, {}, FATAL)).toMatchObject({isWhole: true, status: 200});
-    expect(endedOf(engines)).toBe(3);
-    await delay(LOOKED_MS);
+    expect(await sendRequest(port, undefined, {}, FATAL)).toMatchObject({
+      isComplete: true,
+      status: 200,
+    });
+    expect(crashedCount(engines)).toBe(3);
+    await delay(CHECK_MS);
     expect(board.suspects.size).toBe(0);
   });
 
-  test('is cleared once a run of it goes on past its begin, and goes on though it was held meanwhile', async () => {
+  test('is cleared once a run passes its start, and continues although it was quarantined meanwhile', async () => {
     const board = new SuspectBoard();
     const engines = await startEngines(3);
     const context = contextAt(board, engines);
@@ -182,7 +186,7 @@
     };
     await suspect(0);
     engines.forEach((engine) => (engine.manners = [{after: 2, kind: 'pause'}]));
-    const asked = ask(port);
+    const asked = sendRequest(port);
     await delay(100);
     expect(board.suspects.size).toBe(0);
     await suspect(0);
@@ -190,11 +194,11 @@
     expect(others.levelOf(digest)).toBe(HELD_LEVEL);
     engines.forEach((engine) => (engine.manners = []));
     await engines.find(({seen}) => seen.length > 0)!.stop();
-    expect(await asked).toMatchObject({isWhole: true, status: 200});
+    expect(await asked).toMatchObject({isComplete: true, status: 200});
     expect(others.levelOf(digest)).toBe(0);
   });
 
-  test('is no suspect of an engine that said it would end', async () => {
+  test('is no suspect when the engine was draining or removed', async () => {
     const board = new SuspectBoard();
     const [engine] = await startEngines(1);
     const [view] = contextOf([engine!]).engines();
@@ -206,16 +210,20 @@
     expect(await board.view(plainRelay, () => [view!]).noteInterruption(run)).toBe(true);
   });
 
-  test('long past its first event it is no suspect', () => {
-    const begunAt = (firstAt: number | undefined, events = 0): boolean =>
+  test('is no suspect long after its first event', () => {
+    const isStartingAt = (firstAt: number | undefined, events = 0): boolean =>
       isStarting({events, firstAt}, 10_000);
-    expect([begunAt(undefined), begunAt(9_900), begunAt(9_900, 1)]).toEqual([true, true, true]);
-    expect([begunAt(9_000), begunAt(9_900, 2)]).toEqual([false, false]);
+    expect([isStartingAt(undefined), isStartingAt(9_900), isStartingAt(9_900, 1)]).toEqual([
+      true,
+      true,
+      true,
+    ]);
+    expect([isStartingAt(9_000), isStartingAt(9_900, 2)]).toEqual([false, false]);
   });
 });
 
-describe('whether an engine has ended', () => {
-  test('one that answers lives, one that refuses connections has ended', async () => {
+describe('hasExited', () => {
+  test('is false for an engine that responds, true for one that refuses connections', async () => {
     const [engine] = await startEngines(1);
     const [view] = contextOf([engine!]).engines();
     expect(await hasExited(plainRelay, view!)).toBe(false);
@@ -223,7 +231,7 @@
     expect(await hasExited(plainRelay, view!)).toBe(true);
   });
 
-  test('nothing is known of one that takes connections and says nothing', async () => {
+  test('is false for an engine that accepts connections and does not respond', async () => {
     const [engine] = await startEngines(1);
     const [view] = contextOf([engine!]).engines();
     engine!.tellsOccupancy = false;
@@ -231,7 +239,7 @@
   });
 });
 
-describe('what makes two requests the same', () => {
+describe('requestDigest', () => {
   const input = {body: Buffer.from('b'), caller: 'k', host: 'h', method: 'POST', path: '/a?b'};
 
   test.each([
@@ -241,16 +249,16 @@
     {method: 'PUT'},
     {path: '/a'},
     {caller: 'kk', host: ''},
-  ])('another %o is another request', (other) => {
+  ])('differs for another %o', (other) => {
     expect(requestDigest({...input, ...other})).not.toBe(requestDigest(input));
   });
 
-  test('a host name in other letters is the same', () => {
+  test('ignores the case of the host name', () => {
     expect(requestDigest({...input, host: 'H'})).toBe(requestDigest(input));
   });
 
-  test('the caller’s key tells callers apart', () => {
-    const facts = plainRelay.readCaller({authorization: 'Bearer k', [PLAIN.request]: 'q'});
-    expect(facts!.caller).toBe('Bearer k');
+  test('distinguishes callers by their key', () => {
+    const metadata = plainRelay.readCaller({authorization: 'Bearer k', [PLAIN.request]: 'q'});
+    expect(metadata!.caller).toBe('Bearer k');
   });
 });
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -1,6 +1,5 @@
-/** Brings callers' requests to engines and the answers back. */
-export {sendRefusal} from './RelayAnswers';
 export {SERVER_ERROR} from './RelayConstants';
+export {RelayDeadlines} from './RelayDeadlines';
 export {type DigestInput, requestDigest} from './RelayDigest';
 export {
   type EngineCall,
@@ -10,12 +9,14 @@
   splitAddress,
   startEngineCall,
 } from './RelayEngineCall';
-export {isNextEvent, EventSplitter, type StreamEvent} from './RelayEvents';
 export {type EngineIncarnation, RelayEngineHealth} from './RelayEngineHealth';
+export {EventSplitter, isNextEvent, type StreamEvent} from './RelayEvents';
 export {forwardedHeaders} from './RelayHeaders';
-export {type OnlineCounts, RelayOnlineLoad} from './RelayOnlineLoad';
 export {RelayLatencies} from './RelayLatencies';
+export {type OnlineCounts, RelayOnlineLoad} from './RelayOnlineLoad';
 export {type EngineHealth, isHealthy} from './RelayPlacement';
+/** Relays callers' requests to engines and the responses back. */
+export {sendRefusal} from './RelayRefusals';
 export {RelayRun} from './RelayRun';
 export {
   isStarting,
@@ -24,13 +25,12 @@
   type RunProgress,
 } from './RelaySuspects';
 export type {RelayCaller, RelayContext, RelayDecision, RelayEnd, RelayRequest} from './RelayTypes';
-export {RelayDeadlines} from './RelayDeadlines';
 export type {
-  ResponseMetadata,
   CallerMetadata,
   EngineCallMetadata,
-  EngineOccupancy,
   EngineControlRequest,
+  EngineOccupancy,
   HeaderLine,
   RelayWire,
+  ResponseMetadata,
 } from './RelayWire';
--- a/packages/stallpaddle-testing/src/PlainWire.ts
+++ b/packages/stallpaddle-testing/src/PlainWire.ts
@@ -44,12 +44,6 @@
     return lines;
   },
   occupancyPath: PLAIN.occupancy,
-  readResponse: (status, headers) => ({
-    notRun: headers[PLAIN.declined] !== undefined,
-    otherEngine: status === 421,
-    requestId: text(headers[PLAIN.request]),
-    signed: headers[PLAIN.signature] !== undefined,
-  }),
   readCaller: (headers) => {
     const requestId = text(headers[PLAIN.request]);
     const deadline = text(headers[PLAIN.timeLeft]);
@@ -66,7 +60,17 @@
     const running = body.split(' ').filter((id) => id !== '');
     return {running, total: running.length};
   },
+  readResponse: (status, headers) => ({
+    notRun: headers[PLAIN.declined] !== undefined,
+    otherEngine: status === 421,
+    requestId: text(headers[PLAIN.request]),
+    signed: headers[PLAIN.signature] !== undefined,
+  }),
   readRetainedState: (body) => (body === '' ? null : body),
-  releaseRetainedState: (remains) => ({body: '', method: 'DELETE', path: `${PLAIN.stop}/${remains}`}),
+  releaseRetainedState: (remains) => ({
+    body: '',
+    method: 'DELETE',
+    path: `${PLAIN.stop}/${remains}`,
+  }),
   stopRun: (requestId) => ({body: '', method: 'POST', path: `${PLAIN.stop}/${requestId}`}),
 };
