--- a/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
+++ b/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
@@ -16,7 +16,7 @@
 const NO_PROGRESS: RunProgress = {events: 0, firstAt: undefined};
 
 /**
- * Collects evidence on whether one request crashes engines, over all its runs in this process: how many engines
+ * Collects evidence on whether one caller's request crashes engines, over all engines that it is sent to: how many
  * exited while they started it, and whether one ran it past its start.
  */
 export class RelayCrashEvidence {
@@ -25,10 +25,7 @@
   /** Number of engines that were found to have exited so far; checks run one after the other. */
   private exits = Promise.resolve(0);
   private wasInterrupted = false;
-  /**
-   * Whether an engine has run the request past its start in this process, which shows that it doesn't crash every
-   * engine.
-   */
+  /** Whether an engine has run this request past its start, which shows that it doesn't crash every engine. */
   private isCleared = false;
   /** Suspicion level of the request when its current run started. */
   private startLevel = 0;
@@ -72,7 +69,7 @@
 
   /**
    * Time for which the request remains quarantined, in milliseconds; undefined when it is not. A request that has run
-   * past its start here is not quarantined, whatever others with the same digest did: its stream would be aborted.
+   * past its start is not quarantined, whatever others with the same digest did: its stream would be aborted.
    */
   quarantineMs(): number | undefined {
     if (this.level < HELD_LEVEL) {
@@ -130,7 +127,7 @@
     if (!isStarting(this.progress, clock.monotonicMs())) {
       return;
     }
-    const known = this.startLevel;
+    const {startLevel: known} = this;
     const isFirst = !this.wasInterrupted && known === 0;
     this.wasInterrupted = true;
     this.exits = this.exits.then((exits) =>
--- a/packages/stallpaddle-relay/src/RelayEngineCall.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineCall.ts
@@ -33,7 +33,7 @@
 
 /** Outcome of an attempt up to the response head. */
 export type EngineCallStart =
-  | {readonly metadata: ResponseMetadata; readonly kind: 'answer'; readonly res: IncomingMessage}
+  | {readonly kind: 'answer'; readonly metadata: ResponseMetadata; readonly res: IncomingMessage}
   | {readonly kind: 'mayHaveRun'; readonly reason: string}
   | {readonly kind: 'notRun'; readonly reason: NotRunReason};
 
--- a/packages/stallpaddle-relay/src/RelayEngineSelector.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineSelector.ts
@@ -61,7 +61,7 @@
     return this.hasAttemptLeft || this.sends < MAX_SENDS;
   }
 
-  /** Whether too many engines have declined the request to try another one. */
+  /** Whether so many engines have declined the request that no other one is tried. */
   get isDeclined(): boolean {
     return this.declines >= MAX_DECLINES;
   }
--- a/packages/stallpaddle-relay/src/RelayForwarder.ts
+++ b/packages/stallpaddle-relay/src/RelayForwarder.ts
@@ -16,10 +16,10 @@
   readonly isOver: () => boolean;
   /** Id of the last event that the caller already has; null for none. */
   readonly lastEventId: string | null;
-  /** Called once, before the response head is written. */
-  readonly onHead: () => void;
   /** Called for each chunk of a stream with the number of events that it completes. */
   readonly onChunk: (events: number) => void;
+  /** Called once, before the response head is written. */
+  readonly onHead: () => void;
   /** The caller's response. */
   readonly res: ServerResponse;
 }
@@ -29,7 +29,9 @@
   private lastId: string | null;
   private readonly res: ServerResponse;
 
-  /** @param options dependencies on the request */
+  /**
+   * @param options dependencies on the request
+   */
   constructor(private readonly options: RelayForwarderOptions) {
     this.lastId = options.lastEventId;
     this.res = options.res;
--- a/packages/stallpaddle-relay/src/RelayLatencies.ts
+++ b/packages/stallpaddle-relay/src/RelayLatencies.ts
@@ -3,11 +3,11 @@
  */
 import {LearnedLimit} from 'stallpaddle';
 
-/** Learned latency limits; an attempt that exceeds one is moved to another engine. */
+/** Learned latency limits of engines. An attempt that exceeds one may be moved to another engine. */
 export class RelayLatencies {
   /**
-   * Time to establish a connection. The lower bound covers a busy VM, the upper one stays below the usual objective
-   * of a request and the retransmission of a lost SYN.
+   * Time to establish a connection. The lower bound tolerates a busy VM; the upper one is shorter than the
+   * retransmission timeout of a lost SYN and leaves time to try another engine within the objective.
    */
   readonly connect = new LearnedLimit({leastMs: 40, mostMs: 250, startMs: 5});
   /**
--- a/packages/stallpaddle-relay/src/RelayPlacement.ts
+++ b/packages/stallpaddle-relay/src/RelayPlacement.ts
@@ -8,11 +8,11 @@
 
 /** Health of an engine, as one sender has observed it. */
 export interface EngineHealth {
+  /** Until then the engine is used only when no other engine is available. */
+  readonly avoidUntil: MonotonicMs;
   /** Number of consecutive failures. */
   readonly failures: number;
   readonly lastSuccessAt: MonotonicMs;
-  /** Until then the engine is used only when no other engine is available. */
-  readonly avoidUntil: MonotonicMs;
 }
 
 /** Time for which a successful attempt outweighs a report that the engine sends no heartbeat, in milliseconds. */
@@ -56,14 +56,14 @@
  * Whether an engine is considered healthy.
  *
  * @param engine the engine in the fleet view
- * @param seen its health as this sender has observed it
+ * @param health its health as this sender has observed it
  * @param now current time
  */
-export function isHealthy(engine: EngineView, seen: EngineHealth, now: MonotonicMs): boolean {
-  if (now < seen.avoidUntil) {
+export function isHealthy(engine: EngineView, health: EngineHealth, now: MonotonicMs): boolean {
+  if (now < health.avoidUntil) {
     return false;
   }
-  return !engine.silent || now - seen.lastSuccessAt < SUCCESS_VALID_MS;
+  return !engine.silent || now - health.lastSuccessAt < SUCCESS_VALID_MS;
 }
 
 /**
@@ -86,8 +86,6 @@
 
 /** Input of the selection. */
 export interface PlacementInput {
-  /** Digest of a suspect request, which is placed apart from other suspects; null for any other request. */
-  readonly suspectDigest: null | string;
   readonly engines: readonly EngineView[];
   readonly healthOf: (engine: EngineView) => EngineHealth;
   /** Whether the dispatcher has reported an engine as unresponsive. */
@@ -97,6 +95,8 @@
   readonly onlineAt: (id: EngineId) => number;
   readonly random: Random;
   readonly service: string;
+  /** Digest of a suspect request, which is placed apart from other suspects; null for any other request. */
+  readonly suspectDigest: null | string;
   /** Engines that the request was already sent to; they are excluded. */
   readonly tried: ReadonlySet<EngineId>;
   /** Estimated number of requests that other VMs have placed since their last report. */
@@ -143,9 +143,9 @@
 }
 
 /**
- * Selects an engine for a suspect request. Requests that one engine's exit interrupted are retried by many VMs at
- * once; rendezvous hashing of their digests spreads them over the engines, so that another crash rarely interrupts
- * the same set.
+ * Selects an engine for a suspect request. Many VMs retry at once the requests that one engine's exit interrupted;
+ * rendezvous hashing of their digests spreads them over the engines, so that two of them rarely share an engine that
+ * crashes next.
  */
 function selectForSuspect(
   engines: readonly EngineView[],
--- a/packages/stallpaddle-relay/src/RelayRun.ts
+++ b/packages/stallpaddle-relay/src/RelayRun.ts
@@ -217,8 +217,8 @@
   }
 
   /**
-   * Waits for an engine if the response has started or the request can still meet its objective; refuses it
-   * otherwise.
+   * Waits for an engine if the response has started, or if engines were unreachable and the objective can still be
+   * met; otherwise refuses the request.
    */
   private async onNoEngine(): Promise<void> {
     if (this.res.headersSent) {
--- a/packages/stallpaddle-relay/src/RelayStallDetector.ts
+++ b/packages/stallpaddle-relay/src/RelayStallDetector.ts
@@ -11,19 +11,20 @@
 
 /** Dependencies on the request. */
 export interface RelayStallDetectorOptions {
-  readonly clock: Clock;
   /** Ends the attempt; the fields give the reason in the log. */
   readonly abandon: (fields: LogFields) => void;
-  /** Whether the stream can be resumed at another engine. */
-  readonly isResumable: boolean;
   /** Whether another engine has a free slot for the request. */
   readonly canMove: () => boolean;
+  readonly clock: Clock;
+  /** Whether the stream can be resumed at another engine. */
+  readonly isResumable: boolean;
   readonly latencies: RelayLatencies;
 }
 
 /**
- * Ends an attempt whose engine stalls, and learns the usual latencies of engines. A pause that is longer than usual
- * ends the attempt as soon as another engine has a free slot, a pause of the maximum length in any case.
+ * Ends an attempt of a resumable stream whose engine stalls, and learns the usual latencies of engines. A pause that
+ * is longer than usual ends the attempt as soon as another engine has a free slot, a pause of the maximum length in
+ * any case.
  */
 export class RelayStallDetector {
   /** Whether the engine had a free slot when the request was sent. */
@@ -34,7 +35,9 @@
   private hasStalled = false;
   private cancelCheck: () => void = () => {};
 
-  /** @param options dependencies on the request */
+  /**
+   * @param options dependencies on the request
+   */
   constructor(private readonly options: RelayStallDetectorOptions) {}
 
   /** Whether the attempt was ended because the engine stalled. */
--- a/packages/stallpaddle-relay/src/RelaySuspects.ts
+++ b/packages/stallpaddle-relay/src/RelaySuspects.ts
@@ -1,5 +1,5 @@
 /**
- * Requests during whose runs engines exited.
+ * Suspicion levels of requests that may crash engines.
  */
 import type {Clock, LogFields, MonotonicMs} from 'stallpaddle';
 
@@ -85,7 +85,9 @@
   private indexedSuspects: readonly SuspectView[] = [];
   private readonly localLevels = new Map<string, LocalLevel>();
 
-  /** @param options dependencies */
+  /**
+   * @param options dependencies
+   */
   constructor(private readonly options: RelaySuspectsOptions) {}
 
   /** Whether there are no suspects, so that no digests need to be computed. */
@@ -154,7 +156,7 @@
     return now === undefined || (now.startedAtMs === startedAtMs && now.draining);
   }
 
-  /** Records a finding, with retries: the group may have no leader until a VM is replaced. */
+  /** Records a finding, with retries: the group may have no leader until a VM is repaired. */
   private async record(finding: NoteEngineEnd | ReleaseRequest): Promise<void> {
     for (let tries = 0; tries < MAX_RECORD_ATTEMPTS; tries++) {
       try {
--- a/packages/stallpaddle-relay/src/RelayTypes.ts
+++ b/packages/stallpaddle-relay/src/RelayTypes.ts
@@ -23,9 +23,9 @@
   readonly arrivedAt: MonotonicMs;
   readonly body: Uint8Array;
   readonly caller: RelayCaller;
-  readonly metadata: CallerMetadata;
   /** Host to which the caller addressed the request. */
   readonly host: string;
+  readonly metadata: CallerMetadata;
   readonly method: string;
   /** Path and query, unchanged. */
   readonly path: string;
@@ -57,10 +57,10 @@
   readonly clock: Clock;
   /** Logs one decision. */
   readonly decide: (decision: RelayDecision, requestId: string, fields: LogFields) => void;
-  readonly engines: () => readonly EngineView[];
   readonly engineHealth: RelayEngineHealth;
-  readonly online: RelayOnlineLoad;
+  readonly engines: () => readonly EngineView[];
   readonly latencies: RelayLatencies;
+  readonly online: RelayOnlineLoad;
   readonly random: Random;
   readonly suspects: RelaySuspects;
   /** Age of this process's fleet view, in milliseconds. */
--- a/packages/stallpaddle-relay/src/RelayWire.ts
+++ b/packages/stallpaddle-relay/src/RelayWire.ts
@@ -70,15 +70,15 @@
   readonly engineHeaders: (metadata: EngineCallMetadata) => readonly HeaderLine[];
   /** Path at which an engine reports its occupancy. */
   readonly occupancyPath: string;
-  readonly readResponse: (status: number, headers: IncomingHttpHeaders) => ResponseMetadata;
   /** Returns null when the request lacks required metadata. */
   readonly readCaller: (headers: IncomingHttpHeaders) => CallerMetadata | null;
   /** Parses an occupancy report; null when it is invalid. */
   readonly readOccupancy: (text: string) => EngineOccupancy | null;
+  readonly readResponse: (status: number, headers: IncomingHttpHeaders) => ResponseMetadata;
   /** Reads from the response to a stop request which state the stopped run has left at its engine; null for none. */
   readonly readRetainedState: (text: string) => null | string;
   /** Control request that releases the state of a stopped run. */
-  readonly releaseRetainedState: (remains: string) => EngineControlRequest;
+  readonly releaseRetainedState: (state: string) => EngineControlRequest;
   /**
    * Control request that stops a run whose connection can't be closed.
    *
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayPlacement.test.ts
@@ -112,7 +112,7 @@
     ).toBe('2');
   });
 
-  test('an own recent success outweighs missing heartbeats', () => {
+  test('a recent success of this sender outweighs missing heartbeats', () => {
     const silent = engineOf('1', {silent: true});
     expect(isHealthy(silent, INITIAL_HEALTH, 1_000)).toBe(false);
     expect(isHealthy(silent, healthAfterAttempt(INITIAL_HEALTH, true, 500), 1_000)).toBe(true);
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
@@ -229,7 +229,7 @@
   /**
    * Context whose first engines have exited but are still listed as ready; the last one serves and has a higher load.
    */
-  async function contextAfterEnds(ended: number): Promise<RelayContext> {
+  async function contextAfterExits(ended: number): Promise<RelayContext> {
     const engines = await startEngines(ended + 1);
     const context = contextOf(engines);
     await Promise.all(engines.slice(0, ended).map((engine) => engine.stop()));
@@ -241,7 +241,7 @@
   test.each([1, 4, 7])(
     'a request is served when %i engines have exited and the fleet view still lists them',
     async (ended) => {
-      const {port} = await startRelay(await contextAfterEnds(ended), routeOf({maxAttempts: 1}));
+      const {port} = await startRelay(await contextAfterExits(ended), routeOf({maxAttempts: 1}));
       expect(await sendRequest(port)).toMatchObject({isComplete: true, status: 200});
     },
   );
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
@@ -20,7 +20,10 @@
 
 afterEach(stopAll);
 
-async function startFatal(count: number, eventsBeforeEnd = 0): Promise<readonly StreamEngine[]> {
+async function startCrashingEngines(
+  count: number,
+  eventsBeforeEnd = 0,
+): Promise<readonly StreamEngine[]> {
   const engines = await startEngines(count);
   engines.forEach((engine) => {
     engine.fatal.add(FATAL);
@@ -34,7 +37,7 @@
 }
 
 /** Context of another VM with the same engines. */
-function contextAt(board: SuspectBoard, engines: readonly StreamEngine[]): RelayContext {
+function contextOfVm(board: SuspectBoard, engines: readonly StreamEngine[]): RelayContext {
   const context = contextOf(engines);
   return {...context, suspects: board.view(plainRelay, context.engines)};
 }
@@ -43,7 +46,7 @@
   test.each([0, 1])(
     'one attempt crashes two engines at most (crash after event %i)',
     async (events) => {
-      const engines = await startFatal(6, events);
+      const engines = await startCrashingEngines(6, events);
       const {ends, port} = await startRelay(contextOf(engines), routeOf({maxAttempts: 4}));
       const response = await sendRequest(port, undefined, {}, FATAL);
       expect(crashedCount(engines)).toBe(2);
@@ -55,10 +58,10 @@
 
   test('a request that may not be repeated gets its response at once and is still detected', async () => {
     const board = new SuspectBoard();
-    const engines = await startFatal(6);
+    const engines = await startCrashingEngines(6);
     const route = routeOf({maxAttempts: 1, resumable: false});
     const relays = await Promise.all(
-      [1, 2, 3].map(() => startRelay(contextAt(board, engines), route)),
+      [1, 2, 3].map(() => startRelay(contextOfVm(board, engines), route)),
     );
     const statuses: number[] = [];
     for (const {port} of relays) {
@@ -73,10 +76,10 @@
 
   test('is refused at every VM with the quarantine time as retry-after; other requests are served', async () => {
     const board = new SuspectBoard();
-    const engines = await startFatal(6);
+    const engines = await startCrashingEngines(6);
     const route = routeOf();
     const [first, second] = await Promise.all(
-      [1, 2].map(() => startRelay(contextAt(board, engines), route)),
+      [1, 2].map(() => startRelay(contextOfVm(board, engines), route)),
     );
     await sendRequest(first!.port, undefined, {}, FATAL);
     await delay(CHECK_MS);
@@ -90,10 +93,10 @@
 
   test('concurrent crashes at two VMs raise the level only once', async () => {
     const board = new SuspectBoard();
-    const engines = await startFatal(6);
+    const engines = await startCrashingEngines(6);
     const route = routeOf({maxAttempts: 1, resumable: false});
     const relays = await Promise.all(
-      [1, 2].map(() => startRelay(contextAt(board, engines), route)),
+      [1, 2].map(() => startRelay(contextOfVm(board, engines), route)),
     );
     await Promise.all(relays.map(({port}) => sendRequest(port, undefined, {}, FATAL)));
     await delay(CHECK_MS);
@@ -104,8 +107,8 @@
   test('is quarantined at the VM that detected it even if it can’t be recorded', async () => {
     const board = new SuspectBoard();
     board.isTold = false;
-    const engines = await startFatal(6);
-    const {port} = await startRelay(contextAt(board, engines), routeOf());
+    const engines = await startCrashingEngines(6);
+    const {port} = await startRelay(contextOfVm(board, engines), routeOf());
     await sendRequest(port, undefined, {}, FATAL);
     expect((await sendRequest(port, undefined, {}, FATAL)).status).toBe(503);
     expect(crashedCount(engines)).toBe(2);
@@ -119,7 +122,7 @@
       const board = new SuspectBoard();
       const engines = await startEngines(2);
       engines.forEach((engine) => (engine.manners = [{kind}, {kind}, {kind}]));
-      const {port} = await startRelay(contextAt(board, engines), routeOf());
+      const {port} = await startRelay(contextOfVm(board, engines), routeOf());
       await sendRequest(port);
       await delay(CHECK_MS);
       expect(board.suspects.size).toBe(0);
@@ -130,16 +133,16 @@
     const board = new SuspectBoard();
     const engines = await startEngines(3);
     const [first, second] = await Promise.all(
-      [1, 2].map(() => startRelay(contextAt(board, engines), routeOf())),
+      [1, 2].map(() => startRelay(contextOfVm(board, engines), routeOf())),
     );
     engines.forEach((engine) => (engine.manners = [{after: 1, kind: 'pause'}]));
-    const asked = sendRequest(first!.port);
+    const pending = sendRequest(first!.port);
     await delay(50);
     const busy = engines.find(({seen}) => seen.length > 0)!;
     engines.forEach((engine) => (engine.manners = [{kind: 'reset'}]));
     // Exits for an external reason soon after the request started.
     await busy.stop();
-    await asked;
+    await pending;
     await delay(CHECK_MS);
     engines.forEach((engine) => (engine.manners = []));
     expect((await sendRequest(second!.port)).status).toBe(200);
@@ -150,10 +153,10 @@
    * Guards against aborting a stream that has shown that it crashes no engine, because requests with the same digest
    * were running when two engines exited.
    */
-  test('that continues past its first events is no suspect, and its stream is resumed at the next engine', async () => {
+  test('is no suspect when it continues past its first events, and its stream is resumed at the next engine', async () => {
     const board = new SuspectBoard();
-    const engines = await startFatal(6, 2);
-    const {port} = await startRelay(contextAt(board, engines), routeOf());
+    const engines = await startCrashingEngines(6, 2);
+    const {port} = await startRelay(contextOfVm(board, engines), routeOf());
     expect(await sendRequest(port, undefined, {}, FATAL)).toMatchObject({
       isComplete: true,
       status: 200,
@@ -166,7 +169,7 @@
   test('is cleared once a run passes its start, and continues although it was quarantined meanwhile', async () => {
     const board = new SuspectBoard();
     const engines = await startEngines(3);
-    const context = contextAt(board, engines);
+    const context = contextOfVm(board, engines);
     const {port} = await startRelay(context, routeOf());
     const others = board.view(plainRelay, context.engines);
     const digest = requestDigest({
@@ -186,7 +189,7 @@
     };
     await suspect(0);
     engines.forEach((engine) => (engine.manners = [{after: 2, kind: 'pause'}]));
-    const asked = sendRequest(port);
+    const pending = sendRequest(port);
     await delay(100);
     expect(board.suspects.size).toBe(0);
     await suspect(0);
@@ -194,7 +197,7 @@
     expect(others.levelOf(digest)).toBe(HELD_LEVEL);
     engines.forEach((engine) => (engine.manners = []));
     await engines.find(({seen}) => seen.length > 0)!.stop();
-    expect(await asked).toMatchObject({isComplete: true, status: 200});
+    expect(await pending).toMatchObject({isComplete: true, status: 200});
     expect(others.levelOf(digest)).toBe(0);
   });
 
