--- a/packages/stallpaddle-jobs/src/JobsEngines.ts
+++ b/packages/stallpaddle-jobs/src/JobsEngines.ts
@@ -5,7 +5,7 @@
 import type {EngineId, LogFields, MonotonicMs} from 'stallpaddle';
 import type {EngineView, FleetView} from 'stallpaddle-fleet';
 
-import {type EngineStart, isSound, RelayExperience} from 'stallpaddle-relay';
+import {type EngineIncarnation, isHealthy, RelayEngineHealth} from 'stallpaddle-relay';
 
 import type {JobsDispatcherOptions} from './JobsContext';
 import type {PlannedEngine, PlannedRun} from './JobsPlan';
@@ -40,7 +40,7 @@
 
 /** See the module's comment. */
 export class JobsEngines {
-  private readonly experience: RelayExperience;
+  private readonly experience: RelayEngineHealth;
   /** Online requests of all entry VMs. */
   readonly online: JobsOnline;
   private silence: Silence = {at: -Infinity, engines: []};
@@ -50,7 +50,7 @@
    * @param options what it needs of its dispatcher
    */
   constructor(private readonly options: JobsEnginesOptions) {
-    this.experience = new RelayExperience(options.clock);
+    this.experience = new RelayEngineHealth(options.clock);
     this.online = new JobsOnline(options.clock);
   }
 
@@ -85,8 +85,8 @@
    * @param start the engine, as it was when the run began
    * @param ok whether the engine did its part
    */
-  note(start: EngineStart, ok: boolean): void {
-    this.experience.note(start, ok);
+  note(start: EngineIncarnation, ok: boolean): void {
+    this.experience.recordAttempt(start, ok);
   }
 
   /**
@@ -156,7 +156,7 @@
         !engine.draining &&
         !silent.has(engine.id) &&
         this.survey?.isPending(engine.id) !== true &&
-        isSound(engine, this.experience.of(engine), now),
+        isHealthy(engine, this.experience.of(engine), now),
     }));
   }
 
--- a/packages/stallpaddle-jobs/src/JobsItemRun.ts
+++ b/packages/stallpaddle-jobs/src/JobsItemRun.ts
@@ -6,15 +6,15 @@
   EngineCall,
   EngineCallStart,
   NotRunReason,
-  RelayPace,
+  RelayLatencies,
   RelayWire,
 } from 'stallpaddle-relay';
 
 import {errorMessage, registerTimeout} from 'stallpaddle';
 import {
-  continues,
   EventSplitter,
-  passedHeaders,
+  forwardedHeaders,
+  isNextEvent,
   SERVER_ERROR,
   startEngineCall,
 } from 'stallpaddle-relay';
@@ -70,7 +70,7 @@
     for await (const chunk of res) {
       alive();
       for (const {data, id} of splitter.push(chunk as Buffer)) {
-        if (!continues(last, id)) {
+        if (!isNextEvent(last, id)) {
           return {kind: 'broken', reason: `event ${id} came after event ${last}`};
         }
         last = id ?? last;
@@ -110,7 +110,7 @@
  * @param pace how fast engines are
  * @param req what it is made of
  */
-export function startItemRun(wire: RelayWire, pace: RelayPace, req: ItemRunRequest): ItemRun {
+export function startItemRun(wire: RelayWire, pace: RelayLatencies, req: ItemRunRequest): ItemRun {
   const set = wire.engineHeaders({
     customer: req.customer,
     deadlineMs: null,
@@ -122,7 +122,7 @@
   const call = startEngineCall(wire, pace, {
     address: req.engine.address,
     body: req.body,
-    headers: passedHeaders(
+    headers: forwardedHeaders(
       raw,
       [['Host', req.host], ...set],
       req.customer === undefined ? [] : wire.callerHeaders,
--- a/packages/stallpaddle-jobs/src/JobsRunner.ts
+++ b/packages/stallpaddle-jobs/src/JobsRunner.ts
@@ -7,7 +7,7 @@
 
 import {errorMessage, unreachable} from 'stallpaddle';
 import {engineOf, type EngineView, type FleetRoute, HELD_LEVEL} from 'stallpaddle-fleet';
-import {hasOnlyBegun, RelayPace, requestDigest, SERVER_ERROR} from 'stallpaddle-relay';
+import {isStarting, RelayLatencies, requestDigest, SERVER_ERROR} from 'stallpaddle-relay';
 
 import type {ItemDecision, JobsDispatcherOptions} from './JobsContext';
 import type {JobsEngines} from './JobsEngines';
@@ -44,7 +44,7 @@
 export class JobsRunner {
   private readonly ends: JobsEnds;
   private readonly needs: JobsDispatcherOptions;
-  private readonly pace = new RelayPace();
+  private readonly pace = new RelayLatencies();
 
   /**
    * @param options what it needs of its dispatcher
@@ -164,7 +164,7 @@
   }
 
   private hasOnlyBegun({events, firstEventAt}: TaskRun): boolean {
-    return hasOnlyBegun({events, firstAt: firstEventAt}, this.needs.clock.monotonicMs());
+    return isStarting({events, firstAt: firstEventAt}, this.needs.clock.monotonicMs());
   }
 
   /** Looks whether the engine of a run that broke off has ended; the item waits until that is known. */
@@ -173,7 +173,7 @@
     task.notBefore = Infinity;
     const digest = this.digestOf(task);
     try {
-      await suspects.noteBreak({digest, engine, id: task.item.id, known});
+      await suspects.noteInterruption({digest, engine, id: task.item.id, known});
     } finally {
       task.notBefore = clock.monotonicMs();
       this.options.poke();
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -10,13 +10,13 @@
 import {
   type RelayCaller,
   type RelayContext,
+  RelayDeadlines,
   type RelayDecision,
-  RelayExperience,
-  RelayOnline,
-  RelayPace,
+  RelayEngineHealth,
+  RelayLatencies,
+  RelayOnlineLoad,
   type RelayRequest,
   RelayRun,
-  RelayUsual,
   sendRefusal,
 } from 'stallpaddle-relay';
 
@@ -59,7 +59,7 @@
   private readonly routes: NodeRoutes;
   private servers: readonly Server[] = [];
   private readonly tells: NodeTells;
-  private readonly usual = new RelayUsual();
+  private readonly usual = new RelayDeadlines();
 
   /**
    * @param options what the process is made of
@@ -83,16 +83,16 @@
       decide: (id, fields) => this.log.decide('overLimit', id, fields),
       limits,
     });
-    const online = new RelayOnline(clock);
+    const online = new RelayOnlineLoad(clock);
     this.tells = new NodeTells(jobs, online, drawId('e'), () => watch.view.news.entries.length);
     this.jobCalls = new NodeJobCalls(jobs, wire, this.log, clock);
     this.context = {
       clock,
       decide: (decision, id, fields) => this.decide(decision, id, fields),
+      engineHealth: new RelayEngineHealth(clock),
       engines: () => watch.view.news.engines,
-      experience: new RelayExperience(clock),
+      latencies: new RelayLatencies(),
       online,
-      pace: new RelayPace(),
       random: Math.random,
       suspects: makeSuspects({
         clock,
@@ -141,8 +141,8 @@
       servers.push(startServer(address, (req, res) => this.handlePlain(req, res), FIRST_IDLE_MS));
     }
     const {intake, watch} = this;
-    const {online, pace} = this.context;
-    exposeEntryMetrics(this.fleet.metrics, {intake, online, pace, watch});
+    const {latencies, online} = this.context;
+    exposeEntryMetrics(this.fleet.metrics, {intake, online, pace: latencies, watch});
     this.servers = await Promise.all(servers);
     void this.tells.run();
   }
@@ -262,19 +262,19 @@
       case 'nonRepeatable':
       case 'repeatable':
       case 'streaming': {
-        const facts = wire.relay.readCaller(req.headers);
-        if (facts === null) {
+        const metadata = wire.relay.readCaller(req.headers);
+        if (metadata === null) {
           throw refuse('badRequest', 'The request carries no name of its own.');
         }
         const {method, url} = call;
         const {rawHeaders} = req;
-        const spentMs = this.usual.spentMs(route, facts.deadlineMs);
+        const spentMs = this.usual.spentMs(route, metadata.deadlineMs);
         const request = {
           arrivedAt,
           body,
           caller,
-          facts,
           host,
+          metadata,
           method,
           path: url,
           rawHeaders,
@@ -291,8 +291,8 @@
 
   /** Brings a request to an engine, within its customer's limit. */
   private async relay(request: RelayRequest, res: ServerResponse): Promise<void> {
-    const {caller, facts} = request;
-    await this.admission.admit(caller, facts.requestId);
+    const {caller, metadata} = request;
+    await this.admission.admit(caller, metadata.requestId);
     if (res.destroyed) {
       // Its caller left meanwhile.
       this.admission.giveBack(caller);
@@ -300,7 +300,7 @@
     }
     const run = new RelayRun(this.context, request, res);
     await run.run();
-    if (run.ranNowhere) {
+    if (run.neverRan) {
       this.admission.giveBack(caller);
     }
   }
--- a/packages/stallpaddle-node/src/NodeEntryMetrics.ts
+++ b/packages/stallpaddle-node/src/NodeEntryMetrics.ts
@@ -2,7 +2,7 @@
  * Metrics of a process that serves callers.
  */
 import type {LogFields} from 'stallpaddle';
-import type {RelayOnline, RelayPace} from 'stallpaddle-relay';
+import type {RelayLatencies, RelayOnlineLoad} from 'stallpaddle-relay';
 
 import type {NodeIntake} from './NodeIntake';
 import type {NodeMetrics} from './NodeMetrics';
@@ -14,9 +14,9 @@
 export interface EntryGauges {
   readonly intake: NodeIntake;
   /** Online requests of this VM at each engine. */
-  readonly online: RelayOnline;
+  readonly online: RelayOnlineLoad;
   /** How fast engines are, as this VM has seen it. */
-  readonly pace: RelayPace;
+  readonly pace: RelayLatencies;
   readonly watch: NodeWatch;
 }
 
@@ -24,7 +24,7 @@
 function occupancy({online, watch}: EntryGauges): number {
   const {engines} = watch.view.news;
   const slots = engines.reduce((sum, engine) => sum + engine.slots, 0);
-  const requests = engines.reduce((sum, {id}) => sum + online.at(id), 0);
+  const requests = engines.reduce((sum, {id}) => sum + online.requestsAt(id), 0);
   return slots === 0 ? 0 : requests / slots;
 }
 
--- a/packages/stallpaddle-node/src/NodeSuspects.ts
+++ b/packages/stallpaddle-node/src/NodeSuspects.ts
@@ -10,7 +10,7 @@
 /** What it needs of its process. */
 export interface NodeSuspectsOptions extends Omit<
   RelaySuspectsOptions,
-  'engines' | 'record' | 'told'
+  'engines' | 'record' | 'reported'
 > {
   readonly fleet: Pick<NodeFleet, 'control' | 'watch'>;
 }
@@ -25,6 +25,6 @@
     ...options,
     engines: () => fleet.watch.view.news.engines,
     record: (value) => fleet.control.call({changes: true, totalMs: SUSPECT_CALL_MS, value}),
-    told: () => fleet.watch.view.news.suspects,
+    reported: () => fleet.watch.view.news.suspects,
   });
 }
--- /dev/null
+++ b/packages/stallpaddle-relay/src/RelayEngineSelector.ts
@@ -0,0 +1,241 @@
+/**
+ * Selection of the next engine for one request.
+ */
+import type {EngineId} from 'stallpaddle';
+import type {EngineView} from 'stallpaddle-fleet';
+
+import {unreachable} from 'stallpaddle';
+
+import type {NotRunReason} from './RelayEngineCall';
+import type {RelayContext, RelayRequest} from './RelayTypes';
+
+import {
+  MAX_DECLINES,
+  MAX_LATE_WAIT_FRACTION,
+  MAX_LATE_WAIT_MS,
+  MAX_SENDS,
+  MAX_UNKNOWN_LOAD_WAIT_MS,
+  QUEUE_FRACTION,
+} from './RelayConstants';
+import {isHealthy, selectEngine, selectService} from './RelayPlacement';
+
+const NONE: ReadonlySet<EngineId> = new Set();
+
+/** Selects the next engine for one request, and decides whether the request may be sent yet. */
+export class RelayEngineSelector {
+  private declines = 0;
+  /** Engines that count as attempts: they may have run the request and were not found to have exited since. */
+  private readonly attempted = new Set<EngineId>();
+  /** Engines that were unreachable or whose address belongs to another engine. */
+  private readonly unreached = new Set<EngineId>();
+  /** The engine that the request was last sent to. */
+  private last: EngineId | undefined;
+  /** Whether that engine was an attempt already before the request was sent to it again. */
+  private wasAttempted = false;
+  private sends = 0;
+  private readonly sentTo = new Set<EngineId>();
+
+  /**
+   * @param context dependencies of the relay
+   * @param req the request
+   * @param suspectDigest returns the request's digest while it is a suspect, otherwise null
+   */
+  constructor(
+    private readonly context: RelayContext,
+    private readonly req: RelayRequest,
+    private readonly suspectDigest: () => null | string,
+  ) {}
+
+  /** Number of engines that the request was sent to, including those that declined it. */
+  get attempts(): number {
+    return this.sentTo.size;
+  }
+
+  /** Whether the route allows an attempt at one more engine; engines that have not run the request don't count. */
+  get hasAttemptLeft(): boolean {
+    return this.attempted.size < this.req.route.maxAttempts;
+  }
+
+  /** Whether the request may be sent again, to another engine or to one that it was already sent to. */
+  get hasSendLeft(): boolean {
+    return this.hasAttemptLeft || this.sends < MAX_SENDS;
+  }
+
+  /** Whether so many engines have declined the request that no other one is tried. */
+  get isDeclined(): boolean {
+    return this.declines >= MAX_DECLINES;
+  }
+
+  /** Whether another healthy engine has a free slot and may get the request. */
+  get canMove(): boolean {
+    const {clock, engineHealth, online} = this.context;
+    const engine = this.hasAttemptLeft ? this.next() : undefined;
+    return (
+      engine !== undefined &&
+      // Without any report from other VMs, engines that look free may be full, and all requests would move at once.
+      online.hasReceivedReport &&
+      isHealthy(engine, engineHealth.of(engine), clock.monotonicMs()) &&
+      !online.isUnresponsive(engine.id) &&
+      this.hasFreeSlot(engine)
+    );
+  }
+
+  /** Names of all engines that the request was sent to, for the log. */
+  get engineNames(): string {
+    return [...this.sentTo].join(',');
+  }
+
+  /**
+   * Whether the request has waited for a free slot as long as it may.
+   *
+   * @param waitedMs time since the request arrived, in milliseconds
+   */
+  hasWaitedLimit(waitedMs: number): boolean {
+    const {metadata, route} = this.req;
+    const allowedMs = Math.min(route.timeoutMs, metadata.deadlineMs ?? Infinity);
+    return waitedMs >= Math.min(MAX_LATE_WAIT_MS, allowedMs * MAX_LATE_WAIT_FRACTION);
+  }
+
+  /**
+   * Whether a request may wait for an engine although none could be reached: while it can still meet its objective,
+   * waiting for one to recover is faster than a retry by the caller.
+   *
+   * @param waitedMs time since the request arrived, in milliseconds
+   */
+  mayWaitForEngine(waitedMs: number): boolean {
+    return this.unreached.size > 0 && this.canMeetObjective(waitedMs);
+  }
+
+  /** Allows the request to be sent again to all engines. */
+  allowAllEngines(): void {
+    this.sentTo.clear();
+    this.attempted.clear();
+  }
+
+  /** Allows the request to be sent again to engines that were unreachable. */
+  allowUnreached(): void {
+    this.unreached.forEach((id) => this.sentTo.delete(id));
+    this.unreached.clear();
+  }
+
+  /**
+   * Whether an engine has a free slot, as far as known.
+   *
+   * @param engine the engine
+   */
+  hasFreeSlot({id, slots}: EngineView): boolean {
+    return this.context.online.requestsAt(id) < slots;
+  }
+
+  /**
+   * Whether the request may be sent to an engine now, where it may have to queue.
+   *
+   * @param engine the engine
+   * @param waitedMs time since the request arrived, in milliseconds
+   */
+  maySend({id, slots}: EngineView, waitedMs: number): boolean {
+    const {online} = this.context;
+    const mayDelay = waitedMs < MAX_UNKNOWN_LOAD_WAIT_MS && !this.hasWaitedLimit(waitedMs);
+    if (!online.hasCurrentReport && mayDelay && !this.hasPriority(waitedMs)) {
+      return false;
+    }
+    return online.requestsAt(id) < slots * (1 + this.queueFraction(waitedMs));
+  }
+
+  /**
+   * Selects the best engine that the request was not yet sent to, or, when no attempts are left, the best one that
+   * already got it; undefined when there is none.
+   */
+  next(): EngineView | undefined {
+    const {clock, engineHealth, engines, online, random, zone} = this.context;
+    const service = selectService(this.req.route, random);
+    if (service === undefined) {
+      return undefined;
+    }
+    return selectEngine({
+      engines: this.hasAttemptLeft ? engines() : this.knownEngines(),
+      healthOf: (engine) => engineHealth.of(engine),
+      isUnresponsive: (id) => online.isUnresponsive(id),
+      now: clock.monotonicMs(),
+      onlineAt: (id) => online.requestsAt(id),
+      random,
+      service,
+      suspectDigest: this.suspectDigest(),
+      tried: this.hasAttemptLeft ? this.sentTo : NONE,
+      unreported: online.unreported,
+      zone,
+    });
+  }
+
+  /**
+   * Records that the engine that the request was last sent to has not run it.
+   *
+   * @param reason why it was not run
+   */
+  noteNotRun(reason: NotRunReason): void {
+    if (this.last === undefined) {
+      return;
+    }
+    switch (reason) {
+      case 'declined':
+        this.declines++;
+        if (!this.wasAttempted) {
+          this.attempted.delete(this.last);
+        }
+        return;
+      case 'noConnection':
+      case 'otherEngine':
+        // An engine that has exited says nothing about the load of others, so this doesn't count as a decline.
+        this.unreached.add(this.last);
+        this.attempted.delete(this.last);
+        return;
+      default:
+        unreachable(reason);
+    }
+  }
+
+  /**
+   * Records that the request is sent to an engine.
+   *
+   * @param id the engine
+   */
+  noteSent(id: EngineId): void {
+    this.last = id;
+    this.sends++;
+    // Moves the engine to the end: the log lists engines in the order of their last attempt.
+    this.sentTo.delete(id);
+    this.sentTo.add(id);
+    this.wasAttempted = this.attempted.has(id);
+    this.attempted.add(id);
+  }
+
+  /** Engines that the request was already sent to; the last of them only when there is no other. */
+  private knownEngines(): readonly EngineView[] {
+    const known = this.context.engines().filter(({id}) => this.sentTo.has(id));
+    const others = known.filter(({id}) => id !== this.last);
+    return others.length > 0 ? others : known;
+  }
+
+  /**
+   * Queue that an engine may have when the request is sent, as a fraction of its slots. Requests that can still meet
+   * their objective may queue; the others wait for a free slot and queue only when their wait is over.
+   */
+  private queueFraction(waitedMs: number): number {
+    if (this.hasWaitedLimit(waitedMs)) {
+      // A longer queue would make later requests miss their objective too.
+      return QUEUE_FRACTION;
+    }
+    return this.hasPriority(waitedMs) ? QUEUE_FRACTION : 0;
+  }
+
+  /** Whether the request has priority: it can still meet its objective, or its route has none. */
+  private hasPriority(waitedMs: number): boolean {
+    return this.canMeetObjective(waitedMs) || this.req.route.objectiveMs === 0;
+  }
+
+  /** Whether the request meets its objective if an engine starts it now. */
+  private canMeetObjective(waitedMs: number): boolean {
+    const firstMs = this.context.latencies.firstEvent.meanMs;
+    return this.req.spentMs + waitedMs + firstMs < this.req.route.objectiveMs;
+  }
+}
--- /dev/null
+++ b/packages/stallpaddle-relay/src/RelayForwarder.ts
@@ -0,0 +1,145 @@
+/**
+ * Forwarding of an engine's response to the caller.
+ */
+import type {IncomingMessage, ServerResponse} from 'node:http';
+
+import {MAX_BUFFERED_BYTES} from './RelayConstants';
+import {EventSplitter, isNextEvent, type StreamEvent} from './RelayEvents';
+import {forwardedHeaders} from './RelayHeaders';
+
+/** Whether a response was forwarded completely. */
+export type ForwardResult = 'broken' | 'whole';
+
+/** Dependencies on the request whose responses are forwarded. */
+export interface RelayForwarderOptions {
+  /** Whether the request has ended, so that nothing more may be forwarded. */
+  readonly isOver: () => boolean;
+  /** Id of the last event that the caller already has; null for none. */
+  readonly lastEventId: string | null;
+  /** Called for each chunk of a stream with the number of events that it completes. */
+  readonly onChunk: (events: number) => void;
+  /** Called once, before the response head is written. */
+  readonly onHead: () => void;
+  /** The caller's response. */
+  readonly res: ServerResponse;
+}
+
+/** Forwards responses of engines to one caller. A response that was interrupted never looks complete to the caller. */
+export class RelayForwarder {
+  private lastId: string | null;
+  private readonly res: ServerResponse;
+
+  /**
+   * @param options dependencies on the request
+   */
+  constructor(private readonly options: RelayForwarderOptions) {
+    this.lastId = options.lastEventId;
+    this.res = options.res;
+  }
+
+  /** Id of the last event that the caller has; null before the first, and for events without ids. */
+  get lastEventId(): string | null {
+    return this.lastId;
+  }
+
+  /**
+   * Forwards the events of a stream as they arrive, each of them complete.
+   *
+   * @param response the engine's response
+   */
+  async forwardStream(response: IncomingMessage): Promise<ForwardResult> {
+    const splitter = new EventSplitter();
+    try {
+      for await (const chunk of response) {
+        const events = splitter.push(chunk as Buffer);
+        this.options.onChunk(events.length);
+        if (!(await this.forwardEvents(response, events))) {
+          return 'broken';
+        }
+      }
+    } catch {
+      return 'broken';
+    }
+    return response.complete && splitter.pending === 0 && this.res.headersSent ? 'whole' : 'broken';
+  }
+
+  /**
+   * Forwards a response once it is complete, or chunk by chunk if it exceeds {@link MAX_BUFFERED_BYTES}.
+   *
+   * @param response the engine's response
+   */
+  async forwardResponse(response: IncomingMessage): Promise<ForwardResult> {
+    let buffered: Buffer[] | null = [];
+    let size = 0;
+    try {
+      for await (const chunk of response) {
+        const bytes = chunk as Buffer;
+        size += bytes.length;
+        buffered?.push(bytes);
+        if (buffered !== null && size > MAX_BUFFERED_BYTES) {
+          const length = response.headers['content-length'];
+          this.writeHead(response, length === undefined ? null : Number(length));
+          await this.write(Buffer.concat(buffered));
+          buffered = null;
+        } else if (buffered === null) {
+          await this.write(bytes);
+        }
+      }
+    } catch {
+      return 'broken';
+    }
+    if (!response.complete || this.options.isOver()) {
+      return 'broken';
+    }
+    if (buffered !== null) {
+      const bytes = Buffer.concat(buffered);
+      this.writeHead(response, bytes.length);
+      await this.write(bytes);
+    }
+    return 'whole';
+  }
+
+  /** Forwards events that arrived together in one write; false once an event is out of sequence. */
+  private async forwardEvents(
+    response: IncomingMessage,
+    events: readonly StreamEvent[],
+  ): Promise<boolean> {
+    if (this.options.isOver()) {
+      return false;
+    }
+    const forwarded: Buffer[] = [];
+    for (const {id, raw} of events) {
+      if (!isNextEvent(this.lastId, id)) {
+        break;
+      }
+      this.lastId = id ?? this.lastId;
+      forwarded.push(raw);
+    }
+    if (forwarded.length > 0) {
+      this.writeHead(response, null);
+      await this.write(forwarded.length === 1 ? forwarded[0]! : Buffer.concat(forwarded));
+    }
+    return forwarded.length === events.length;
+  }
+
+  private writeHead(response: IncomingMessage, length: number | null): void {
+    if (this.res.headersSent) {
+      return;
+    }
+    this.options.onHead();
+    const headers = forwardedHeaders(response.rawHeaders);
+    if (length !== null) {
+      headers.push('Content-Length', String(length));
+    }
+    this.res.writeHead(response.statusCode!, response.statusMessage ?? '', headers);
+  }
+
+  private async write(bytes: Uint8Array): Promise<void> {
+    if (!this.res.write(bytes) && !this.res.destroyed) {
+      await new Promise<void>((resolve) => {
+        this.res.once('drain', resolve);
+        this.res.once('close', resolve);
+      });
+    }
+  }
+}
--- a/packages/stallpaddle-relay/src/index.ts
+++ b/packages/stallpaddle-relay/src/index.ts
@@ -1,6 +1,5 @@
-/** Brings callers' requests to engines and the answers back. */
-export {sendRefusal} from './RelayAnswers';
 export {SERVER_ERROR} from './RelayConstants';
+export {RelayDeadlines} from './RelayDeadlines';
 export {type DigestInput, requestDigest} from './RelayDigest';
 export {
   type EngineCall,
@@ -10,27 +9,28 @@
   splitAddress,
   startEngineCall,
 } from './RelayEngineCall';
-export {continues, EventSplitter, type StreamEvent} from './RelayEvents';
-export {type EngineStart, RelayExperience} from './RelayExperience';
-export {passedHeaders} from './RelayHeaders';
-export {type OnlineCounts, RelayOnline} from './RelayOnline';
-export {RelayPace} from './RelayPace';
-export {type EngineExperience, isSound} from './RelayPlacement';
+export {type EngineIncarnation, RelayEngineHealth} from './RelayEngineHealth';
+export {EventSplitter, isNextEvent, type StreamEvent} from './RelayEvents';
+export {forwardedHeaders} from './RelayHeaders';
+export {RelayLatencies} from './RelayLatencies';
+export {type OnlineCounts, RelayOnlineLoad} from './RelayOnlineLoad';
+export {type EngineHealth, isHealthy} from './RelayPlacement';
+/** Relays callers' requests to engines and the responses back. */
+export {sendRefusal} from './RelayRefusals';
 export {RelayRun} from './RelayRun';
 export {
-  hasOnlyBegun,
+  isStarting,
   RelaySuspects,
   type RelaySuspectsOptions,
-  type RunBegin,
+  type RunProgress,
 } from './RelaySuspects';
 export type {RelayCaller, RelayContext, RelayDecision, RelayEnd, RelayRequest} from './RelayTypes';
-export {RelayUsual} from './RelayUsual';
 export type {
-  AnswerFacts,
-  CallerFacts,
-  EngineCallFacts,
+  CallerMetadata,
+  EngineCallMetadata,
+  EngineControlRequest,
   EngineOccupancy,
-  EngineOrder,
   HeaderLine,
   RelayWire,
+  ResponseMetadata,
 } from './RelayWire';
