--- a/packages/stallpaddle-jobs/src/JobsDispatcher.ts
+++ b/packages/stallpaddle-jobs/src/JobsDispatcher.ts
@@ -8,7 +8,7 @@
 import {engineOf, type EngineView} from 'stallpaddle-fleet';
 
 import type {JobsDispatcherOptions} from './JobsContext';
-import type {JobsOnline} from './JobsOnline';
+import type {JobsOnlineCounts} from './JobsOnlineCounts';
 
 import {
   LOOK_AGAIN_MS,
@@ -127,7 +127,7 @@
   }
 
   /** Online requests of all entry VMs. */
-  get online(): JobsOnline {
+  get online(): JobsOnlineCounts {
     return this.engines.online;
   }
 
--- a/packages/stallpaddle-jobs/src/JobsEngines.ts
+++ b/packages/stallpaddle-jobs/src/JobsEngines.ts
@@ -13,7 +13,7 @@
 import type {JobsUrgency} from './JobsUrgency';
 
 import {ENGINE_SILENT_MS, LOOK_AGAIN_MS} from './JobsConstants';
-import {JobsOnline} from './JobsOnline';
+import {JobsOnlineCounts} from './JobsOnlineCounts';
 import {cutsAt} from './JobsPlan';
 import {JobsSurvey} from './JobsSurvey';
 
@@ -42,7 +42,7 @@
 export class JobsEngines {
   private readonly experience: RelayExperience;
   /** Online requests of all entry VMs. */
-  readonly online: JobsOnline;
+  readonly online: JobsOnlineCounts;
   private silence: Silence = {at: -Infinity, engines: []};
   private survey: JobsSurvey | undefined;
 
@@ -51,7 +51,7 @@
    */
   constructor(private readonly options: JobsEnginesOptions) {
     this.experience = new RelayExperience(options.clock);
-    this.online = new JobsOnline(options.clock);
+    this.online = new JobsOnlineCounts(options.clock);
   }
 
   /** Whoever begins to lead asks the engines what they hold: its predecessor may have left runs there. */
--- a/packages/stallpaddle-jobs/src/JobsOnline.ts
+++ b/packages/stallpaddle-jobs/src/JobsOnlineCounts.ts
@@ -27,7 +27,7 @@
 }
 
 /** See the module's comment. */
-export class JobsOnline {
+export class JobsOnlineCounts {
   /** For each engine, the number of the last change of its counts. */
   private readonly changedAt = new Map<EngineId, number>();
   private changes = 0;
--- a/packages/stallpaddle-jobs/src/JobsSurvey.ts
+++ b/packages/stallpaddle-jobs/src/JobsSurvey.ts
@@ -12,7 +12,7 @@
 import {delay, type LogFields} from 'stallpaddle';
 import {splitAddress} from 'stallpaddle-relay';
 
-import type {JobsOnline} from './JobsOnline';
+import type {JobsOnlineCounts} from './JobsOnlineCounts';
 
 /** Longest wait for an engine's answer, in milliseconds: it says what it holds without any work. */
 const CALL_MS = 150;
@@ -31,7 +31,7 @@
   readonly isLeft: (requestId: string, engine: EngineId) => boolean;
   /** Whether this dispatcher may decide: a run that looks left may be the next leader's. */
   readonly mayDecide: () => boolean;
-  readonly online: JobsOnline;
+  readonly online: JobsOnlineCounts;
   /** Called when an engine's room is known, or has changed. */
   readonly onChange: () => void;
   /** Items that this dispatcher runs at an engine. */
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsOnline.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsOnlineCounts.test.ts
@@ -8,7 +8,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {TOLD_COUNTS_MS} from '../../JobsConstants';
-import {JobsOnline} from '../../JobsOnline';
+import {JobsOnlineCounts} from '../../JobsOnlineCounts';
 
 interface Word {
   readonly own: Readonly<Record<string, number>>;
@@ -41,11 +41,11 @@
   return sum;
 }
 
-describe('JobsOnline', () => {
+describe('JobsOnlineCounts', () => {
   test('counts the last word of every sender but one', () => {
     fc.assert(
       fc.property(WORDS, fc.constantFrom('a', 'b', 'nobody'), (words, except) => {
-        const online = new JobsOnline(systemClock);
+        const online = new JobsOnlineCounts(systemClock);
         words.forEach(({own, sender, sequence}) => online.learn(sender, sequence, own));
         expect(online.totals(except)).toEqual(sumOf(words, except));
       }),
@@ -53,7 +53,7 @@
   });
 
   test('has another version exactly when a sender’s counts change', () => {
-    const online = new JobsOnline(systemClock);
+    const online = new JobsOnlineCounts(systemClock);
     const words: Word['own'][] = [{e0: 1}, {e0: 1}, {e0: 2}, {e0: 2, e1: 1}, {e0: 2}];
     const versions = words.map((own, at) => {
       online.learn('a', at, own);
@@ -63,7 +63,7 @@
   });
 
   test('counts unknown requests apart, the latest in place of any before', () => {
-    const online = new JobsOnline(systemClock);
+    const online = new JobsOnlineCounts(systemClock);
     online.learn('a', 7, {e0: 1});
     online.learnUnknown({e0: 5, e1: 2});
     online.learnUnknown({e0: 3});
@@ -77,7 +77,7 @@
   test('forgets a sender that has fallen silent', () => {
     let now = 0;
     const clock: Clock = {...systemClock, monotonicMs: () => now};
-    const online = new JobsOnline(clock);
+    const online = new JobsOnlineCounts(clock);
     online.learn('a', 1, {e0: 3});
     now = TOLD_COUNTS_MS - 1;
     expect(online.totals()).toEqual({e0: 3});
--- a/packages/stallpaddle-jobs/src/index.ts
+++ b/packages/stallpaddle-jobs/src/index.ts
@@ -4,7 +4,7 @@
 export {JobsDispatcher} from './JobsDispatcher';
 export {jobsMachine} from './JobsMachine';
 export {findJob, jobIdOf} from './JobsNames';
-export {JobsOnline} from './JobsOnline';
+export {JobsOnlineCounts} from './JobsOnlineCounts';
 export {
   type BodyAnswer,
   findBody,
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
@@ -4,7 +4,7 @@
 import type {JobsDispatcher, OnlineAnswer, OnlineVersion} from 'stallpaddle-jobs';
 
 import {seededRandom, systemClock} from 'stallpaddle';
-import {JobsOnline} from 'stallpaddle-jobs';
+import {JobsOnlineCounts} from 'stallpaddle-jobs';
 import {RelayOnline} from 'stallpaddle-relay';
 import {describe, expect, test} from 'vitest';
 
@@ -13,7 +13,7 @@
 type Counts = Readonly<Record<string, number>>;
 
 function deskOf() {
-  const online = new JobsOnline(systemClock);
+  const online = new JobsOnlineCounts(systemClock);
   const learnOnline = (sender: string, sequence: number, own: Counts) =>
     void online.learn(sender, sequence, own);
   const dispatcher = {learnOnline, online, silentEngines: () => ['quiet']} as never;
