--- a/packages/stallpaddle-jobs/src/JobsQueries.ts
+++ b/packages/stallpaddle-jobs/src/JobsQueries.ts
@@ -73,7 +73,7 @@
 }
 
 /** Answer to `tellOnline`. */
-export interface OnlineAnswer {
+export interface OnlineCountsAnswer {
   /** Whether engines that are not named have no such requests; else they have as many as before. */
   readonly isAll: boolean;
   /** Online requests of all senders but the one that asks, by engine; 0 for none. */
--- a/packages/stallpaddle-jobs/src/index.ts
+++ b/packages/stallpaddle-jobs/src/index.ts
@@ -11,7 +11,7 @@
   findResults,
   type JobsRequest,
   joinOutput,
-  type OnlineAnswer,
+  type OnlineCountsAnswer,
   type OnlineVersion,
   type ReadResult,
   type ResultRef,
--- a/packages/stallpaddle-node/src/NodeOnlineDesk.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineDesk.ts
@@ -4,7 +4,7 @@
  * request that it begins, and one that serves nobody costs one word a second.
  */
 import type {EngineId} from 'stallpaddle';
-import type {JobsDispatcher, JobsRequest, OnlineAnswer} from 'stallpaddle-jobs';
+import type {JobsDispatcher, JobsRequest, OnlineCountsAnswer} from 'stallpaddle-jobs';
 
 import {drawId} from 'stallpaddle';
 
@@ -28,7 +28,7 @@
    * @param request its words
    * @param dispatcher runs the items
    */
-  tell({known, own, sender, sequence}: Tell, dispatcher: JobsDispatcher): OnlineAnswer {
+  tell({known, own, sender, sequence}: Tell, dispatcher: JobsDispatcher): OnlineCountsAnswer {
     dispatcher.learnOnline(sender, sequence, own);
     const {online} = dispatcher;
     const since = known?.epoch === this.epoch ? known.changes : null;
--- a/packages/stallpaddle-node/src/NodeTells.ts
+++ b/packages/stallpaddle-node/src/NodeTells.ts
@@ -4,7 +4,7 @@
  * answered: one that is lost is made good by the next, after a second at most.
  */
 import type {MonotonicMs} from 'stallpaddle';
-import type {JobsRequest, OnlineAnswer, OnlineVersion} from 'stallpaddle-jobs';
+import type {JobsRequest, OnlineCountsAnswer, OnlineVersion} from 'stallpaddle-jobs';
 import type {OnlineCounts, RelayOnline} from 'stallpaddle-relay';
 
 import {delay, encodeValue} from 'stallpaddle';
@@ -85,7 +85,7 @@
     if (outcome.kind !== 'answered') {
       return false;
     }
-    const {isAll, others, suspects, version} = outcome.result as OnlineAnswer;
+    const {isAll, others, suspects, version} = outcome.result as OnlineCountsAnswer;
     this.known = version;
     online.learn(others, isAll, suspects);
     return true;
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
@@ -1,7 +1,7 @@
 /**
  * Each word of an entry VM is answered with what the others have begun and ended since its last one.
  */
-import type {JobsDispatcher, OnlineAnswer, OnlineVersion} from 'stallpaddle-jobs';
+import type {JobsDispatcher, OnlineCountsAnswer, OnlineVersion} from 'stallpaddle-jobs';
 
 import {seededRandom, systemClock} from 'stallpaddle';
 import {JobsOnlineCounts} from 'stallpaddle-jobs';
@@ -19,7 +19,11 @@
   const dispatcher = {learnOnline, online, silentEngines: () => ['quiet']} as never;
   const desk = new NodeOnlineDesk();
   const sequences = new Map<string, number>();
-  const tell = (sender: string, own: Counts, known: null | OnlineVersion = null): OnlineAnswer => {
+  const tell = (
+    sender: string,
+    own: Counts,
+    known: null | OnlineVersion = null,
+  ): OnlineCountsAnswer => {
     const sequence = (sequences.get(sender) ?? 0) + 1;
     sequences.set(sender, sequence);
     const request = {kind: 'tellOnline', known, own, sender, sequence} as const;
@@ -69,7 +73,7 @@
     for (let count = 1; count <= 400; count++) {
       tell(`s${count % 3}`, draw());
       if (random() < 0.5) {
-        const answer: OnlineAnswer = tell('b', draw(), known);
+        const answer: OnlineCountsAnswer = tell('b', draw(), known);
         // An answer that is lost leaves the VM with what it knew.
         if (random() < 0.7) {
           known = answer.version;
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeTells.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeTells.test.ts
@@ -2,7 +2,7 @@
  * What an entry VM's words cost: few while it serves nobody, one at once for a request after a pause, several changes
  * together in a burst, and ever fewer tries while nobody answers.
  */
-import type {OnlineAnswer} from 'stallpaddle-jobs';
+import type {OnlineCountsAnswer} from 'stallpaddle-jobs';
 import type {TryOutcome} from 'stallpaddle-rpc';
 
 import {decodeValue, delay, systemClock} from 'stallpaddle';
@@ -30,7 +30,7 @@
   readonly own: Readonly<Record<string, number>>;
 }
 
-const ANSWER: OnlineAnswer = {
+const ANSWER: OnlineCountsAnswer = {
   isAll: true,
   others: {e9: 4},
   suspects: [],
