--- a/packages/stallpaddle-jobs/src/JobsQueries.ts
+++ b/packages/stallpaddle-jobs/src/JobsQueries.ts
@@ -34,7 +34,7 @@
   | {
       readonly kind: 'tellOnline';
       /** What the sender holds of the others' counts; null when it holds nothing. */
-      readonly known: OnlineVersion | null;
+      readonly known: OnlineCountsVersion | null;
       /** All online requests of the sender, by engine. */
       readonly own: Readonly<Record<string, number>>;
       /** The sender; each restart is another. */
@@ -65,7 +65,7 @@
   {readonly body: Uint8Array; readonly kind: 'body'} | {readonly kind: 'notFound'};
 
 /** Names one state of the counts of online requests. */
-export interface OnlineVersion {
+export interface OnlineCountsVersion {
   /** Changes that were counted before. */
   readonly changes: number;
   /** The process that counts. */
@@ -80,7 +80,7 @@
   readonly others: Readonly<Record<string, number>>;
   /** Engines all of whose items have fallen silent. */
   readonly suspects: readonly string[];
-  readonly version: OnlineVersion;
+  readonly version: OnlineCountsVersion;
 }
 
 /** A result whose text has yet to be read. */
--- a/packages/stallpaddle-jobs/src/index.ts
+++ b/packages/stallpaddle-jobs/src/index.ts
@@ -12,7 +12,7 @@
   type JobsRequest,
   joinOutput,
   type OnlineCountsAnswer,
-  type OnlineVersion,
+  type OnlineCountsVersion,
   type ReadResult,
   type ResultRef,
   type ResultsAnswer,
--- a/packages/stallpaddle-node/src/NodeTells.ts
+++ b/packages/stallpaddle-node/src/NodeTells.ts
@@ -4,7 +4,7 @@
  * answered: one that is lost is made good by the next, after a second at most.
  */
 import type {MonotonicMs} from 'stallpaddle';
-import type {JobsRequest, OnlineCountsAnswer, OnlineVersion} from 'stallpaddle-jobs';
+import type {JobsRequest, OnlineCountsAnswer, OnlineCountsVersion} from 'stallpaddle-jobs';
 import type {OnlineCounts, RelayOnline} from 'stallpaddle-relay';
 
 import {delay, encodeValue} from 'stallpaddle';
@@ -20,7 +20,7 @@
   private readonly backoff = new NodeBackoff();
   private changed = false;
   /** Version of the others' counts that was learned last. */
-  private known: null | OnlineVersion = null;
+  private known: null | OnlineCountsVersion = null;
   private sequence = 0;
   private stopped = false;
   /** What was told last. */
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
@@ -1,7 +1,7 @@
 /**
  * Each word of an entry VM is answered with what the others have begun and ended since its last one.
  */
-import type {JobsDispatcher, OnlineCountsAnswer, OnlineVersion} from 'stallpaddle-jobs';
+import type {JobsDispatcher, OnlineCountsAnswer, OnlineCountsVersion} from 'stallpaddle-jobs';
 
 import {seededRandom, systemClock} from 'stallpaddle';
 import {JobsOnlineCounts} from 'stallpaddle-jobs';
@@ -22,7 +22,7 @@
   const tell = (
     sender: string,
     own: Counts,
-    known: null | OnlineVersion = null,
+    known: null | OnlineCountsVersion = null,
   ): OnlineCountsAnswer => {
     const sequence = (sequences.get(sender) ?? 0) + 1;
     sequences.set(sender, sequence);
@@ -69,7 +69,7 @@
       const own = [0, 1, 2].map((at) => [`e${at}`, Math.floor(random() * 4)] as const);
       return Object.fromEntries(own.filter(([, held]) => held > 0));
     };
-    let known: null | OnlineVersion = null;
+    let known: null | OnlineCountsVersion = null;
     for (let count = 1; count <= 400; count++) {
       tell(`s${count % 3}`, draw());
       if (random() < 0.5) {
