--- a/packages/stallpaddle-jobs/src/JobsConstants.ts
+++ b/packages/stallpaddle-jobs/src/JobsConstants.ts
@@ -64,4 +64,4 @@
 export const PROPOSE_AGAIN_MS = 50;
 
 /** Most bytes of texts in one answer: the interface's own limit of 1 MB, less room for its frame. */
-export const RESULT_BYTES = 700_000;
+export const MAX_RESULT_BYTES = 700_000;
--- a/packages/stallpaddle-jobs/src/index.ts
+++ b/packages/stallpaddle-jobs/src/index.ts
@@ -1,5 +1,5 @@
 /** Batch jobs of opaque requests: replicated state, and the dispatcher that runs their items. */
-export {RESULT_BYTES} from './JobsConstants';
+export {MAX_RESULT_BYTES} from './JobsConstants';
 export type {ItemDecision, JobsDispatcherOptions} from './JobsContext';
 export {JobsDispatcher} from './JobsDispatcher';
 export {jobsMachine} from './JobsMachine';
--- a/packages/stallpaddle-node/src/NodeJobsDesk.ts
+++ b/packages/stallpaddle-node/src/NodeJobsDesk.ts
@@ -17,8 +17,8 @@
   type JobsRequest,
   type JobsState,
   joinOutput,
+  MAX_RESULT_BYTES,
   type ReadResult,
-  RESULT_BYTES,
   type ResultRef,
   type ResultsAnswer,
 } from 'stallpaddle-jobs';
@@ -181,7 +181,12 @@
     const askedAt = this.clock.monotonicMs();
     const holdUntil = askedAt + waitMs;
     for (;;) {
-      const found = findResults(stateFor(driver, mayFollow), {customer, job}, from, RESULT_BYTES);
+      const found = findResults(
+        stateFor(driver, mayFollow),
+        {customer, job},
+        from,
+        MAX_RESULT_BYTES,
+      );
       if (found === undefined) {
         return this.answerNotFound(driver, request);
       }
