--- a/packages/stallpaddle-jobs/src/JobsDispatcher.ts
+++ b/packages/stallpaddle-jobs/src/JobsDispatcher.ts
@@ -94,8 +94,12 @@
    * @param sequence number of its word
    * @param own its online requests by engine
    */
-  learnOnline(sender: string, sequence: number, own: Readonly<Record<EngineId, number>>): void {
-    const more = this.online.learn(sender, sequence, own);
+  updateOnlineCounts(
+    sender: string,
+    sequence: number,
+    own: Readonly<Record<EngineId, number>>,
+  ): void {
+    const more = this.online.update(sender, sequence, own);
     if (this.mayDecide()) {
       const view = this.options.view();
       more.forEach((id) => this.giveWay(engineOf(view, id)));
@@ -132,7 +136,7 @@
   }
 
   /** Engines all of whose items have fallen silent. */
-  silentEngines(): readonly EngineId[] {
+  stalledEngines(): readonly EngineId[] {
     return this.engines.silent();
   }
 
--- a/packages/stallpaddle-jobs/src/JobsOnlineCounts.ts
+++ b/packages/stallpaddle-jobs/src/JobsOnlineCounts.ts
@@ -53,7 +53,7 @@
    * @param own its online requests by engine
    * @returns engines that have more requests now
    */
-  learn(sender: string, sequence: number, own: Counts): readonly EngineId[] {
+  update(sender: string, sequence: number, own: Counts): readonly EngineId[] {
     const known = this.senders.get(sender);
     if (known !== undefined && sequence <= known.sequence) {
       return [];
@@ -68,12 +68,12 @@
    *
    * @param counts the requests by engine
    */
-  learnUnknown(counts: Counts): void {
-    this.learn(UNKNOWN, (this.senders.get(UNKNOWN)?.sequence ?? 0) + 1, counts);
+  setUnreported(counts: Counts): void {
+    this.update(UNKNOWN, (this.senders.get(UNKNOWN)?.sequence ?? 0) + 1, counts);
   }
 
   /** Online requests by engine that entry VMs tell. */
-  told(): Counts {
+  reported(): Counts {
     return this.totals(UNKNOWN);
   }
 
--- a/packages/stallpaddle-jobs/src/JobsSurvey.ts
+++ b/packages/stallpaddle-jobs/src/JobsSurvey.ts
@@ -94,7 +94,7 @@
   /** Asks no more; what was found no longer counts. */
   stop(): void {
     this.stopped = true;
-    this.options.online.learnUnknown({});
+    this.options.online.setUnreported({});
   }
 
   private async follow(engine: EngineView): Promise<void> {
@@ -146,7 +146,7 @@
 
   private knownAt(id: EngineId): number {
     const {online, runsAt} = this.options;
-    return (online.told()[id] ?? 0) + runsAt(id);
+    return (online.reported()[id] ?? 0) + runsAt(id);
   }
 
   private note(id: EngineId, unknown: number): void {
@@ -160,7 +160,7 @@
       delete this.unknown[id];
     }
     this.pending.delete(id);
-    online.learnUnknown({...this.unknown});
+    online.setUnreported({...this.unknown});
     onChange();
   }
 }
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
@@ -243,10 +243,10 @@
     group.submit(2);
     await until(() => engines.every(({seen}) => seen.length > 0));
     await delay(100);
-    dispatcher.online.learn('entry', 1, {e0: 2});
+    dispatcher.online.update('entry', 1, {e0: 2});
     dispatcher.poke();
     await until(() => engines[0]!.seen.every(({left}) => left));
-    dispatcher.online.learn('entry', 2, {});
+    dispatcher.online.update('entry', 2, {});
     await until(() => group.results.length === 2);
     expect([group.textOf(0), group.textOf(1)]).toEqual([whole(40), whole(40)]);
     const resumed = engines
@@ -320,10 +320,10 @@
     });
     group.submit(2);
     await until(() => engines.every(({seen}) => seen.length > 0));
-    dispatcher.learnOnline('entry', 1, {e1: 1});
+    dispatcher.updateOnlineCounts('entry', 1, {e1: 1});
     expect(cuts).toEqual([]);
-    dispatcher.learnOnline('entry', 2, {e1: 2});
-    dispatcher.learnOnline('other', 1, {e1: 1});
+    dispatcher.updateOnlineCounts('entry', 2, {e1: 2});
+    dispatcher.updateOnlineCounts('other', 1, {e1: 1});
     expect(cuts).toEqual(['e1']);
     await delay(50);
     expect(cuts).toEqual(['e1']);
@@ -518,7 +518,7 @@
     const group = new Group();
     const dispatcher = lead(group, () => viewOf(engines));
     group.submit(1);
-    await until(() => dispatcher.silentEngines().length === 1);
+    await until(() => dispatcher.stalledEngines().length === 1);
     await until(() => group.results.length === 1);
     expect(group.textOf(0)).toBe(whole(5));
   });
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsOnlineCounts.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsOnlineCounts.test.ts
@@ -46,7 +46,7 @@
     fc.assert(
       fc.property(WORDS, fc.constantFrom('a', 'b', 'nobody'), (words, except) => {
         const online = new JobsOnlineCounts(systemClock);
-        words.forEach(({own, sender, sequence}) => online.learn(sender, sequence, own));
+        words.forEach(({own, sender, sequence}) => online.update(sender, sequence, own));
         expect(online.totals(except)).toEqual(sumOf(words, except));
       }),
     );
@@ -56,7 +56,7 @@
     const online = new JobsOnlineCounts(systemClock);
     const words: Word['own'][] = [{e0: 1}, {e0: 1}, {e0: 2}, {e0: 2, e1: 1}, {e0: 2}];
     const versions = words.map((own, at) => {
-      online.learn('a', at, own);
+      online.update('a', at, own);
       return online.version;
     });
     expect(versions).toEqual([1, 1, 2, 3, 4]);
@@ -64,13 +64,13 @@
 
   test('counts unknown requests apart, the latest in place of any before', () => {
     const online = new JobsOnlineCounts(systemClock);
-    online.learn('a', 7, {e0: 1});
-    online.learnUnknown({e0: 5, e1: 2});
-    online.learnUnknown({e0: 3});
-    expect([online.told(), online.totals()]).toEqual([{e0: 1}, {e0: 4}]);
+    online.update('a', 7, {e0: 1});
+    online.setUnreported({e0: 5, e1: 2});
+    online.setUnreported({e0: 3});
+    expect([online.reported(), online.totals()]).toEqual([{e0: 1}, {e0: 4}]);
     // A survey that ends leaves nothing, and the next one begins anew.
-    online.learnUnknown({});
-    online.learnUnknown({e1: 1});
+    online.setUnreported({});
+    online.setUnreported({e1: 1});
     expect(online.totals()).toEqual({e0: 1, e1: 1});
   });
 
@@ -78,7 +78,7 @@
     let now = 0;
     const clock: Clock = {...systemClock, monotonicMs: () => now};
     const online = new JobsOnlineCounts(clock);
-    online.learn('a', 1, {e0: 3});
+    online.update('a', 1, {e0: 3});
     now = TOLD_COUNTS_MS - 1;
     expect(online.totals()).toEqual({e0: 3});
     now = TOLD_COUNTS_MS + 1;
--- a/packages/stallpaddle-node/src/NodeOnlineDesk.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineDesk.ts
@@ -29,14 +29,14 @@
    * @param dispatcher runs the items
    */
   tell({known, own, sender, sequence}: Tell, dispatcher: JobsDispatcher): OnlineCountsAnswer {
-    dispatcher.learnOnline(sender, sequence, own);
+    dispatcher.updateOnlineCounts(sender, sequence, own);
     const {online} = dispatcher;
     const since = known?.epoch === this.epoch ? known.changes : null;
     const totals = online.totals(sender);
     return {
       isAll: since === null,
       others: since === null ? totals : countsOf(online.changedSince(since), totals),
-      suspects: dispatcher.silentEngines(),
+      suspects: dispatcher.stalledEngines(),
       version: {changes: online.version, epoch: this.epoch},
     };
   }
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
@@ -14,9 +14,9 @@
 
 function deskOf() {
   const online = new JobsOnlineCounts(systemClock);
-  const learnOnline = (sender: string, sequence: number, own: Counts) =>
-    void online.learn(sender, sequence, own);
-  const dispatcher = {learnOnline, online, silentEngines: () => ['quiet']} as never;
+  const updateOnlineCounts = (sender: string, sequence: number, own: Counts) =>
+    void online.update(sender, sequence, own);
+  const dispatcher = {online, stalledEngines: () => ['quiet'], updateOnlineCounts} as never;
   const desk = new NodeOnlineDesk();
   const sequences = new Map<string, number>();
   const tell = (
