--- a/packages/stallpaddle-jobs/src/JobsDispatcher.ts
+++ b/packages/stallpaddle-jobs/src/JobsDispatcher.ts
@@ -11,14 +11,14 @@
 import type {JobsOnlineCounts} from './JobsOnlineCounts';
 
 import {
-  LOOK_AGAIN_MS,
-  SAVE_MS,
-  SPARE_SLOTS,
-  START_FRESH_MS,
-  STARTS_A_LOOK,
-  TIDY_MS,
+  MAINTENANCE_INTERVAL_MS,
+  MAX_STARTS_PER_PASS,
+  MAX_VIEW_AGE_MS,
+  MIN_PASS_INTERVAL_MS,
+  RESERVED_SLOTS,
+  SAVE_INTERVAL_MS,
 } from './JobsConstants';
-import {JobsEngines} from './JobsEngines';
+import {JobsEngineTracker} from './JobsEngineTracker';
 import {planItems} from './JobsPlan';
 import {JobsProgress} from './JobsProgress';
 import {JobsRunner} from './JobsRunner';
@@ -27,7 +27,7 @@
 
 /** See the module's comment. */
 export class JobsDispatcher {
-  private readonly engines: JobsEngines;
+  private readonly engines: JobsEngineTracker;
   private lookedAt: MonotonicMs = -Infinity;
   private planned = false;
   private readonly progress: JobsProgress;
@@ -46,7 +46,7 @@
   constructor(private readonly options: JobsDispatcherOptions) {
     this.progress = new JobsProgress(options);
     this.urgency = new JobsUrgency(() => options.state().clockMs);
-    this.engines = new JobsEngines({
+    this.engines = new JobsEngineTracker({
       clock: options.clock,
       decide: (engine, fields) => options.decide('engineSurveyed', engine, fields),
       mayDecide: () => this.mayDecide(),
@@ -79,7 +79,7 @@
       this.lookedAt = this.options.clock.monotonicMs();
       this.look();
     };
-    const waitMs = this.lookedAt + LOOK_AGAIN_MS - this.options.clock.monotonicMs();
+    const waitMs = this.lookedAt + MIN_PASS_INTERVAL_MS - this.options.clock.monotonicMs();
     if (waitMs > 0) {
       setTimeout(look, waitMs);
     } else {
@@ -165,13 +165,13 @@
     const view = this.options.view();
     const now = this.options.clock.monotonicMs();
     const waiting = this.urgency.waiting(view, this.tasks.all(), now);
-    const {cuts, starts} = planItems(this.engines.planned(view), waiting, SPARE_SLOTS);
+    const {cuts, starts} = planItems(this.engines.planned(view), waiting, RESERVED_SLOTS);
     this.engines.outlived(view).forEach((key) => this.runner.cut(key));
     cuts.forEach((key) => this.runner.cut(key));
     // Knowledge that is too old may name an engine that has left.
     if (this.isFresh()) {
       // What is still being read begins with the next turn, perhaps with that of several looks before.
-      const most = Math.max(0, STARTS_A_LOOK - this.engines.beginning());
+      const most = Math.max(0, MAX_STARTS_PER_PASS - this.engines.beginning());
       const begun = starts.slice(0, most);
       begun.forEach(({engine, key}) => void this.runner.start(key, engine));
       if (starts.length > most) {
@@ -188,7 +188,7 @@
 
   /** Whether what is known of the fleet is new enough to decide on items. */
   private isFresh(): boolean {
-    return this.options.clock.monotonicMs() - this.options.view().asOf < START_FRESH_MS;
+    return this.options.clock.monotonicMs() - this.options.view().asOf < MAX_VIEW_AGE_MS;
   }
 
   /** Whether this process leads in the term to which the tasks here belong. */
@@ -229,8 +229,8 @@
     this.logTerm('dispatchBegan');
     if (term !== undefined) {
       this.timers = [
-        setInterval(() => this.tidy(), TIDY_MS),
-        setInterval(() => void this.saveProgress(), SAVE_MS),
+        setInterval(() => this.tidy(), MAINTENANCE_INTERVAL_MS),
+        setInterval(() => void this.saveProgress(), SAVE_INTERVAL_MS),
       ];
     }
   }
--- a/packages/stallpaddle-jobs/src/JobsEnds.ts
+++ b/packages/stallpaddle-jobs/src/JobsEndRecorder.ts
@@ -8,7 +8,7 @@
 import type {JobsDispatcherOptions} from './JobsContext';
 import type {ItemEnd} from './JobsTypes';
 
-import {PROPOSE_AGAIN_MS, RECORD_BYTES} from './JobsConstants';
+import {PROPOSE_RETRY_MS, TARGET_COMMAND_BYTES} from './JobsConstants';
 
 /** An end, and the term in which it was found. */
 interface FoundEnd {
@@ -21,13 +21,13 @@
   let bytes = 0;
   const full = pending.findIndex(({end}) => {
     bytes += end.data.reduce((sum, data) => sum + data.length, 0);
-    return bytes >= RECORD_BYTES;
+    return bytes >= TARGET_COMMAND_BYTES;
   });
   return full < 0 ? pending : pending.slice(0, full + 1);
 }
 
 /** See the module's comment. */
-export class JobsEnds {
+export class JobsEndRecorder {
   private pending: readonly FoundEnd[] = [];
   private recording = false;
   private stopped = false;
@@ -67,7 +67,7 @@
       if (this.options.leadership().kind === 'leads') {
         await this.recordPending();
       } else {
-        await delay(PROPOSE_AGAIN_MS);
+        await delay(PROPOSE_RETRY_MS);
       }
     }
     this.recording = false;
@@ -88,7 +88,7 @@
     } catch {
       // An end may be recorded twice without harm: only the first counts.
       this.pending = [...found, ...this.pending];
-      await delay(PROPOSE_AGAIN_MS);
+      await delay(PROPOSE_RETRY_MS);
     }
   }
 }
--- a/packages/stallpaddle-jobs/src/JobsEngines.ts
+++ b/packages/stallpaddle-jobs/src/JobsEngineTracker.ts
@@ -12,13 +12,16 @@
 import type {JobsTasks, Task} from './JobsTasks';
 import type {JobsUrgency} from './JobsUrgency';
 
-import {ENGINE_SILENT_MS, LOOK_AGAIN_MS} from './JobsConstants';
+import {ENGINE_STALL_MS, MIN_PASS_INTERVAL_MS} from './JobsConstants';
 import {JobsOnlineCounts} from './JobsOnlineCounts';
 import {cutsAt} from './JobsPlan';
 import {JobsSurvey} from './JobsSurvey';
 
 /** What it needs of its dispatcher. */
-export interface JobsEnginesOptions extends Pick<JobsDispatcherOptions, 'clock' | 'view' | 'wire'> {
+export interface JobsEngineTrackerOptions extends Pick<
+  JobsDispatcherOptions,
+  'clock' | 'view' | 'wire'
+> {
   readonly decide: (engine: EngineId, fields: LogFields) => void;
   /** Whether this dispatcher may decide. */
   readonly mayDecide: () => boolean;
@@ -39,7 +42,7 @@
 }
 
 /** See the module's comment. */
-export class JobsEngines {
+export class JobsEngineTracker {
   private readonly experience: RelayExperience;
   /** Online requests of all entry VMs. */
   readonly online: JobsOnlineCounts;
@@ -49,7 +52,7 @@
   /**
    * @param options what it needs of its dispatcher
    */
-  constructor(private readonly options: JobsEnginesOptions) {
+  constructor(private readonly options: JobsEngineTrackerOptions) {
     this.experience = new RelayExperience(options.clock);
     this.online = new JobsOnlineCounts(options.clock);
   }
@@ -104,7 +107,7 @@
   /** Engines all of whose items have fallen silent; found anew after some milliseconds, not for each that asks. */
   silent(): readonly EngineId[] {
     const now = this.options.clock.monotonicMs();
-    if (now - this.silence.at >= LOOK_AGAIN_MS) {
+    if (now - this.silence.at >= MIN_PASS_INTERVAL_MS) {
       this.silence = {at: now, engines: this.findSilent(now)};
     }
     return this.silence.engines;
@@ -126,7 +129,7 @@
   }
 
   private findSilent(now: MonotonicMs): readonly EngineId[] {
-    const oldest = now - ENGINE_SILENT_MS;
+    const oldest = now - ENGINE_STALL_MS;
     const heard = new Map<EngineId, boolean>();
     for (const {run} of this.options.tasks.all()) {
       if (run !== undefined) {
--- a/packages/stallpaddle-jobs/src/JobsItemRun.ts
+++ b/packages/stallpaddle-jobs/src/JobsItemRun.ts
@@ -19,7 +19,7 @@
   startEngineCall,
 } from 'stallpaddle-relay';
 
-import {EVENT_GAP_MS, FIRST_EVENT_WAIT_MS} from './JobsConstants';
+import {EVENT_TIMEOUT_MS, FIRST_EVENT_TIMEOUT_MS} from './JobsConstants';
 
 /** The only status that events come with. */
 const SUCCESS = 200;
@@ -131,10 +131,10 @@
     path: req.path,
     requestId: req.id,
   });
-  let endWait = registerTimeout(FIRST_EVENT_WAIT_MS, call.close);
+  let endWait = registerTimeout(FIRST_EVENT_TIMEOUT_MS, call.close);
   const alive = (): void => {
     endWait();
-    endWait = registerTimeout(EVENT_GAP_MS, call.close);
+    endWait = registerTimeout(EVENT_TIMEOUT_MS, call.close);
   };
   let wasCut = false;
   const ended = follow(call, req, alive).then((end): ItemRunEnd => {
--- a/packages/stallpaddle-jobs/src/JobsOnlineCounts.ts
+++ b/packages/stallpaddle-jobs/src/JobsOnlineCounts.ts
@@ -4,7 +4,7 @@
  */
 import type {Clock, EngineId, MonotonicMs} from 'stallpaddle';
 
-import {TOLD_COUNTS_MS} from './JobsConstants';
+import {ONLINE_COUNTS_TTL_MS} from './JobsConstants';
 
 /** Online requests by engine; engines without one are left out. */
 type Counts = Readonly<Record<EngineId, number>>;
@@ -115,7 +115,7 @@
   }
 
   private forgetSilent(): void {
-    const oldest = this.clock.monotonicMs() - TOLD_COUNTS_MS;
+    const oldest = this.clock.monotonicMs() - ONLINE_COUNTS_TTL_MS;
     for (const [sender, {at, own}] of this.senders) {
       if (at >= oldest) {
         return;
--- a/packages/stallpaddle-jobs/src/JobsProgress.ts
+++ b/packages/stallpaddle-jobs/src/JobsProgress.ts
@@ -7,7 +7,7 @@
 import type {Task} from './JobsTasks';
 import type {ProgressPart} from './JobsTypes';
 
-import {RECORD_BYTES} from './JobsConstants';
+import {TARGET_COMMAND_BYTES} from './JobsConstants';
 
 function partOf(task: Task): ProgressPart {
   const {data, events, index, job, lastEvent, savedData, savedEvents} = task;
@@ -47,7 +47,7 @@
   const piece: Task[] = [];
   let bytes = 0;
   let at = 0;
-  for (; at < tasks.length && bytes < RECORD_BYTES; at++) {
+  for (; at < tasks.length && bytes < TARGET_COMMAND_BYTES; at++) {
     const task = tasks[at]!;
     if (!task.ending && task.events > task.savedEvents) {
       piece.push(task);
--- a/packages/stallpaddle-jobs/src/JobsQueries.ts
+++ b/packages/stallpaddle-jobs/src/JobsQueries.ts
@@ -8,7 +8,7 @@
 import {findJob} from './JobsNames';
 
 /** How a read may be answered. */
-export interface ReadTerms {
+export interface ReadOptions {
   /** Whether a replica that doesn't lead may answer, from what it holds. */
   readonly mayFollow: boolean;
   /** Time after which nobody waits for the answer any more, beyond the time that it may be held, in milliseconds. */
@@ -17,10 +17,10 @@
 
 /** What any process may ask of the group's leader. */
 export type JobsRequest =
-  | (JobName & ReadTerms & {readonly item: string; readonly kind: 'readBody'})
+  | (JobName & ReadOptions & {readonly item: string; readonly kind: 'readBody'})
   | EndJob
   | (JobName &
-      ReadTerms & {
+      ReadOptions & {
         readonly from: number;
         readonly kind: 'readResults';
         /** Longest time to hold the answer while there is none, in milliseconds. */
--- a/packages/stallpaddle-jobs/src/JobsRunner.ts
+++ b/packages/stallpaddle-jobs/src/JobsRunner.ts
@@ -10,13 +10,13 @@
 import {hasOnlyBegun, RelayPace, requestDigest, SERVER_ERROR} from 'stallpaddle-relay';
 
 import type {ItemDecision, JobsDispatcherOptions} from './JobsContext';
-import type {JobsEngines} from './JobsEngines';
+import type {JobsEngineTracker} from './JobsEngineTracker';
 import type {JobsTasks, Task, TaskRun} from './JobsTasks';
 import type {GiveUpReason, ItemOutcome} from './JobsTypes';
 import type {JobsUrgency} from './JobsUrgency';
 
-import {DECLINED_PAUSE_MS, HELD_LOOK_MS} from './JobsConstants';
-import {JobsEnds} from './JobsEnds';
+import {QUARANTINE_CHECK_MS, RETRY_DELAY_MS} from './JobsConstants';
+import {JobsEndRecorder} from './JobsEndRecorder';
 import {type ItemRun, type ItemRunEnd, startItemRun} from './JobsItemRun';
 import {nextTrial} from './JobsTrial';
 
@@ -25,7 +25,7 @@
 
 /** What it needs of its dispatcher. */
 export interface JobsRunnerOptions {
-  readonly engines: JobsEngines;
+  readonly engines: JobsEngineTracker;
   /** Whether what is known of the fleet is new enough to start items. */
   readonly isFresh: () => boolean;
   /** Whether the dispatcher may decide. */
@@ -42,7 +42,7 @@
 
 /** See the module's comment. */
 export class JobsRunner {
-  private readonly ends: JobsEnds;
+  private readonly ends: JobsEndRecorder;
   private readonly needs: JobsDispatcherOptions;
   private readonly pace = new RelayPace();
 
@@ -51,7 +51,7 @@
    */
   constructor(private readonly options: JobsRunnerOptions) {
     this.needs = options.needs;
-    this.ends = new JobsEnds(options.needs);
+    this.ends = new JobsEndRecorder(options.needs);
   }
 
   /**
@@ -111,7 +111,7 @@
       await this.readTask(task);
     } catch (err) {
       this.decide('itemReturned', task, {reason: errorMessage(err)});
-      task.notBefore = this.needs.clock.monotonicMs() + DECLINED_PAUSE_MS;
+      task.notBefore = this.needs.clock.monotonicMs() + RETRY_DELAY_MS;
       return;
     } finally {
       task.startsAt = undefined;
@@ -159,7 +159,7 @@
       const waitMs = Math.round(task.trial.at - now);
       this.decide('itemHeld', task, {digest: task.digest, level, waitMs});
     }
-    task.notBefore = now + HELD_LOOK_MS;
+    task.notBefore = now + QUARANTINE_CHECK_MS;
     return true;
   }
 
@@ -270,7 +270,7 @@
         if (end.reason !== 'declined') {
           this.options.engines.note(engine, false);
         }
-        task.notBefore = this.needs.clock.monotonicMs() + DECLINED_PAUSE_MS;
+        task.notBefore = this.needs.clock.monotonicMs() + RETRY_DELAY_MS;
         return;
       case 'whole':
         this.options.engines.note(engine, true);
@@ -289,7 +289,7 @@
       this.giveUp(task, 'impossible', route);
       return;
     }
-    task.notBefore = this.needs.clock.monotonicMs() + DECLINED_PAUSE_MS;
+    task.notBefore = this.needs.clock.monotonicMs() + RETRY_DELAY_MS;
     if (status < SERVER_ERROR) {
       return;
     }
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
@@ -12,7 +12,7 @@
 import type {JobsDispatcherOptions} from '../../JobsContext';
 import type {JobsChange, JobsState} from '../../JobsTypes';
 
-import {STARTS_A_LOOK} from '../../JobsConstants';
+import {MAX_STARTS_PER_PASS} from '../../JobsConstants';
 import {JobsDispatcher} from '../../JobsDispatcher';
 import {jobsMachine, updateJobs} from '../../JobsMachine';
 import {joinOutput} from '../../JobsQueries';
@@ -233,7 +233,7 @@
       },
     });
     await until(() => group.results.length === 200, 20_000);
-    expect(Math.max(...perTurn.values())).toBeLessThanOrEqual(2 * STARTS_A_LOOK);
+    expect(Math.max(...perTurn.values())).toBeLessThanOrEqual(2 * MAX_STARTS_PER_PASS);
   });
 
   test('gives way to online requests and goes on after the last whole event', async () => {
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsOnlineCounts.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsOnlineCounts.test.ts
@@ -7,7 +7,7 @@
 import {systemClock} from 'stallpaddle';
 import {describe, expect, test} from 'vitest';
 
-import {TOLD_COUNTS_MS} from '../../JobsConstants';
+import {ONLINE_COUNTS_TTL_MS} from '../../JobsConstants';
 import {JobsOnlineCounts} from '../../JobsOnlineCounts';
 
 interface Word {
@@ -79,9 +79,9 @@
     const clock: Clock = {...systemClock, monotonicMs: () => now};
     const online = new JobsOnlineCounts(clock);
     online.update('a', 1, {e0: 3});
-    now = TOLD_COUNTS_MS - 1;
+    now = ONLINE_COUNTS_TTL_MS - 1;
     expect(online.totals()).toEqual({e0: 3});
-    now = TOLD_COUNTS_MS + 1;
+    now = ONLINE_COUNTS_TTL_MS + 1;
     expect(online.totals()).toEqual({});
     expect(online.version).toBe(2);
   });
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsProgress.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsProgress.test.ts
@@ -7,7 +7,7 @@
 import type {Task} from '../../JobsTasks';
 import type {JobsChange, ProgressPart} from '../../JobsTypes';
 
-import {RECORD_BYTES} from '../../JobsConstants';
+import {TARGET_COMMAND_BYTES} from '../../JobsConstants';
 import {JobsProgress} from '../../JobsProgress';
 
 const EVENT = 'x'.repeat(1_000);
@@ -63,7 +63,7 @@
     const tasks = Array.from({length: 40}, (_, at) => taskOf(at));
     await Promise.all([progress.save(tasks, () => true), progress.save(tasks, () => true)]);
     const largest = EVENTS * (EVENT.length + 1);
-    pieces.forEach((piece) => expect(bytesOf(piece)).toBeLessThan(RECORD_BYTES + largest));
+    pieces.forEach((piece) => expect(bytesOf(piece)).toBeLessThan(TARGET_COMMAND_BYTES + largest));
     expect(pieces.flat().map(({item}) => item)).toEqual(tasks.map(({index}) => index));
     expect(tasks.every(({savedEvents}) => savedEvents === EVENTS)).toBe(true);
     expect(seen.most).toBe(1);
