--- a/packages/stallpaddle-jobs/src/JobsDispatcher.ts
+++ b/packages/stallpaddle-jobs/src/JobsDispatcher.ts
@@ -165,7 +165,11 @@
     const view = this.options.view();
     const now = this.options.clock.monotonicMs();
     const waiting = this.urgency.waiting(view, this.tasks.all(), now);
-    const {cuts, starts} = planItems(this.engines.planned(view), waiting, RESERVED_SLOTS);
+    const {preemptions: cuts, starts} = planItems(
+      this.engines.planned(view),
+      waiting,
+      RESERVED_SLOTS,
+    );
     this.engines.outlived(view).forEach((key) => this.runner.cut(key));
     cuts.forEach((key) => this.runner.cut(key));
     // Knowledge that is too old may name an engine that has left.
@@ -259,7 +263,7 @@
     for (const task of this.isFresh() && view.config !== null ? [...this.tasks.all()] : []) {
       const route = this.urgency.routeOf(view, task);
       if (route === undefined || clockMs - task.acceptedAt > route.giveUpAfterMs) {
-        task.run?.run.cut();
+        task.run?.run.cancel();
         this.runner.giveUp(task, route === undefined ? 'noRoute' : 'tooOld', route);
       }
     }
--- a/packages/stallpaddle-jobs/src/JobsEngineTracker.ts
+++ b/packages/stallpaddle-jobs/src/JobsEngineTracker.ts
@@ -14,7 +14,7 @@
 
 import {ENGINE_STALL_MS, MIN_PASS_INTERVAL_MS} from './JobsConstants';
 import {JobsOnlineCounts} from './JobsOnlineCounts';
-import {cutsAt} from './JobsPlan';
+import {excessRuns} from './JobsPlan';
 import {JobsSurvey} from './JobsSurvey';
 
 /** What it needs of its dispatcher. */
@@ -120,7 +120,7 @@
    */
   excessAt({id, slots}: EngineView): readonly Omit<PlannedRun, 'late'>[] {
     const runs = this.options.tasks.at(id).map(plannedRun);
-    return cutsAt({online: this.online.at(id), runs, slots});
+    return excessRuns({online: this.online.at(id), runs, slots});
   }
 
   /** Number of items whose bodies are being read, so that their runs can begin. */
--- a/packages/stallpaddle-jobs/src/JobsItemRun.ts
+++ b/packages/stallpaddle-jobs/src/JobsItemRun.ts
@@ -53,7 +53,7 @@
 
 /** A run under way. */
 export interface ItemRun {
-  readonly cut: () => void;
+  readonly cancel: () => void;
   readonly ended: Promise<ItemRunEnd>;
 }
 
@@ -146,5 +146,5 @@
     wasCut = true;
     call.close();
   };
-  return {cut, ended};
+  return {cancel: cut, ended};
 }
--- a/packages/stallpaddle-jobs/src/JobsPlan.ts
+++ b/packages/stallpaddle-jobs/src/JobsPlan.ts
@@ -41,7 +41,7 @@
 
 /** What to do now. */
 export interface ItemPlan {
-  readonly cuts: readonly string[];
+  readonly preemptions: readonly string[];
   readonly starts: readonly {readonly engine: EngineId; readonly key: string}[];
 }
 
@@ -50,7 +50,7 @@
  *
  * @param engine the engine
  */
-export function cutsAt({online, runs, slots}: EngineRuns): readonly Omit<PlannedRun, 'late'>[] {
+export function excessRuns({online, runs, slots}: EngineRuns): readonly Omit<PlannedRun, 'late'>[] {
   const excess = online + runs.length - slots;
   return excess <= 0 ? [] : [...runs].sort((a, b) => a.events - b.events).slice(0, excess);
 }
@@ -105,7 +105,7 @@
   waiting: readonly PlannedItem[],
   spareSlots: number,
 ): ItemPlan {
-  const cuts = engines.flatMap((engine) => cutsAt(engine).map(({key}) => key));
+  const cuts = engines.flatMap((engine) => excessRuns(engine).map(({key}) => key));
   const room = new Map<EngineId, number>();
   for (const {id, online, runs, slots, usable} of engines) {
     room.set(id, usable ? slots - spareSlots - online - runs.length : 0);
@@ -123,5 +123,5 @@
       starts.push({engine: best.id, key: item.key});
     }
   }
-  return {cuts: [...cuts, ...cutsForUrgent(engines, left, new Set(cuts))], starts};
+  return {preemptions: [...cuts, ...cutsForUrgent(engines, left, new Set(cuts))], starts};
 }
--- a/packages/stallpaddle-jobs/src/JobsTrial.ts
+++ b/packages/stallpaddle-jobs/src/JobsQuarantine.ts
@@ -31,7 +31,7 @@
  *
  * @param level how many engines ended, one after the other, when they began to run it
  */
-export function trialPauseMs(level: number): number {
+export function trialDelayMs(level: number): number {
   return Math.min(FIRST_HOLD_MS, FIRST_TRIAL_MS * TRIAL_FACTOR ** (level - HELD_LEVEL));
 }
 
@@ -47,5 +47,5 @@
   level: number,
   now: MonotonicMs,
 ): ItemTrial {
-  return trial?.level === level ? trial : {at: now + trialPauseMs(level), level};
+  return trial?.level === level ? trial : {at: now + trialDelayMs(level), level};
 }
--- a/packages/stallpaddle-jobs/src/JobsRunner.ts
+++ b/packages/stallpaddle-jobs/src/JobsRunner.ts
@@ -18,7 +18,7 @@
 import {QUARANTINE_CHECK_MS, RETRY_DELAY_MS} from './JobsConstants';
 import {JobsEndRecorder} from './JobsEndRecorder';
 import {type ItemRun, type ItemRunEnd, startItemRun} from './JobsItemRun';
-import {nextTrial} from './JobsTrial';
+import {nextTrial} from './JobsQuarantine';
 
 /** Status (RFC 9110) of an item that no engine can take. */
 const UNPROCESSABLE = 422;
@@ -61,10 +61,10 @@
    */
   cut(key: string): void {
     const task = this.options.tasks.get(key);
-    if (task?.run !== undefined && !task.run.isCut) {
-      task.run.isCut = true;
+    if (task?.run !== undefined && !task.run.isPreempted) {
+      task.run.isPreempted = true;
       this.decide('itemCut', task, {engine: task.run.engine, events: task.events});
-      task.run.run.cut();
+      task.run.run.cancel();
     }
   }
 
@@ -202,7 +202,7 @@
       events: 0,
       firstEventAt: undefined,
       isCleared: false,
-      isCut: false,
+      isPreempted: false,
       lastEventAt: startedAt,
       run,
     };
--- a/packages/stallpaddle-jobs/src/JobsTasks.ts
+++ b/packages/stallpaddle-jobs/src/JobsTasks.ts
@@ -6,7 +6,7 @@
 import type {GroupMs} from 'stallpaddle-replication';
 
 import type {ItemRun} from './JobsItemRun';
-import type {ItemTrial} from './JobsTrial';
+import type {ItemTrial} from './JobsQuarantine';
 import type {Job, JobId, JobItem, JobsState} from './JobsTypes';
 
 /** A run under way. */
@@ -21,7 +21,7 @@
   /** It has gone on past its begin, which speaks for its item. */
   isCleared: boolean;
   /** It gives way, and its end is on its way. */
-  isCut: boolean;
+  isPreempted: boolean;
   /** When its last event came, or its start. */
   lastEventAt: MonotonicMs;
   readonly run: ItemRun;
@@ -181,7 +181,7 @@
     if (task === undefined) {
       return;
     }
-    task.run?.run.cut();
+    task.run?.run.cancel();
     this.tasks.delete(key);
     const engine = task.run?.engine ?? task.startsAt;
     if (engine !== undefined) {
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsPlan.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsPlan.test.ts
@@ -29,22 +29,26 @@
 
 describe('planItems', () => {
   test('starts the most urgent items where most room is, and leaves the spare slot free', () => {
-    const {cuts, starts} = planItems([engineOf('a', 2), engineOf('b', 0, [1])], itemsOf(9), 1);
+    const {preemptions: cuts, starts} = planItems(
+      [engineOf('a', 2), engineOf('b', 0, [1])],
+      itemsOf(9),
+      1,
+    );
     expect(cuts).toEqual([]);
     expect(starts.map(({engine, key}) => `${key} ${engine}`)).toEqual(['i0 b', 'i1 a', 'i2 b']);
   });
 
   test('cuts the runs with the fewest events when online requests need their slots', () => {
-    const {cuts} = planItems([engineOf('a', 3, [9, 2, 5])], [], 1);
+    const {preemptions: cuts} = planItems([engineOf('a', 3, [9, 2, 5])], [], 1);
     expect(cuts).toEqual(['a1', 'a2']);
   });
 
   test('lets a late run give way to an item that can still be in time, and only to one', () => {
     const runs = [1, 2, 3, 4].map((events) => ({events, key: `r${events}`, late: events > 2}));
     const engine = {...engineOf('a', 0), runs};
-    expect(planItems([engine], itemsOf(1), 0).cuts).toEqual(['r3']);
+    expect(planItems([engine], itemsOf(1), 0).preemptions).toEqual(['r3']);
     const late = itemsOf(3).map((item) => ({...item, late: true}));
-    expect(planItems([engine], late, 0).cuts).toEqual([]);
+    expect(planItems([engine], late, 0).preemptions).toEqual([]);
   });
 
   test('starts nothing at engines that are not usable', () => {
@@ -61,7 +65,7 @@
       const engines = all.map(({online, runs, usable}, at) =>
         engineOf(`e${at}`, online, runs, usable),
       );
-      const {cuts, starts} = planItems(engines, itemsOf(waiting), 1);
+      const {preemptions: cuts, starts} = planItems(engines, itemsOf(waiting), 1);
       expect(new Set(starts.map(({key}) => key)).size).toBe(starts.length);
       for (const {id, online, runs, slots, usable} of engines) {
         const cut = runs.filter(({key}) => cuts.includes(key)).length;
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsTrial.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsQuarantine.test.ts
@@ -4,11 +4,11 @@
 /**
  * When an item that may have ended engines runs once more.
  */
-import {nextTrial, trialPauseMs} from '../../JobsTrial';
+import {nextTrial, trialDelayMs} from '../../JobsQuarantine';
 
 describe('nextTrial', () => {
   test('waits longer after each end, and never longer than a request is held', () => {
-    const pauses = [0, 1, 2, 3, 9].map((more) => trialPauseMs(HELD_LEVEL + more));
+    const pauses = [0, 1, 2, 3, 9].map((more) => trialDelayMs(HELD_LEVEL + more));
     expect(pauses).toEqual([3_000, 15_000, 75_000, 375_000, FIRST_HOLD_MS]);
   });
 
