--- a/packages/stallpaddle-jobs/src/JobsDispatcher.ts
+++ b/packages/stallpaddle-jobs/src/JobsDispatcher.ts
@@ -50,7 +50,7 @@
       clock: options.clock,
       decide: (engine, fields) => options.decide('engineSurveyed', engine, fields),
       mayDecide: () => this.mayDecide(),
-      onChange: () => this.poke(),
+      onChange: () => this.schedulePass(),
       tasks: this.tasks,
       urgency: this.urgency,
       view: options.view,
@@ -61,7 +61,7 @@
       isFresh: () => this.isFresh(),
       mayDecide: () => this.mayDecide(),
       needs: options,
-      poke: () => this.poke(),
+      schedulePass: () => this.schedulePass(),
       tasks: this.tasks,
       term: () => this.term,
       urgency: this.urgency,
@@ -69,7 +69,7 @@
   }
 
   /** Looks soon at what may start and what must give way; many calls make one look. */
-  poke(): void {
+  schedulePass(): void {
     if (this.planned || this.stopped) {
       return;
     }
@@ -104,7 +104,7 @@
       const view = this.options.view();
       more.forEach((id) => this.giveWay(engineOf(view, id)));
     }
-    this.poke();
+    this.schedulePass();
   }
 
   /** Cuts all runs and does nothing more. */
@@ -152,7 +152,7 @@
     if (this.term === undefined) {
       if (this.options.leadership().kind === 'unsure') {
         // Nothing else tells when the lease of one that was just elected begins to run.
-        this.poke();
+        this.schedulePass();
       }
       return;
     }
@@ -179,7 +179,7 @@
       const begun = starts.slice(0, most);
       begun.forEach(({engine, key}) => void this.runner.start(key, engine));
       if (starts.length > most) {
-        this.poke();
+        this.schedulePass();
       }
     }
   }
@@ -255,7 +255,7 @@
   /** Gives up items whose time is over or whose route was removed, and lets the group's clock run. */
   private tidy(): void {
     if (!this.mayDecide()) {
-      this.poke();
+      this.schedulePass();
       return;
     }
     const view = this.options.view();
@@ -270,7 +270,7 @@
     if (open.size > 0) {
       this.options.propose({kind: 'tick'}).catch((err: unknown) => this.logTick(err));
     }
-    this.poke();
+    this.schedulePass();
   }
 
   private logTick(err: unknown): void {
--- a/packages/stallpaddle-jobs/src/JobsRunner.ts
+++ b/packages/stallpaddle-jobs/src/JobsRunner.ts
@@ -33,7 +33,7 @@
   /** What the dispatcher needs of its process. */
   readonly needs: JobsDispatcherOptions;
   /** Called when there is room, or an item waits again. */
-  readonly poke: () => void;
+  readonly schedulePass: () => void;
   readonly tasks: JobsTasks;
   /** Term in which the dispatcher decides; undefined in none. */
   readonly term: () => Term | undefined;
@@ -102,7 +102,7 @@
     } finally {
       endCount();
     }
-    this.options.poke();
+    this.options.schedulePass();
   }
 
   private async startAt(task: Task, engineId: string): Promise<void> {
@@ -176,7 +176,7 @@
       await suspects.noteBreak({digest, engine, id: task.item.id, known});
     } finally {
       task.notBefore = clock.monotonicMs();
-      this.options.poke();
+      this.options.schedulePass();
     }
   }
 
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
@@ -50,7 +50,7 @@
     const {blobs, result, state} = updateJobs(this.state, {change}, 1);
     blobs.forEach(({payload, ref}) => this.blobs.set(ref.offset, payload));
     this.state = state;
-    this.leader?.poke();
+    this.leader?.schedulePass();
     return Promise.resolve(result);
   }
 
@@ -162,7 +162,7 @@
     leads = false;
     dispatcher.stop();
   });
-  dispatcher.poke();
+  dispatcher.schedulePass();
   return dispatcher;
 }
 
@@ -200,7 +200,7 @@
     group.submit(6);
     let most = 0;
     while (group.results.length < 6) {
-      dispatcher.poke();
+      dispatcher.schedulePass();
       await delay(5);
       const open = engines.map(({seen}) => seen.filter((req) => req.open).length);
       most = Math.max(most, ...open);
@@ -244,7 +244,7 @@
     await until(() => engines.every(({seen}) => seen.length > 0));
     await delay(100);
     dispatcher.online.update('entry', 1, {e0: 2});
-    dispatcher.poke();
+    dispatcher.schedulePass();
     await until(() => engines[0]!.seen.every(({left}) => left));
     dispatcher.online.update('entry', 2, {});
     await until(() => group.results.length === 2);
@@ -355,7 +355,7 @@
     await until(() => engines.every(({seen}) => seen.length > 0));
     await delay(60);
     startedAtMs = 1_000;
-    dispatcher.poke();
+    dispatcher.schedulePass();
     await until(() => cuts.length > 0);
     await until(() => group.results.length === 2);
     expect(cuts).toEqual(['e0']);
@@ -555,10 +555,10 @@
     await until(() => engines[0]!.seen.length > 0);
     await delay(50);
     mayLead = false;
-    dispatcher.poke();
+    dispatcher.schedulePass();
     await delay(100);
     mayLead = true;
-    dispatcher.poke();
+    dispatcher.schedulePass();
     await until(() => group.results.length === 1);
     expect(engines[0]!.seen).toHaveLength(1);
     expect(group.textOf(0)).toBe(whole(80));
@@ -588,7 +588,7 @@
     await delay(60);
     term = 3;
     held = false;
-    dispatcher.poke();
+    dispatcher.schedulePass();
     await until(() => group.results.length === 2);
     expect(engines[0]!.seen).toHaveLength(4);
     expect(recorded.every((at) => at === 3)).toBe(true);
--- a/packages/stallpaddle-node/src/NodeStore.ts
+++ b/packages/stallpaddle-node/src/NodeStore.ts
@@ -73,7 +73,7 @@
       onView: (view, before) => {
         if (view.news !== before.news || view.config !== before.config) {
           this.newsWaiters.wakeAll();
-          this.dispatcher?.poke();
+          this.dispatcher?.schedulePass();
         }
       },
       settings,
@@ -194,11 +194,11 @@
     this.desk = desk;
     this.dispatcher = this.makeDispatcher(group, desk);
     group.registerListener(() => {
-      this.dispatcher?.poke();
+      this.dispatcher?.schedulePass();
       desk.wakeReads();
     });
     // The group may lead already.
-    this.dispatcher.poke();
+    this.dispatcher.schedulePass();
   }
 
   private makeDispatcher(group: NodeGroup<JobsState>, desk: NodeJobsDesk): JobsDispatcher {
