--- a/packages/stallpaddle-jobs/src/JobsConstants.ts
+++ b/packages/stallpaddle-jobs/src/JobsConstants.ts
@@ -1,67 +1,63 @@
+/** Limits and intervals of the batch dispatcher. */
+
 /**
- * Fixed numbers of the batch dispatcher.
+ * Slots of each engine that batch items never use, so that an online request finds one free (`docs/design/POLICY.md`).
  */
-
-/** Slots of each engine that items never get, so that an online request finds one free at once (`docs/design/POLICY.md`). */
 export const RESERVED_SLOTS = 1;
 
 /**
- * Oldest knowledge of the fleet with which an item may start, in milliseconds: half of the shortest time
- * (2 s) in which an engine that leaves must get nothing more.
+ * Maximum age of the fleet view for starting an item, in milliseconds: half of the 2 s within which a draining engine
+ * must stop receiving work.
  */
 export const MAX_VIEW_AGE_MS = 1_000;
 
 /**
- * Most items that begin in one turn of the process, those that are still being read among them. Each costs about a millisecond on a VM of 0.8 cores (167 ms were seen
- * right after an election, with 180 items), and heartbeats go between turns.
+ * Maximum number of items starting at once, including those whose bodies are still being read; keeps the event loop
+ * responsive.
  */
 export const MAX_STARTS_PER_PASS = 16;
 
-/** Longest wait for an item's first event, in milliseconds; a full engine needs well under one second. */
+/** Timeout for the first event of a run, in milliseconds. */
 export const FIRST_EVENT_TIMEOUT_MS = 2_000;
 
-/**
- * Longest pause between an item's events, in milliseconds: some fifty times the usual one, and a loss of
- * little, since it goes on elsewhere.
- */
+/** Timeout between two events of a run, in milliseconds. */
 export const EVENT_TIMEOUT_MS = 1_000;
 
-/** Silence of all items of an engine at once after which nothing more is sent there, in milliseconds. */
+/** Time without events from any of an engine's items after which the engine counts as stalled, in milliseconds. */
 export const ENGINE_STALL_MS = 300;
 
 /**
- * Time between records of what runs have brought, in milliseconds. A leader that is lost costs at most
- * that much of each run; each record costs 150 KB at 48 runs.
+ * Interval between progress records, in milliseconds: the most output of a run that is repeated when the leader is
+ * lost.
  */
 export const SAVE_INTERVAL_MS = 1_500;
 
 /**
- * Size from which a record of what runs have brought is full, in bytes of output: half of what goes to a replica at
- * once. One record of 300 runs had 800 KB and kept everything else waiting for half a second.
+ * Output size at which a replicated command is full, in bytes: half of a replication batch, so that other commands are
+ * not delayed.
  */
 export const TARGET_COMMAND_BYTES = 65_536;
 
-/** Time between looks whether an item that is kept off the engines may run again, in milliseconds: it is kept off for seconds or minutes. */
+/** Interval at which a quarantined item is checked again, in milliseconds. */
 export const QUARANTINE_CHECK_MS = 1_000;
 
-/** Pause before an item that an engine declined is tried again, in milliseconds. */
+/** Delay before an item is retried after an engine declined or failed it, in milliseconds. */
 export const RETRY_DELAY_MS = 100;
 
-/** Longest silence of an entry VM for which its online requests count, in milliseconds: three words of an idle one. */
+/** Time after which the online counts of an entry VM that no longer reports expire, in milliseconds. */
 export const ONLINE_COUNTS_TTL_MS = 3_000;
 
 /**
- * Shortest time between two looks at everything, in milliseconds. What gives way to an online request is cut at once; a
- * slot that is free waits this long for an item, 1% of the time an online request holds it. A look at 360 runs and some
- * hundred waiting items takes about a millisecond, and words of entry VMs came 560 times a second.
+ * Minimum time between two passes of the dispatcher, in milliseconds. Bounds the cost of frequent online reports;
+ * preemption for online requests doesn't wait for a pass.
  */
 export const MIN_PASS_INTERVAL_MS = 10;
 
-/** Time between looks at items' ages, and between the group clock's ticks, in milliseconds. */
+/** Interval between checks for expired items, and between ticks of the group clock, in milliseconds. */
 export const MAINTENANCE_INTERVAL_MS = 500;
 
-/** Pause before an item's end that was not recorded is proposed again, in milliseconds. */
+/** Delay before the ends of items are proposed again after a failure, in milliseconds. */
 export const PROPOSE_RETRY_MS = 50;
 
-/** Most bytes of texts in one answer: the interface's own limit of 1 MB, less room for its frame. */
+/** Maximum size of the texts in one answer, in bytes: the interface's limit of 1 MB, less space for framing. */
 export const MAX_RESULT_BYTES = 700_000;
--- a/packages/stallpaddle-jobs/src/JobsContext.ts
+++ b/packages/stallpaddle-jobs/src/JobsContext.ts
@@ -1,6 +1,4 @@
-/**
- * What the dispatcher of batch items needs of its process.
- */
+/** Interface between the batch dispatcher and its process. */
 import type {Clock, LogFields} from 'stallpaddle';
 import type {FleetView} from 'stallpaddle-fleet';
 import type {RelaySuspects, RelayWire} from 'stallpaddle-relay';
@@ -9,7 +7,7 @@
 
 import type {JobsChange, JobsState} from './JobsTypes';
 
-/** Decisions on items. */
+/** Names of the decisions that the dispatcher logs. */
 export type ItemDecision =
   | 'dispatchBegan'
   | 'dispatchEnded'
@@ -22,16 +20,16 @@
   | 'progressNotSaved'
   | 'tickFailed';
 
-/** See the module's comment. */
+/** Services that the process provides to the dispatcher. */
 export interface JobsDispatcherOptions {
   readonly clock: Clock;
-  /** Writes one line for a decision; the name is empty for one on no single item. */
+  /** Logs a decision; the item id is empty when the decision concerns no single item. */
   readonly decide: (decision: ItemDecision, itemId: string, fields: LogFields) => void;
-  /** What this process may do for the group. */
+  /** This process's role in the replication group. */
   readonly leadership: () => Leadership;
-  /** Records a change; rejects when it may not have been recorded. */
+  /** Replicates a change; rejects when the outcome is unknown. */
   readonly propose: (change: JobsChange) => Promise<unknown>;
-  /** Reads a body or a part of an output. */
+  /** Reads a request body or a part of an output. */
   readonly readBlob: (ref: BlobRef) => Promise<Uint8Array>;
   readonly state: () => JobsState;
   readonly suspects: RelaySuspects;
--- a/packages/stallpaddle-jobs/src/JobsDispatcher.ts
+++ b/packages/stallpaddle-jobs/src/JobsDispatcher.ts
@@ -1,6 +1,4 @@
-/**
- * Runs the open items of a group in the slots that online requests leave, while this process leads it.
- */
+/** Dispatcher of batch items. */
 import type {EngineId, MonotonicMs} from 'stallpaddle';
 import type {Term} from 'stallpaddle-replication';
 
@@ -25,23 +23,23 @@
 import {JobsTasks} from './JobsTasks';
 import {JobsUrgency} from './JobsUrgency';
 
-/** See the module's comment. */
+/** Runs open batch items on engine slots that online requests leave free, while this process leads the group. */
 export class JobsDispatcher {
   private readonly engines: JobsEngineTracker;
-  private lookedAt: MonotonicMs = -Infinity;
-  private planned = false;
+  private lastPassAt: MonotonicMs = -Infinity;
+  private isPassScheduled = false;
   private readonly progress: JobsProgress;
   private readonly runner: JobsRunner;
   private stopped = false;
   private readonly tasks = new JobsTasks();
-  /** Term to which the tasks belong; undefined while this process doesn't lead. */
+  /** Term in which the tasks were loaded; undefined while this process doesn't lead. */
   private term: Term | undefined;
-  /** Run only while this process leads: most stores never do. */
+  /** Active only while this process leads. */
   private timers: readonly NodeJS.Timeout[] = [];
   private readonly urgency: JobsUrgency;
 
   /**
-   * @param options what the dispatcher needs of its process
+   * @param options services of the process
    */
   constructor(private readonly options: JobsDispatcherOptions) {
     this.progress = new JobsProgress(options);
@@ -49,7 +47,7 @@
     this.engines = new JobsEngineTracker({
       clock: options.clock,
       decide: (engine, fields) => options.decide('engineSurveyed', engine, fields),
-      mayDecide: () => this.mayDecide(),
+      isLeading: () => this.isLeading(),
       onChange: () => this.schedulePass(),
       tasks: this.tasks,
       urgency: this.urgency,
@@ -58,9 +56,9 @@
     });
     this.runner = new JobsRunner({
       engines: this.engines,
-      isFresh: () => this.isFresh(),
-      mayDecide: () => this.mayDecide(),
-      needs: options,
+      hasFreshView: () => this.hasFreshView(),
+      isLeading: () => this.isLeading(),
+      runtime: options,
       schedulePass: () => this.schedulePass(),
       tasks: this.tasks,
       term: () => this.term,
@@ -68,30 +66,30 @@
     });
   }
 
-  /** Looks soon at what may start and what must give way; many calls make one look. */
+  /** Schedules a pass that starts and preempts items; calls before it runs are coalesced. */
   schedulePass(): void {
-    if (this.planned || this.stopped) {
+    if (this.isPassScheduled || this.stopped) {
       return;
     }
-    this.planned = true;
-    const look = (): void => {
-      this.planned = false;
-      this.lookedAt = this.options.clock.monotonicMs();
-      this.look();
+    this.isPassScheduled = true;
+    const pass = (): void => {
+      this.isPassScheduled = false;
+      this.lastPassAt = this.options.clock.monotonicMs();
+      this.runPass();
     };
-    const waitMs = this.lookedAt + MIN_PASS_INTERVAL_MS - this.options.clock.monotonicMs();
+    const waitMs = this.lastPassAt + MIN_PASS_INTERVAL_MS - this.options.clock.monotonicMs();
     if (waitMs > 0) {
-      setTimeout(look, waitMs);
+      setTimeout(pass, waitMs);
     } else {
-      setImmediate(look);
+      setImmediate(pass);
     }
   }
 
   /**
-   * Takes in an entry VM's online requests; runs give way to them at once.
+   * Updates the online request counts of an entry VM and preempts runs for added requests at once.
    *
-   * @param sender the VM's process
-   * @param sequence number of its word
+   * @param sender the reporting process
+   * @param sequence sequence number of the report
    * @param own its online requests by engine
    */
   updateOnlineCounts(
@@ -99,15 +97,15 @@
     sequence: number,
     own: Readonly<Record<EngineId, number>>,
   ): void {
-    const more = this.online.update(sender, sequence, own);
-    if (this.mayDecide()) {
+    const increased = this.online.update(sender, sequence, own);
+    if (this.isLeading()) {
       const view = this.options.view();
-      more.forEach((id) => this.giveWay(engineOf(view, id)));
+      increased.forEach((id) => this.preemptExcess(engineOf(view, id)));
     }
     this.schedulePass();
   }
 
-  /** Cuts all runs and does nothing more. */
+  /** Cancels all runs and stops for good. */
   stop(): void {
     this.stopped = true;
     this.engines.stopSurvey();
@@ -116,7 +114,7 @@
     this.tasks.clear();
   }
 
-  /** Items that wait and items that run. */
+  /** Numbers of waiting and running items. */
   counts(): {readonly running: number; readonly waiting: number} {
     let running = 0;
     let waiting = 0;
@@ -130,82 +128,83 @@
     return {running, waiting};
   }
 
-  /** Online requests of all entry VMs. */
+  /** Counts of the online requests of all entry VMs. */
   get online(): JobsOnlineCounts {
     return this.engines.online;
   }
 
-  /** Engines all of whose items have fallen silent. */
+  /** Engines that run items, none of which has brought an event lately. */
   stalledEngines(): readonly EngineId[] {
-    return this.engines.silent();
+    return this.engines.stalled();
   }
 
-  /** Records what runs have brought since the last record, so that the next leader can go on from there. */
+  /** Replicates the output since the last save, so that the next leader can resume from it. */
   async saveProgress(): Promise<void> {
-    if (this.mayDecide()) {
-      await this.progress.save(this.tasks.all(), () => this.mayDecide());
+    if (this.isLeading()) {
+      await this.progress.save(this.tasks.all(), () => this.isLeading());
     }
   }
 
-  private look(): void {
-    this.followTerm();
+  private runPass(): void {
+    this.syncTerm();
     if (this.term === undefined) {
       if (this.options.leadership().kind === 'unsure') {
-        // Nothing else tells when the lease of one that was just elected begins to run.
+        // No event signals the moment at which a newly elected leader gets its lease, so it is polled.
         this.schedulePass();
       }
       return;
     }
-    this.tasks.follow(this.options.state());
-    // While the lease doesn't run, runs go on: nobody else leads as far as is known, and a lapse is often short.
-    if (!this.mayDecide()) {
+    this.tasks.sync(this.options.state());
+    // Runs continue while the lease has lapsed: lapses are often short, and no other leader is known.
+    if (!this.isLeading()) {
       return;
     }
     this.engines.startSurvey();
     const view = this.options.view();
     const now = this.options.clock.monotonicMs();
-    const waiting = this.urgency.waiting(view, this.tasks.all(), now);
-    const {preemptions: cuts, starts} = planItems(
-      this.engines.planned(view),
+    const waiting = this.urgency.waitingItems(view, this.tasks.all(), now);
+    const {preemptions, starts} = planItems(
+      this.engines.plannedEngines(view),
       waiting,
       RESERVED_SLOTS,
     );
-    this.engines.outlived(view).forEach((key) => this.runner.cut(key));
-    cuts.forEach((key) => this.runner.cut(key));
-    // Knowledge that is too old may name an engine that has left.
-    if (this.isFresh()) {
-      // What is still being read begins with the next turn, perhaps with that of several looks before.
-      const most = Math.max(0, MAX_STARTS_PER_PASS - this.engines.beginning());
-      const begun = starts.slice(0, most);
-      begun.forEach(({engine, key}) => void this.runner.start(key, engine));
-      if (starts.length > most) {
+    this.engines.runsOnRestartedEngines(view).forEach((key) => this.runner.preempt(key));
+    preemptions.forEach((key) => this.runner.preempt(key));
+    // A stale view may list engines that have left.
+    if (this.hasFreshView()) {
+      // Items of earlier passes whose bodies are still being read count too: many may be ready in the same turn.
+      const limit = Math.max(0, MAX_STARTS_PER_PASS - this.engines.startingCount());
+      const started = starts.slice(0, limit);
+      started.forEach(({engine, key}) => void this.runner.start(key, engine));
+      if (starts.length > limit) {
         this.schedulePass();
       }
     }
   }
 
-  private giveWay(engine: EngineView | undefined): void {
+  private preemptExcess(engine: EngineView | undefined): void {
     if (engine !== undefined) {
-      this.engines.excessAt(engine).forEach(({key}) => this.runner.cut(key));
+      this.engines.excessRunsAt(engine).forEach(({key}) => this.runner.preempt(key));
     }
   }
 
-  /** Whether what is known of the fleet is new enough to decide on items. */
-  private isFresh(): boolean {
+  /** Whether the fleet view is recent enough to decide on items. */
+  private hasFreshView(): boolean {
     return this.options.clock.monotonicMs() - this.options.view().asOf < MAX_VIEW_AGE_MS;
   }
 
-  /** Whether this process leads in the term to which the tasks here belong. */
-  private mayDecide(): boolean {
+  /** Whether this process holds the lease in the term in which the tasks were loaded. */
+  private isLeading(): boolean {
     const leadership = this.options.leadership();
     return !this.stopped && leadership.kind === 'leads' && leadership.term === this.term;
   }
 
   /**
-   * The term in which this process decides. One that was just elected holds all that leaders before it have recorded only once it
-   * leads: items that are taken in sooner go on from an older event than the one recorded. A lapse later changes no term.
+   * Term in which this process dispatches. A newly elected leader has applied all records of earlier leaders only once
+   * it holds the lease; loading items sooner would resume them after an older event than the recorded one. A later
+   * lapse of the lease keeps the term.
    */
-  private presentTerm(): Term | undefined {
+  private activeTerm(): Term | undefined {
     const leadership = this.options.leadership();
     switch (leadership.kind) {
       case 'follows':
@@ -219,9 +218,9 @@
     }
   }
 
-  /** Runs and what they brought belong to one term: other leaders may have gone on with the same items since. */
-  private followTerm(): void {
-    const term = this.stopped ? undefined : this.presentTerm();
+  /** Discards all tasks when the term changes: another leader may have continued the same items since. */
+  private syncTerm(): void {
+    const term = this.stopped ? undefined : this.activeTerm();
     if (term === this.term) {
       return;
     }
@@ -233,7 +232,7 @@
     this.logTerm('dispatchBegan');
     if (term !== undefined) {
       this.timers = [
-        setInterval(() => this.tidy(), MAINTENANCE_INTERVAL_MS),
+        setInterval(() => this.runMaintenance(), MAINTENANCE_INTERVAL_MS),
         setInterval(() => void this.saveProgress(), SAVE_INTERVAL_MS),
       ];
     }
@@ -252,15 +251,15 @@
     }
   }
 
-  /** Gives up items whose time is over or whose route was removed, and lets the group's clock run. */
-  private tidy(): void {
-    if (!this.mayDecide()) {
+  /** Gives up expired items and those whose route was removed, and advances the group's clock. */
+  private runMaintenance(): void {
+    if (!this.isLeading()) {
       this.schedulePass();
       return;
     }
     const view = this.options.view();
     const {clockMs, open} = this.options.state();
-    for (const task of this.isFresh() && view.config !== null ? [...this.tasks.all()] : []) {
+    for (const task of this.hasFreshView() && view.config !== null ? [...this.tasks.all()] : []) {
       const route = this.urgency.routeOf(view, task);
       if (route === undefined || clockMs - task.acceptedAt > route.giveUpAfterMs) {
         task.run?.run.cancel();
@@ -268,12 +267,12 @@
       }
     }
     if (open.size > 0) {
-      this.options.propose({kind: 'tick'}).catch((err: unknown) => this.logTick(err));
+      this.options.propose({kind: 'tick'}).catch((err: unknown) => this.logTickFailure(err));
     }
     this.schedulePass();
   }
 
-  private logTick(err: unknown): void {
+  private logTickFailure(err: unknown): void {
     this.options.decide('tickFailed', '', {reason: errorMessage(err)});
   }
 }
--- a/packages/stallpaddle-jobs/src/JobsEndRecorder.ts
+++ b/packages/stallpaddle-jobs/src/JobsEndRecorder.ts
@@ -1,6 +1,4 @@
-/**
- * Records the ends of items in groups: those that come while one group is under way go with the next.
- */
+/** Replication of the ends of items. */
 import type {Term} from 'stallpaddle-replication';
 
 import {delay} from 'stallpaddle';
@@ -10,14 +8,14 @@
 
 import {PROPOSE_RETRY_MS, TARGET_COMMAND_BYTES} from './JobsConstants';
 
-/** An end, and the term in which it was found. */
-interface FoundEnd {
+/** An end and the term in which it occurred. */
+interface PendingEnd {
   readonly end: ItemEnd;
   readonly term: Term;
 }
 
-/** The first ends, up to the size of one record; at least one. */
-function firstOf(pending: readonly FoundEnd[]): readonly FoundEnd[] {
+/** The first ends, up to the size of one command; at least one. */
+function nextBatch(pending: readonly PendingEnd[]): readonly PendingEnd[] {
   let bytes = 0;
   const full = pending.findIndex(({end}) => {
     bytes += end.data.reduce((sum, data) => sum + data.length, 0);
@@ -26,46 +24,46 @@
   return full < 0 ? pending : pending.slice(0, full + 1);
 }
 
-/** See the module's comment. */
+/** Records the ends of items in batches, one command at a time; ends added meanwhile go into the next one. */
 export class JobsEndRecorder {
-  private pending: readonly FoundEnd[] = [];
+  private pending: readonly PendingEnd[] = [];
   private recording = false;
   private stopped = false;
 
   /**
-   * @param options what it needs of its process
+   * @param options services of the process
    */
   constructor(private readonly options: Pick<JobsDispatcherOptions, 'leadership' | 'propose'>) {}
 
   /**
-   * Records an end soon, while this process leads in the same term.
+   * Queues an end; it is dropped if the term changes before it is recorded.
    *
    * @param end the end
-   * @param term term in which it was found
+   * @param term term in which it occurred
    */
   add(end: ItemEnd, term: Term): void {
     this.pending = [...this.pending, {end, term}];
-    void this.record();
+    void this.recordAll();
   }
 
-  /** Begins no further record. */
+  /** Starts no further command. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** An end outlasts a lease that lapses for a moment: its item would else never end under this leader. */
-  private async record(): Promise<void> {
+  /** Keeps ends while the lease has lapsed: this leader would otherwise never end their items. */
+  private async recordAll(): Promise<void> {
     if (this.recording) {
       return;
     }
     this.recording = true;
     while (!this.stopped) {
-      this.forgetOtherTerms();
+      this.dropOtherTerms();
       if (this.pending.length === 0) {
         break;
       }
       if (this.options.leadership().kind === 'leads') {
-        await this.recordPending();
+        await this.recordBatch();
       } else {
         await delay(PROPOSE_RETRY_MS);
       }
@@ -73,21 +71,21 @@
     this.recording = false;
   }
 
-  /** What an earlier term found may not fit what other leaders have recorded since; whoever leads runs those items. */
-  private forgetOtherTerms(): void {
+  /** Drops ends of earlier terms: other leaders may have recorded other output since, and run those items again. */
+  private dropOtherTerms(): void {
     const leadership = this.options.leadership();
     const current = leadership.kind === 'follows' ? undefined : leadership.term;
     this.pending = this.pending.filter(({term}) => term === current);
   }
 
-  private async recordPending(): Promise<void> {
-    const found = firstOf(this.pending);
-    this.pending = this.pending.slice(found.length);
+  private async recordBatch(): Promise<void> {
+    const batch = nextBatch(this.pending);
+    this.pending = this.pending.slice(batch.length);
     try {
-      await this.options.propose({ends: found.map(({end}) => end), kind: 'endItems'});
+      await this.options.propose({ends: batch.map(({end}) => end), kind: 'endItems'});
     } catch {
-      // An end may be recorded twice without harm: only the first counts.
-      this.pending = [...found, ...this.pending];
+      // Proposing an end again is safe: only the first record of an end counts.
+      this.pending = [...batch, ...this.pending];
       await delay(PROPOSE_RETRY_MS);
     }
   }
--- a/packages/stallpaddle-jobs/src/JobsEngineTracker.ts
+++ b/packages/stallpaddle-jobs/src/JobsEngineTracker.ts
@@ -1,7 +1,4 @@
-/**
- * What a dispatcher knows of the engines: who is silent or fails, what entry VMs and lost dispatchers have there, and
- * what its own items take.
- */
+/** Engine state for planning batch items. */
 import type {EngineId, LogFields, MonotonicMs} from 'stallpaddle';
 import type {EngineView, FleetView} from 'stallpaddle-fleet';
 
@@ -17,22 +14,22 @@
 import {excessRuns} from './JobsPlan';
 import {JobsSurvey} from './JobsSurvey';
 
-/** What it needs of its dispatcher. */
+/** Interface between the tracker and its dispatcher. */
 export interface JobsEngineTrackerOptions extends Pick<
   JobsDispatcherOptions,
   'clock' | 'view' | 'wire'
 > {
   readonly decide: (engine: EngineId, fields: LogFields) => void;
-  /** Whether this dispatcher may decide. */
-  readonly mayDecide: () => boolean;
-  /** Called when an engine's room is known, or has changed. */
+  /** Whether this process holds the lease in the term of the tasks. */
+  readonly isLeading: () => boolean;
+  /** Called when an engine's free capacity becomes known or changes. */
   readonly onChange: () => void;
   readonly tasks: JobsTasks;
   readonly urgency: JobsUrgency;
 }
 
-/** What the last look found silent, and when. */
-interface Silence {
+/** Engines that the last check found stalled, and its time. */
+interface StallCheck {
   readonly at: MonotonicMs;
   readonly engines: readonly EngineId[];
 }
@@ -41,25 +38,25 @@
   return {events: task.run?.events ?? 0, key: task.key};
 }
 
-/** See the module's comment. */
+/** Tracks which engines are stalled or failing and how many of their slots online requests and batch items occupy. */
 export class JobsEngineTracker {
   private readonly experience: RelayExperience;
-  /** Online requests of all entry VMs. */
+  /** Counts of the online requests of all entry VMs. */
   readonly online: JobsOnlineCounts;
-  private silence: Silence = {at: -Infinity, engines: []};
+  private lastStallCheck: StallCheck = {at: -Infinity, engines: []};
   private survey: JobsSurvey | undefined;
 
   /**
-   * @param options what it needs of its dispatcher
+   * @param options services of the dispatcher
    */
   constructor(private readonly options: JobsEngineTrackerOptions) {
     this.experience = new RelayExperience(options.clock);
     this.online = new JobsOnlineCounts(options.clock);
   }
 
-  /** Whoever begins to lead asks the engines what they hold: its predecessor may have left runs there. */
+  /** Starts the survey of a new leader: earlier leaders may have left runs on the engines. */
   startSurvey(): void {
-    const {decide, mayDecide, onChange, view, wire} = this.options;
+    const {decide, isLeading, onChange, view, wire} = this.options;
     const {engines} = view().news;
     if (this.survey !== undefined || engines.length === 0) {
       return;
@@ -67,87 +64,88 @@
     this.survey = new JobsSurvey({
       decide,
       engines,
-      isLeft: (requestId, engine) => this.isLeft(requestId, engine),
-      mayDecide,
+      isAbandoned: (requestId, engine) => this.isAbandoned(requestId, engine),
+      isLeading,
       onChange,
       online: this.online,
-      runsAt: (engine) => this.runsAt(engine),
+      runsAt: (engine) => this.runCountAt(engine),
       wire,
     });
   }
 
-  /** Ends the survey; the next start asks anew. */
+  /** Stops the survey; the next start runs a new one. */
   stopSurvey(): void {
     this.survey?.stop();
     this.survey = undefined;
   }
 
   /**
-   * Notes how a run at an engine went.
+   * Records whether a run on an engine succeeded.
    *
-   * @param start the engine, as it was when the run began
-   * @param ok whether the engine did its part
+   * @param start the engine when the run began
+   * @param ok whether the engine behaved correctly
    */
-  note(start: EngineStart, ok: boolean): void {
+  recordOutcome(start: EngineStart, ok: boolean): void {
     this.experience.note(start, ok);
   }
 
   /**
-   * Items whose engine has started again since their run began: it knows nothing of them, and may never say so.
+   * Items whose engine has restarted since their run began. The engine has lost them, but their connections may stay
+   * open.
    *
-   * @param view what is known of the fleet
+   * @param view the fleet view
    */
-  outlived(view: FleetView): readonly string[] {
+  runsOnRestartedEngines(view: FleetView): readonly string[] {
     const starts = new Map(view.news.engines.map(({id, startedAtMs}) => [id, startedAtMs]));
     return [...this.options.tasks.all()]
       .filter(({run}) => run !== undefined && run.engineStartMs < (starts.get(run.engine) ?? 0))
       .map(({key}) => key);
   }
 
-  /** Engines all of whose items have fallen silent; found anew after some milliseconds, not for each that asks. */
-  silent(): readonly EngineId[] {
+  /** Engines that run items, none of which has brought an event lately; cached for a few milliseconds. */
+  stalled(): readonly EngineId[] {
     const now = this.options.clock.monotonicMs();
-    if (now - this.silence.at >= MIN_PASS_INTERVAL_MS) {
-      this.silence = {at: now, engines: this.findSilent(now)};
+    if (now - this.lastStallCheck.at >= MIN_PASS_INTERVAL_MS) {
+      this.lastStallCheck = {at: now, engines: this.findStalled(now)};
     }
-    return this.silence.engines;
+    return this.lastStallCheck.engines;
   }
 
   /**
-   * Runs beyond an engine's slots, which give way.
+   * Runs that exceed an engine's slots and are to be preempted.
    *
    * @param engine the engine
    */
-  excessAt({id, slots}: EngineView): readonly Omit<PlannedRun, 'late'>[] {
-    const runs = this.options.tasks.at(id).map(plannedRun);
+  excessRunsAt({id, slots}: EngineView): readonly Omit<PlannedRun, 'late'>[] {
+    const runs = this.options.tasks.assignedTo(id).map(plannedRun);
     return excessRuns({online: this.online.at(id), runs, slots});
   }
 
-  /** Number of items whose bodies are being read, so that their runs can begin. */
-  beginning(): number {
-    return [...this.options.tasks.all()].filter(({startsAt}) => startsAt !== undefined).length;
+  /** Number of items that are starting: their bodies are being read. */
+  startingCount(): number {
+    return [...this.options.tasks.all()].filter(({startingOn}) => startingOn !== undefined).length;
   }
 
-  private findSilent(now: MonotonicMs): readonly EngineId[] {
+  private findStalled(now: MonotonicMs): readonly EngineId[] {
     const oldest = now - ENGINE_STALL_MS;
-    const heard = new Map<EngineId, boolean>();
+    const active = new Map<EngineId, boolean>();
     for (const {run} of this.options.tasks.all()) {
       if (run !== undefined) {
-        heard.set(run.engine, (heard.get(run.engine) ?? false) || run.lastEventAt > oldest);
+        active.set(run.engine, (active.get(run.engine) ?? false) || run.lastEventAt > oldest);
       }
     }
-    return [...heard].filter(([, isHeard]) => !isHeard).map(([engine]) => engine);
+    return [...active].filter(([, isActive]) => !isActive).map(([engine]) => engine);
   }
 
   /**
-   * All engines with what they have to do.
+   * All engines with their load.
    *
-   * @param view what is known of the fleet
+   * @param view the fleet view
    */
-  planned(view: FleetView): readonly PlannedEngine[] {
+  plannedEngines(view: FleetView): readonly PlannedEngine[] {
     const now = this.options.clock.monotonicMs();
     const totals = this.online.totals();
-    const silent = new Set(this.silent());
+    const stalled = new Set(this.stalled());
     const runs = this.runsByEngine(view);
     return view.news.engines.map((engine) => ({
       id: engine.id,
@@ -157,7 +155,7 @@
       slots: engine.slots,
       usable:
         !engine.draining &&
-        !silent.has(engine.id) &&
+        !stalled.has(engine.id) &&
         this.survey?.isPending(engine.id) !== true &&
         isSound(engine, this.experience.of(engine), now),
     }));
@@ -167,8 +165,8 @@
     const {tasks, urgency} = this.options;
     const runs = new Map<EngineId, PlannedRun[]>();
     for (const task of tasks.all()) {
-      const {run, startsAt} = task;
-      const engine = run?.engine ?? startsAt;
+      const {run, startingOn} = task;
+      const engine = run?.engine ?? startingOn;
       if (engine !== undefined) {
         const late = urgency.slackMs(view, task) < 0;
         const known = runs.get(engine) ?? [];
@@ -179,12 +177,12 @@
     return runs;
   }
 
-  private isLeft(requestId: string, engine: EngineId): boolean {
+  private isAbandoned(requestId: string, engine: EngineId): boolean {
     const tasks = [...this.options.tasks.all()].filter(({item}) => item.id === requestId);
     return tasks.length > 0 && tasks.every(({run}) => run?.engine !== engine);
   }
 
-  private runsAt(engine: EngineId): number {
-    return this.options.tasks.at(engine).filter(({run}) => run !== undefined).length;
+  private runCountAt(engine: EngineId): number {
+    return this.options.tasks.assignedTo(engine).filter(({run}) => run !== undefined).length;
   }
 }
--- a/packages/stallpaddle-jobs/src/JobsEstimates.ts
+++ b/packages/stallpaddle-jobs/src/JobsEstimates.ts
@@ -1,52 +1,49 @@
-/**
- * How long items take, learned from those that have run: so that slots go to items that can still be in
- * time before those that can't.
- */
+/** Estimates of item run times. */
 
-/** Weight of the newest observation: the last dozen or so count. */
-const NEWEST = 0.1;
-/** Part added to an expected time, for items that are longer than most and for cuts. */
-const CAUTION = 1.1;
+/** Weight of the newest observation in a moving average. */
+const SMOOTHING_FACTOR = 0.1;
+/** Safety factor on expected times, for items longer than the average and for preemptions. */
+const SAFETY_FACTOR = 1.1;
 
-function learned(before: number | undefined, seen: number): number {
-  return before === undefined ? seen : before + NEWEST * (seen - before);
+function movingAverage(average: number | undefined, value: number): number {
+  return average === undefined ? value : average + SMOOTHING_FACTOR * (value - average);
 }
 
-/** See the module's comment. */
+/** Estimates how long items still run, from moving averages of completed items and runs. */
 export class JobsEstimates {
   private readonly events = new Map<string, number>();
   private msPerEvent: number | undefined;
 
   /**
-   * Learns from an item that has ended.
+   * Adds a completed item to the averages.
    *
    * @param route its route
-   * @param events events of its whole output
+   * @param events number of events of its whole output
    */
-  noteItem(route: string, events: number): void {
-    this.events.set(route, learned(this.events.get(route), events));
+  addItem(route: string, events: number): void {
+    this.events.set(route, movingAverage(this.events.get(route), events));
   }
 
   /**
-   * Learns from a run.
+   * Adds a run to the averages.
    *
-   * @param events events that it brought
-   * @param ms time from its start, in milliseconds
+   * @param events number of its events
+   * @param ms time from its start to its last event, in milliseconds
    */
-  noteRun(events: number, ms: number): void {
+  addRun(events: number, ms: number): void {
     if (events > 0) {
-      this.msPerEvent = learned(this.msPerEvent, ms / events);
+      this.msPerEvent = movingAverage(this.msPerEvent, ms / events);
     }
   }
 
   /**
-   * Time that an item still needs, in milliseconds; 0 while nothing is known.
+   * Expected remaining run time of an item, in milliseconds; 0 without observations.
    *
    * @param route its route
-   * @param events events that it has
+   * @param events number of events so far
    */
   remainingMs(route: string, events: number): number {
-    const all = this.events.get(route) ?? 0;
-    return Math.max(0, all - events) * (this.msPerEvent ?? 0) * CAUTION;
+    const expected = this.events.get(route) ?? 0;
+    return Math.max(0, expected - events) * (this.msPerEvent ?? 0) * SAFETY_FACTOR;
   }
 }
--- a/packages/stallpaddle-jobs/src/JobsItemRun.ts
+++ b/packages/stallpaddle-jobs/src/JobsItemRun.ts
@@ -1,6 +1,4 @@
-/**
- * One run of an item at one engine, from its first event to its last or to its cut.
- */
+/** A single run of a batch item on an engine. */
 import type {EngineView} from 'stallpaddle-fleet';
 import type {
   EngineCall,
@@ -21,37 +19,37 @@
 
 import {EVENT_TIMEOUT_MS, FIRST_EVENT_TIMEOUT_MS} from './JobsConstants';
 
-/** The only status that events come with. */
+/** The only status of answers with events. */
 const SUCCESS = 200;
 
-/** What a run is made of. */
+/** Request and target of a run. */
 export interface ItemRunRequest {
   readonly body: Uint8Array;
-  /** The customer in whose name it runs; undefined where the fleet knew none. */
+  /** The customer that owns the job; undefined if it was submitted without one. */
   readonly customer: string | undefined;
   readonly engine: EngineView;
   readonly headers: readonly (readonly [string, string])[];
   readonly host: string;
   readonly id: string;
-  /** Last event that an earlier run brought. */
+  /** Id of the last event of earlier runs, after which this run resumes. */
   readonly lastEvent: string | null;
-  /** Takes in an event's data and number. */
+  /** Called with the data and id of each event. */
   readonly onEvent: (data: string, id: string | null) => void;
   readonly path: string;
 }
 
 /** How a run ended. */
 export type ItemRunEnd =
-  /** The stream broke off or brought an event out of order; what came before it counts. */
+  /** The stream broke off or had an event out of order; earlier events are valid. */
   | {readonly kind: 'broken'; readonly reason: string}
-  /** The dispatcher ended it. */
+  /** The dispatcher cancelled the run. */
   | {readonly kind: 'cut'}
-  /** The item ran and failed. */
+  /** The engine answered with an error status. */
   | {readonly kind: 'failed'; readonly status: number}
   | {readonly kind: 'notRun'; readonly reason: NotRunReason}
   | {readonly kind: 'whole'};
 
-/** A run under way. */
+/** A run in progress. */
 export interface ItemRun {
   readonly cancel: () => void;
   readonly ended: Promise<ItemRunEnd>;
@@ -62,13 +60,13 @@
 async function readEvents(
   {res}: Answer,
   req: ItemRunRequest,
-  alive: () => void,
+  resetIdleTimeout: () => void,
 ): Promise<ItemRunEnd> {
   const splitter = new EventSplitter();
   let last = req.lastEvent;
   try {
     for await (const chunk of res) {
-      alive();
+      resetIdleTimeout();
       for (const {data, id} of splitter.push(chunk as Buffer)) {
         if (!continues(last, id)) {
           return {kind: 'broken', reason: `event ${id} came after event ${last}`};
@@ -85,16 +83,18 @@
     : {kind: 'broken', reason: 'the stream ended within an event'};
 }
 
-async function follow(
+async function readAnswer(
   call: EngineCall,
   req: ItemRunRequest,
-  alive: () => void,
+  resetIdleTimeout: () => void,
 ): Promise<ItemRunEnd> {
   const start = await call.started;
   switch (start.kind) {
     case 'answer': {
       const status = start.res.statusCode ?? SERVER_ERROR;
-      return status === SUCCESS ? readEvents(start, req, alive) : {kind: 'failed', status};
+      return status === SUCCESS
+        ? readEvents(start, req, resetIdleTimeout)
+        : {kind: 'failed', status};
     }
     case 'mayHaveRun':
       return {kind: 'broken', reason: start.reason};
@@ -106,12 +106,12 @@
 /**
  * Starts a run.
  *
- * @param wire the engines' words
- * @param pace how fast engines are
- * @param req what it is made of
+ * @param wire the engines' protocol
+ * @param pace the engines' response times
+ * @param req request and target of the run
  */
 export function startItemRun(wire: RelayWire, pace: RelayPace, req: ItemRunRequest): ItemRun {
-  const set = wire.engineHeaders({
+  const ownHeaders = wire.engineHeaders({
     customer: req.customer,
     deadlineMs: null,
     engine: req.engine.id,
@@ -124,27 +124,27 @@
     body: req.body,
     headers: passedHeaders(
       raw,
-      [['Host', req.host], ...set],
+      [['Host', req.host], ...ownHeaders],
       req.customer === undefined ? [] : wire.callerHeaders,
     ),
     method: 'POST',
     path: req.path,
     requestId: req.id,
   });
-  let endWait = registerTimeout(FIRST_EVENT_TIMEOUT_MS, call.close);
-  const alive = (): void => {
-    endWait();
-    endWait = registerTimeout(EVENT_TIMEOUT_MS, call.close);
+  let clearIdleTimeout = registerTimeout(FIRST_EVENT_TIMEOUT_MS, call.close);
+  const resetIdleTimeout = (): void => {
+    clearIdleTimeout();
+    clearIdleTimeout = registerTimeout(EVENT_TIMEOUT_MS, call.close);
   };
-  let wasCut = false;
-  const ended = follow(call, req, alive).then((end): ItemRunEnd => {
-    endWait();
+  let isCancelled = false;
+  const ended = readAnswer(call, req, resetIdleTimeout).then((end): ItemRunEnd => {
+    clearIdleTimeout();
     call.close();
-    return wasCut && end.kind !== 'whole' ? {kind: 'cut'} : end;
+    return isCancelled && end.kind !== 'whole' ? {kind: 'cut'} : end;
   });
-  const cut = (): void => {
-    wasCut = true;
+  const cancel = (): void => {
+    isCancelled = true;
     call.close();
   };
-  return {cancel: cut, ended};
+  return {cancel, ended};
 }
--- a/packages/stallpaddle-jobs/src/JobsMachine.ts
+++ b/packages/stallpaddle-jobs/src/JobsMachine.ts
@@ -1,7 +1,4 @@
-/**
- * Batch jobs as a replicated state machine. Bodies and texts lie in the segment files, at places that
- * depend only on the commands. All commands may be repeated without harm.
- */
+/** State machine of batch jobs. */
 import type {MachineResult, PlacedBlob, ReplicaMachine} from 'stallpaddle-replication';
 
 import {Map as ImmutableMap, List} from 'immutable';
@@ -34,7 +31,7 @@
 
 const DONE: JobsAnswer = {kind: 'done'};
 
-/** State of a running step and the bulk data that it places. */
+/** State under construction while a command is applied, and the bulk data that the command stores. */
 interface Draft {
   readonly blobs: PlacedBlob[];
   state: JobsState;
@@ -119,8 +116,8 @@
 }
 
 /**
- * Parts of a completed item's output. What was recorded while it ran is not placed again: the end tells the rest,
- * and perhaps events that a record of unknown outcome holds after all.
+ * Parts of a completed item's output: the recorded ones and the rest from its end. The end may repeat events that a
+ * progress record of unknown outcome has already stored; these are skipped.
  */
 function $placeOutput(draft: Draft, {after, data}: ItemEnd, {progress}: JobItem): BlobRef[] {
   const {events, parts} = progress ?? {events: 0, parts: []};
@@ -128,7 +125,7 @@
   return rest.length === 0 ? [...parts] : [...parts, $place(draft, Buffer.from(rest.join('\n')))];
 }
 
-/** Only the first end of an item stands. */
+/** Ends an item; only the first end counts. */
 function $endItem(draft: Draft, end: ItemEnd): void {
   const {after, item, job: id, outcome} = end;
   const job = draft.state.jobs.get(id);
@@ -136,7 +133,7 @@
   if (job === undefined || known === undefined || known.outcome !== null || job.ended) {
     return;
   }
-  // What it continues was recorded before it was told; without that its output can't be whole.
+  // Without a record of all earlier events the output would have a gap.
   if (outcome === 'completed' && after > (known.progress?.events ?? 0)) {
     return;
   }
@@ -215,9 +212,9 @@
 /**
  * Applies a command.
  *
- * @param state state before
+ * @param state the current state
  * @param command the command
- * @param elapsedMs time since the command before it, in milliseconds
+ * @param elapsedMs time since the previous command, in milliseconds
  */
 export function updateJobs(
   state: JobsState,
@@ -237,7 +234,10 @@
   readonly waitingTokens: readonly (readonly [string, number])[];
 }
 
-/** See the module's comment. */
+/**
+ * Replicated state machine of batch jobs. Bodies and texts are stored in the segment files, at offsets that depend only
+ * on the sequence of commands. All commands are idempotent except `countFailure`.
+ */
 export const jobsMachine: ReplicaMachine<JobsState> = {
   apply: (state, command, elapsedMs) =>
     updateJobs(state, decodeValue<JobsCommand>(command), elapsedMs),
--- a/packages/stallpaddle-jobs/src/JobsNames.ts
+++ b/packages/stallpaddle-jobs/src/JobsNames.ts
@@ -1,39 +1,36 @@
-/**
- * Names of jobs. A submitter chooses its job's name and needs to know nobody else's, so each customer has names of its own:
- * whoever asks for another customer's job asks for one that isn't there.
- */
+/** Job names: each customer has a namespace of its own, and jobs of other customers are not found. */
 import type {Job, JobId, JobName, JobsState} from './JobsTypes';
 
 /**
- * A job's name within the whole group.
+ * The id of a job, unique within the group.
  *
- * @param name its submitter's own name for it
+ * @param name the job's name and customer
  */
 export function jobIdOf({customer, job}: JobName): JobId {
   return customer === undefined ? job : JSON.stringify([customer, job]);
 }
 
 /**
- * The job that a submitter means. A job that was taken while the fleet knew no customers belongs to nobody: whoever names it
- * may have it.
+ * Finds a job by its name and customer. A job that was submitted without a customer belongs to nobody and is found by
+ * every customer.
  *
  * @param state the group's state
- * @param name the job as its submitter names it
+ * @param name the job's name and the requesting customer
  */
 export function findJob({jobs}: Pick<JobsState, 'jobs'>, name: JobName): Job | undefined {
   const own = jobs.get(jobIdOf(name));
   if (own !== undefined && own.customer === name.customer) {
     return own;
   }
-  const nobodys = jobs.get(name.job);
-  return nobodys !== undefined && nobodys.customer === undefined ? nobodys : undefined;
+  const unowned = jobs.get(name.job);
+  return unowned !== undefined && unowned.customer === undefined ? unowned : undefined;
 }
 
 /**
- * Under which name a customer's waiting tokens on a route are counted.
+ * The key under which a customer's waiting tokens on a route are counted.
  *
  * @param route the route
- * @param customer the customer; undefined where the fleet knows none
+ * @param customer the customer; undefined when the fleet has no customers
  */
 export function waitingKey(route: string, customer: string | undefined): string {
   return customer === undefined ? route : JSON.stringify([route, customer]);
--- a/packages/stallpaddle-jobs/src/JobsOnlineCounts.ts
+++ b/packages/stallpaddle-jobs/src/JobsOnlineCounts.ts
@@ -1,7 +1,4 @@
-/**
- * Online requests of all entry VMs, as they tell them. Sums are kept as words come: 165 entry VMs tell 560 times a second
- * at 280 requests a second, and adding up all of them with each word would cost more than the word.
- */
+/** Counts of online requests per engine. */
 import type {Clock, EngineId, MonotonicMs} from 'stallpaddle';
 
 import {ONLINE_COUNTS_TTL_MS} from './JobsConstants';
@@ -9,16 +6,17 @@
 /** Online requests by engine; engines without one are left out. */
 type Counts = Readonly<Record<EngineId, number>>;
 
-/** Name under which requests that no entry VM tells are counted. */
-const UNKNOWN = 'unknown';
+/** Sender under which requests that no entry VM reports are counted. */
+const UNREPORTED = 'unknown';
 
-interface Told {
+/** Latest report of a sender. */
+interface CountsReport {
   readonly at: MonotonicMs;
   readonly own: Counts;
   readonly sequence: number;
 }
 
-/** Engines at which two counts differ, with the difference. */
+/** Engines whose count changed, with the difference. */
 function differences(before: Counts, after: Counts): readonly (readonly [EngineId, number])[] {
   const engines = new Set([...Object.keys(before), ...Object.keys(after)]);
   return [...engines]
@@ -26,13 +24,15 @@
     .filter(([, by]) => by !== 0);
 }
 
-/** See the module's comment. */
+/**
+ * Sums the online requests that entry VMs report per engine; sums are updated with each report instead of recomputed.
+ */
 export class JobsOnlineCounts {
   /** For each engine, the number of the last change of its counts. */
   private readonly changedAt = new Map<EngineId, number>();
   private changes = 0;
-  /** The sender that spoke longest ago comes first. */
-  private readonly senders = new Map<string, Told>();
+  /** Ordered by time of the latest report, oldest first. */
+  private readonly senders = new Map<string, CountsReport>();
   private readonly sums = new Map<EngineId, number>();
 
   /**
@@ -46,10 +46,10 @@
   }
 
   /**
-   * Takes in what an entry VM tells. Each tells all of its requests, so a lost word does no lasting harm.
+   * Replaces the counts of an entry VM. Each report holds all of its requests, so a lost report has no lasting effect.
    *
-   * @param sender the VM's process
-   * @param sequence number of the word
+   * @param sender the reporting process
+   * @param sequence sequence number of the report; reports that are not newer than the latest one are ignored
    * @param own its online requests by engine
    * @returns engines that have more requests now
    */
@@ -60,21 +60,21 @@
     }
     this.senders.delete(sender);
     this.senders.set(sender, {at: this.clock.monotonicMs(), own, sequence});
-    return this.change(known?.own ?? {}, own);
+    return this.replaceCounts(known?.own ?? {}, own);
   }
 
   /**
-   * Takes in requests that no entry VM tells, in place of any before.
+   * Replaces the counts of requests that no entry VM reports.
    *
    * @param counts the requests by engine
    */
   setUnreported(counts: Counts): void {
-    this.update(UNKNOWN, (this.senders.get(UNKNOWN)?.sequence ?? 0) + 1, counts);
+    this.update(UNREPORTED, (this.senders.get(UNREPORTED)?.sequence ?? 0) + 1, counts);
   }
 
-  /** Online requests by engine that entry VMs tell. */
+  /** Online requests by engine, as reported by entry VMs. */
   reported(): Counts {
-    return this.totals(UNKNOWN);
+    return this.totals(UNREPORTED);
   }
 
   /**
@@ -83,50 +83,50 @@
    * @param engine the engine
    */
   at(engine: EngineId): number {
-    this.forgetSilent();
+    this.removeExpired();
     return this.sums.get(engine) ?? 0;
   }
 
   /**
    * Engines whose counts have changed.
    *
-   * @param version version after which the changes count
+   * @param version only changes after this version count
    */
   changedSince(version: number): readonly EngineId[] {
     return [...this.changedAt].filter(([, at]) => at > version).map(([engine]) => engine);
   }
 
   /**
-   * Online requests by engine. Senders that have fallen silent no longer count.
+   * Online requests by engine, without those of senders that no longer report.
    *
-   * @param except a sender whose requests are left out
+   * @param except a sender whose requests are excluded
    */
   totals(except?: string): Counts {
-    this.forgetSilent();
+    this.removeExpired();
     const own = (except === undefined ? undefined : this.senders.get(except)?.own) ?? {};
     const totals: Record<EngineId, number> = {};
     for (const [engine, sum] of this.sums) {
-      const others = sum - (own[engine] ?? 0);
-      if (others > 0) {
-        totals[engine] = others;
+      const rest = sum - (own[engine] ?? 0);
+      if (rest > 0) {
+        totals[engine] = rest;
       }
     }
     return totals;
   }
 
-  private forgetSilent(): void {
+  private removeExpired(): void {
     const oldest = this.clock.monotonicMs() - ONLINE_COUNTS_TTL_MS;
     for (const [sender, {at, own}] of this.senders) {
       if (at >= oldest) {
         return;
       }
       this.senders.delete(sender);
-      this.change(own, {});
+      this.replaceCounts(own, {});
     }
   }
 
-  /** Replaces counts in the sums; returns the engines that have more now. */
-  private change(before: Counts, after: Counts): readonly EngineId[] {
+  /** Replaces a sender's counts in the sums; returns the engines whose count rose. */
+  private replaceCounts(before: Counts, after: Counts): readonly EngineId[] {
     const changed = differences(before, after);
     if (changed.length > 0) {
       this.changes++;
--- a/packages/stallpaddle-jobs/src/JobsPlan.ts
+++ b/packages/stallpaddle-jobs/src/JobsPlan.ts
@@ -1,19 +1,17 @@
-/**
- * Which items start where, and which give way: pure, from what the dispatcher knows.
- */
+/** Placement and preemption of batch items: pure functions. */
 import type {EngineId} from 'stallpaddle';
 
-/** An item under way. */
+/** A running item. */
 export interface PlannedRun {
-  /** Events that have arrived; what a cut costs grows with them. */
+  /** Events that this run has brought; the cost of a preemption grows with them. */
   readonly events: number;
   readonly key: string;
-  /** Its time is over: it gives way to an item that can still be in time. */
+  /** Its due time has passed, so it may be preempted for an item that can still be on time. */
   readonly late: boolean;
 }
 
-/** What an engine has to do, as far as slots go. */
-interface EngineRuns {
+/** Slots of an engine and what occupies them. */
+interface EngineLoad {
   readonly online: number;
   readonly runs: readonly Omit<PlannedRun, 'late'>[];
   readonly slots: number;
@@ -27,101 +25,108 @@
   readonly runs: readonly PlannedRun[];
   readonly service: string;
   readonly slots: number;
-  /** False while it leaves, fails or can't be reached: it starts nothing. */
+  /** False while the engine is draining, failing or unreachable: no items start there. */
   readonly usable: boolean;
 }
 
-/** An item that waits. */
+/** A waiting item. */
 export interface PlannedItem {
   readonly key: string;
-  /** It can't be in time any more. */
+  /** It can no longer be on time. */
   readonly late: boolean;
   readonly service: string;
 }
 
-/** What to do now. */
+/** Items to preempt and to start. */
 export interface ItemPlan {
   readonly preemptions: readonly string[];
   readonly starts: readonly {readonly engine: EngineId; readonly key: string}[];
 }
 
 /**
- * Runs beyond an engine's slots: those with the fewest events give way.
+ * Runs that exceed an engine's slots: those with the fewest events are preempted.
  *
  * @param engine the engine
  */
-export function excessRuns({online, runs, slots}: EngineRuns): readonly Omit<PlannedRun, 'late'>[] {
+export function excessRuns({online, runs, slots}: EngineLoad): readonly Omit<PlannedRun, 'late'>[] {
   const excess = online + runs.length - slots;
   return excess <= 0 ? [] : [...runs].sort((a, b) => a.events - b.events).slice(0, excess);
 }
 
-function roomiest(
+function freestEngine(
   engines: readonly PlannedEngine[],
-  room: ReadonlyMap<EngineId, number>,
+  freeSlots: ReadonlyMap<EngineId, number>,
   service: string,
 ): PlannedEngine | undefined {
   let best: PlannedEngine | undefined;
   for (const engine of engines) {
-    const more = room.get(engine.id)! > (best === undefined ? 0 : room.get(best.id)!);
-    if (engine.service === service && more) {
+    const isFreer = freeSlots.get(engine.id)! > (best === undefined ? 0 : freeSlots.get(best.id)!);
+    if (engine.service === service && isFreer) {
       best = engine;
     }
   }
   return best;
 }
 
-/** Runs that are late give way to waiting items that can still be in time. */
-function cutsForUrgent(
+/** Late runs to preempt for waiting items that can still be on time. */
+function preemptionsForUrgent(
   engines: readonly PlannedEngine[],
-  left: readonly PlannedItem[],
-  cut: ReadonlySet<string>,
+  unplaced: readonly PlannedItem[],
+  preempted: ReadonlySet<string>,
 ): readonly string[] {
-  const cuts: string[] = [];
+  const preemptions: string[] = [];
   const urgent = new Map<string, number>();
-  for (const {late, service} of left) {
+  for (const {late, service} of unplaced) {
     urgent.set(service, (urgent.get(service) ?? 0) + (late ? 0 : 1));
   }
   for (const {runs, service, usable} of engines) {
     for (const {key, late} of usable ? runs : []) {
       const wanted = urgent.get(service) ?? 0;
-      if (late && wanted > 0 && !cut.has(key)) {
+      if (late && wanted > 0 && !preempted.has(key)) {
         urgent.set(service, wanted - 1);
-        cuts.push(key);
+        preemptions.push(key);
       }
     }
   }
-  return cuts;
+  return preemptions;
 }
 
 /**
- * Plans the next step.
+ * Plans which items start, on which engines, and which runs are preempted.
  *
- * @param engines engines with what they have to do
- * @param waiting items that wait, the most urgent first
- * @param spareSlots slots of each engine that items never get
+ * @param engines engines with their load
+ * @param waiting waiting items, the most urgent first
+ * @param reservedSlots slots of each engine that items never use
  */
 export function planItems(
   engines: readonly PlannedEngine[],
   waiting: readonly PlannedItem[],
-  spareSlots: number,
+  reservedSlots: number,
 ): ItemPlan {
-  const cuts = engines.flatMap((engine) => excessRuns(engine).map(({key}) => key));
-  const room = new Map<EngineId, number>();
+  const excess = engines.flatMap((engine) => excessRuns(engine).map(({key}) => key));
+  const freeSlots = new Map<EngineId, number>();
   for (const {id, online, runs, slots, usable} of engines) {
-    room.set(id, usable ? slots - spareSlots - online - runs.length : 0);
+    freeSlots.set(id, usable ? slots - reservedSlots - online - runs.length : 0);
   }
   const starts: {engine: EngineId; key: string}[] = [];
-  const left: PlannedItem[] = [];
-  const services = new Set(engines.filter(({id}) => room.get(id)! > 0).map(({service}) => service));
+  const unplaced: PlannedItem[] = [];
+  const services = new Set(
+    engines.filter(({id}) => freeSlots.get(id)! > 0).map(({service}) => service),
+  );
   for (const item of waiting) {
-    const best = services.has(item.service) ? roomiest(engines, room, item.service) : undefined;
+    const best = services.has(item.service)
+      ? freestEngine(engines, freeSlots, item.service)
+      : undefined;
     if (best === undefined) {
       services.delete(item.service);
-      left.push(item);
+      unplaced.push(item);
     } else {
-      room.set(best.id, room.get(best.id)! - 1);
+      freeSlots.set(best.id, freeSlots.get(best.id)! - 1);
       starts.push({engine: best.id, key: item.key});
     }
   }
-  return {preemptions: [...cuts, ...cutsForUrgent(engines, left, new Set(cuts))], starts};
+  return {
+    preemptions: [...excess, ...preemptionsForUrgent(engines, unplaced, new Set(excess))],
+    starts,
+  };
 }
--- a/packages/stallpaddle-jobs/src/JobsProgress.ts
+++ b/packages/stallpaddle-jobs/src/JobsProgress.ts
@@ -1,6 +1,4 @@
-/**
- * Records what runs have brought since the last record, so that the next leader can go on from there.
- */
+/** Replication of the output of running items. */
 import {errorMessage} from 'stallpaddle';
 
 import type {JobsDispatcherOptions} from './JobsContext';
@@ -21,17 +19,17 @@
   };
 }
 
-/** A record whose outcome was unknown may stand after all: what is recorded is not recorded again. */
-function catchUp(task: Task): void {
+/** Skips events of a record whose outcome was unknown but that was committed. */
+function skipRecorded(task: Task): void {
   const recorded = task.item.progress?.events ?? 0;
   if (recorded > task.savedEvents) {
-    // After the recorded parts, each event is one entry.
+    // Entries of `data` after the recorded parts hold one event each.
     task.savedData += recorded - task.savedEvents;
     task.savedEvents = recorded;
   }
 }
 
-function bytesOf({data, savedData}: Task): number {
+function unsavedBytesOf({data, savedData}: Task): number {
   let bytes = 0;
   for (let at = savedData; at < data.length; at++) {
     bytes += data[at]!.length;
@@ -39,40 +37,40 @@
   return bytes;
 }
 
-/** The first items that have something to record, up to the size of one record; at least one. */
-function nextPiece(tasks: readonly Task[]): {
-  readonly piece: readonly Task[];
+/** The first items with unsaved output, up to the size of one command; at least one if there are any. */
+function nextBatch(tasks: readonly Task[]): {
+  readonly batch: readonly Task[];
   readonly rest: readonly Task[];
 } {
-  const piece: Task[] = [];
+  const batch: Task[] = [];
   let bytes = 0;
   let at = 0;
   for (; at < tasks.length && bytes < TARGET_COMMAND_BYTES; at++) {
     const task = tasks[at]!;
     if (!task.ending && task.events > task.savedEvents) {
-      piece.push(task);
-      bytes += bytesOf(task);
+      batch.push(task);
+      bytes += unsavedBytesOf(task);
     }
   }
-  return {piece, rest: tasks.slice(at)};
+  return {batch, rest: tasks.slice(at)};
 }
 
-/** See the module's comment. */
+/** Saves the output of running items in the replicated state, so that the next leader can resume from it. */
 export class JobsProgress {
-  /** The save under way. */
+  /** The save in progress. */
   private saving: Promise<void> | undefined;
 
   /**
-   * @param options what it needs of its process
+   * @param options services of the process
    */
   constructor(private readonly options: Pick<JobsDispatcherOptions, 'decide' | 'propose'>) {}
 
   /**
-   * Records all items in pieces, one after the other, so that submissions and ends of items go between them. While
-   * another save is under way this waits for that one.
+   * Saves all items in batches, one after the other, so that submissions and ends of items are not delayed. Joins a
+   * save that is already in progress.
    *
    * @param all all open items
-   * @param maySave whether to go on with the next piece
+   * @param maySave whether to continue with the next batch
    */
   save(all: Iterable<Task>, maySave: () => boolean): Promise<void> {
     this.saving ??= this.saveAll([...all], maySave).finally(() => {
@@ -82,15 +80,15 @@
   }
 
   private async saveAll(open: readonly Task[], maySave: () => boolean): Promise<void> {
-    open.forEach(catchUp);
+    open.forEach(skipRecorded);
     let left = open;
     try {
       while (left.length > 0 && maySave()) {
-        // Runs go on meanwhile: each piece holds what they have brought until it is made.
-        const {piece, rest} = nextPiece(left);
+        // Runs continue meanwhile: each batch holds their output up to its creation.
+        const {batch, rest} = nextBatch(left);
         left = rest;
-        if (piece.length > 0) {
-          await this.record(piece);
+        if (batch.length > 0) {
+          await this.record(batch);
         }
       }
     } catch (err) {
@@ -99,7 +97,7 @@
   }
 
   private async record(tasks: readonly Task[]): Promise<void> {
-    // While the record is made, runs go on: only what it holds is saved.
+    // Runs continue during the proposal: only the output that it holds counts as saved.
     const saved = tasks.map((task) => ({data: task.data.length, events: task.events, task}));
     await this.options.propose({kind: 'saveProgress', parts: tasks.map(partOf)});
     saved.forEach(({data, events, task}) => {
--- a/packages/stallpaddle-jobs/src/JobsQueries.ts
+++ b/packages/stallpaddle-jobs/src/JobsQueries.ts
@@ -1,21 +1,19 @@
-/**
- * Questions about batch jobs, answered from a leader's state.
- */
+/** Requests to the group that keeps batch jobs, and queries of its state. */
 import type {BlobRef} from 'stallpaddle-storage';
 
 import type {EndJob, ItemOutcome, JobName, JobsState, Submission} from './JobsTypes';
 
 import {findJob} from './JobsNames';
 
-/** How a read may be answered. */
+/** Options of a read. */
 export interface ReadOptions {
-  /** Whether a replica that doesn't lead may answer, from what it holds. */
+  /** Whether a follower may answer from its own, possibly older state. */
   readonly mayFollow: boolean;
-  /** Time after which nobody waits for the answer any more, beyond the time that it may be held, in milliseconds. */
+  /** Time after which the caller gives up waiting, in addition to `waitMs`, in milliseconds. */
   readonly patienceMs: number;
 }
 
-/** What any process may ask of the group's leader. */
+/** Requests that processes send to the group's leader. */
 export type JobsRequest =
   | (JobName & ReadOptions & {readonly item: string; readonly kind: 'readBody'})
   | EndJob
@@ -23,7 +21,7 @@
       ReadOptions & {
         readonly from: number;
         readonly kind: 'readResults';
-        /** Longest time to hold the answer while there is none, in milliseconds. */
+        /** Maximum time to wait for a result (long polling), in milliseconds. */
         readonly waitMs: number;
       })
   | {
@@ -33,13 +31,13 @@
     }
   | {
       readonly kind: 'tellOnline';
-      /** What the sender holds of the others' counts; null when it holds nothing. */
+      /** Version of the other VMs' counts that the sender has; null if it has none. */
       readonly known: OnlineCountsVersion | null;
-      /** All online requests of the sender, by engine. */
+      /** Online requests of the sender, by engine. */
       readonly own: Readonly<Record<string, number>>;
-      /** The sender; each restart is another. */
+      /** Id of the sending process; a restart has a new one. */
       readonly sender: string;
-      /** Rises with each call, so that a late one can be known. */
+      /** Increases with each call, so that reordered calls are detected. */
       readonly sequence: number;
     };
 
@@ -64,26 +62,26 @@
 export type BodyAnswer =
   {readonly body: Uint8Array; readonly kind: 'body'} | {readonly kind: 'notFound'};
 
-/** Names one state of the counts of online requests. */
+/** Version of the online request counts. */
 export interface OnlineCountsVersion {
-  /** Changes that were counted before. */
+  /** Number of changes so far. */
   readonly changes: number;
-  /** The process that counts. */
+  /** Id of the counting process. */
   readonly epoch: string;
 }
 
 /** Answer to `tellOnline`. */
 export interface OnlineCountsAnswer {
-  /** Whether engines that are not named have no such requests; else they have as many as before. */
+  /** Whether `others` is complete: engines missing from it have no requests. Otherwise their counts are unchanged. */
   readonly isAll: boolean;
-  /** Online requests of all senders but the one that asks, by engine; 0 for none. */
+  /** Online requests of all other senders, by engine; 0 for none. */
   readonly others: Readonly<Record<string, number>>;
-  /** Engines all of whose items have fallen silent. */
+  /** Engines that run items, none of which has brought an event lately. */
   readonly suspects: readonly string[];
   readonly version: OnlineCountsVersion;
 }
 
-/** A result whose text has yet to be read. */
+/** A result with references to its text. */
 export interface ResultRef {
   readonly id: string;
   readonly outcome: ItemOutcome;
@@ -102,19 +100,19 @@
 }
 
 /**
- * Results from a position on.
+ * Finds the results of a job from a position on.
  *
- * @param state a leader's state
- * @param name the job as its submitter names it
- * @param from first position, from 0
- * @param mostBytes most bytes of texts; one result is returned whatever its size
+ * @param state the group's state
+ * @param name the job's name and the requesting customer
+ * @param from first position, starting at 0
+ * @param maxBytes maximum size of the texts; at least one result is returned regardless of its size
  * @returns undefined when there is no such job
  */
 export function findResults(
   state: JobsState,
   name: JobName,
   from: number,
-  mostBytes: number,
+  maxBytes: number,
 ): {readonly results: readonly ResultRef[]; readonly total: number} | undefined {
   const job = findJob(state, name);
   if (job === undefined) {
@@ -124,7 +122,7 @@
   let bytes = 0;
   for (const {item, outcome, texts} of job.results.slice(from)) {
     bytes += texts.reduce((sum, {length}) => sum + length, 0);
-    if (results.length > 0 && bytes > mostBytes) {
+    if (results.length > 0 && bytes > maxBytes) {
       break;
     }
     results.push({id: job.items[item]!.id, outcome, texts});
@@ -133,11 +131,11 @@
 }
 
 /**
- * Where the body of an item lies that has not ended.
+ * Finds the body of an open item.
  *
- * @param state a leader's state
- * @param name the job as its submitter names it
- * @param item the item's name
+ * @param state the group's state
+ * @param name the job's name and the requesting customer
+ * @param item the item's id within the job
  */
 export function findBody(state: JobsState, name: JobName, item: string): BlobRef | undefined {
   const job = findJob(state, name);
--- a/packages/stallpaddle-jobs/src/JobsRunner.ts
+++ b/packages/stallpaddle-jobs/src/JobsRunner.ts
@@ -1,7 +1,4 @@
-/**
- * Runs items at engines and takes in how their runs end: an item that was cut or broke off waits again, one that is whole,
- * impossible or has failed too often has its end recorded.
- */
+/** Runs of batch items on engines. */
 import type {EngineId, LogFields} from 'stallpaddle';
 import type {Term} from 'stallpaddle-replication';
 
@@ -18,48 +15,51 @@
 import {QUARANTINE_CHECK_MS, RETRY_DELAY_MS} from './JobsConstants';
 import {JobsEndRecorder} from './JobsEndRecorder';
 import {type ItemRun, type ItemRunEnd, startItemRun} from './JobsItemRun';
-import {nextTrial} from './JobsQuarantine';
+import {nextTrial} from './JobsTrial';
 
-/** Status (RFC 9110) of an item that no engine can take. */
+/** Status (RFC 9110) of an item that no engine can process. */
 const UNPROCESSABLE = 422;
 
-/** What it needs of its dispatcher. */
+/** Interface between the runner and its dispatcher. */
 export interface JobsRunnerOptions {
   readonly engines: JobsEngineTracker;
-  /** Whether what is known of the fleet is new enough to start items. */
-  readonly isFresh: () => boolean;
-  /** Whether the dispatcher may decide. */
-  readonly mayDecide: () => boolean;
-  /** What the dispatcher needs of its process. */
-  readonly needs: JobsDispatcherOptions;
-  /** Called when there is room, or an item waits again. */
+  /** Whether the fleet view is recent enough to start items. */
+  readonly hasFreshView: () => boolean;
+  /** Whether this process holds the lease in the term of the tasks. */
+  readonly isLeading: () => boolean;
+  /** Services of the process. */
+  readonly runtime: JobsDispatcherOptions;
+  /** Called when a slot is free or an item waits again. */
   readonly schedulePass: () => void;
   readonly tasks: JobsTasks;
-  /** Term in which the dispatcher decides; undefined in none. */
+  /** Term of the tasks; undefined while this process doesn't lead. */
   readonly term: () => Term | undefined;
   readonly urgency: JobsUrgency;
 }
 
-/** See the module's comment. */
+/**
+ * Runs items on engines and handles how the runs end: preempted and broken runs put the item back into the queue;
+ * completed, impossible and repeatedly failing items get their end recorded.
+ */
 export class JobsRunner {
   private readonly ends: JobsEndRecorder;
-  private readonly needs: JobsDispatcherOptions;
+  private readonly runtime: JobsDispatcherOptions;
   private readonly pace = new RelayPace();
 
   /**
-   * @param options what it needs of its dispatcher
+   * @param options services of the dispatcher
    */
   constructor(private readonly options: JobsRunnerOptions) {
-    this.needs = options.needs;
-    this.ends = new JobsEndRecorder(options.needs);
+    this.runtime = options.runtime;
+    this.ends = new JobsEndRecorder(options.runtime);
   }
 
   /**
-   * Ends an item's run so that it gives way; it goes on later.
+   * Preempts the run of an item; the item resumes later.
    *
    * @param key the item
    */
-  cut(key: string): void {
+  preempt(key: string): void {
     const task = this.options.tasks.get(key);
     if (task?.run !== undefined && !task.run.isPreempted) {
       task.run.isPreempted = true;
@@ -68,25 +68,25 @@
     }
   }
 
-  /** Records no more ends. */
+  /** Stops recording ends. */
   stop(): void {
     this.ends.stop();
   }
 
-  /** Reads an item's body and what is recorded of its output, when it starts here for the first time. */
-  private async readTask(task: Task): Promise<void> {
+  /** Reads an item's body and its recorded output before its first run in this process. */
+  private async loadTask(task: Task): Promise<void> {
     if (task.body !== undefined) {
       return;
     }
     const {body, progress} = task.item;
-    const parts = await Promise.all((progress?.parts ?? []).map(this.needs.readBlob));
+    const parts = await Promise.all((progress?.parts ?? []).map(this.runtime.readBlob));
     task.data = parts.map((part) => Buffer.from(part).toString());
     task.savedData = task.data.length;
-    task.body = await this.needs.readBlob(body);
+    task.body = await this.runtime.readBlob(body);
   }
 
   /**
-   * Runs an item at an engine, to its end or its cut.
+   * Runs an item on an engine until it ends or is cancelled.
    *
    * @param key the item
    * @param engineId the engine
@@ -96,33 +96,33 @@
     if (task === undefined) {
       return;
     }
-    const endCount = this.options.tasks.registerAt(task, engineId);
+    const release = this.options.tasks.assign(task, engineId);
     try {
-      await this.startAt(task, engineId);
+      await this.loadAndRun(task, engineId);
     } finally {
-      endCount();
+      release();
     }
     this.options.schedulePass();
   }
 
-  private async startAt(task: Task, engineId: string): Promise<void> {
-    task.startsAt = engineId;
+  private async loadAndRun(task: Task, engineId: string): Promise<void> {
+    task.startingOn = engineId;
     try {
-      await this.readTask(task);
+      await this.loadTask(task);
     } catch (err) {
       this.decide('itemReturned', task, {reason: errorMessage(err)});
-      task.notBefore = this.needs.clock.monotonicMs() + RETRY_DELAY_MS;
+      task.notBefore = this.runtime.clock.monotonicMs() + RETRY_DELAY_MS;
       return;
     } finally {
-      task.startsAt = undefined;
+      task.startingOn = undefined;
     }
-    if (this.isHeld(task)) {
+    if (this.isQuarantined(task)) {
       return;
     }
-    // The disk may have taken long: the engine may leave by now, or another process lead.
-    const engine = engineOf(this.needs.view(), engineId);
-    const isOpen = this.options.isFresh() && engine?.draining === false;
-    if (isOpen && this.options.tasks.get(task.key) === task && this.options.mayDecide()) {
+    // Reading may have taken long: the engine may be draining by now, or another process may lead.
+    const engine = engineOf(this.runtime.view(), engineId);
+    const isOpen = this.options.hasFreshView() && engine?.draining === false;
+    if (isOpen && this.options.tasks.get(task.key) === task && this.options.isLeading()) {
       await this.run(task, engine);
     }
   }
@@ -134,28 +134,28 @@
     return task.digest;
   }
 
-  /** How many engines ended, one after the other, when they began to run an item. */
-  private levelOf(task: Task): number {
-    const {suspects} = this.needs;
+  /** Number of engines that ended, one after the other, while they began to run an item. */
+  private suspectLevelOf(task: Task): number {
+    const {suspects} = this.runtime;
     return suspects.isEmpty ? 0 : suspects.levelOf(this.digestOf(task));
   }
 
   /**
-   * Whether an item is kept off the engines that it may end, until its next trial. It is not listed for that; its age gives it
-   * up like any other.
+   * Whether an item that may end engines is quarantined until its next trial. Quarantine records no end for the item,
+   * which still expires like any other.
    */
-  private isHeld(task: Task): boolean {
-    const level = this.levelOf(task);
+  private isQuarantined(task: Task): boolean {
+    const level = this.suspectLevelOf(task);
     if (level < HELD_LEVEL) {
       return false;
     }
-    const now = this.needs.clock.monotonicMs();
-    const before = task.trial;
-    task.trial = nextTrial(before, level, now);
+    const now = this.runtime.clock.monotonicMs();
+    const previous = task.trial;
+    task.trial = nextTrial(previous, level, now);
     if (now >= task.trial.at) {
       return false;
     }
-    if (task.trial !== before) {
+    if (task.trial !== previous) {
       const waitMs = Math.round(task.trial.at - now);
       this.decide('itemHeld', task, {digest: task.digest, level, waitMs});
     }
@@ -164,12 +164,12 @@
   }
 
   private hasOnlyBegun({events, firstEventAt}: TaskRun): boolean {
-    return hasOnlyBegun({events, firstAt: firstEventAt}, this.needs.clock.monotonicMs());
+    return hasOnlyBegun({events, firstAt: firstEventAt}, this.runtime.clock.monotonicMs());
   }
 
-  /** Looks whether the engine of a run that broke off has ended; the item waits until that is known. */
-  private async onBreak(task: Task, engine: EngineView, known: number): Promise<void> {
-    const {clock, suspects} = this.needs;
+  /** Checks whether the engine of a broken run has ended; the item waits for the result. */
+  private async onBrokenRun(task: Task, engine: EngineView, known: number): Promise<void> {
+    const {clock, suspects} = this.runtime;
     task.notBefore = Infinity;
     const digest = this.digestOf(task);
     try {
@@ -181,19 +181,19 @@
   }
 
   private noteServed(task: Task): void {
-    if (this.levelOf(task) > 0) {
-      this.needs.suspects.noteServed(this.digestOf(task));
+    if (this.suspectLevelOf(task) > 0) {
+      this.runtime.suspects.noteServed(this.digestOf(task));
     }
   }
 
   private async run(task: Task, engine: EngineView): Promise<void> {
-    const {clock} = this.needs;
+    const {clock} = this.runtime;
     this.decide('itemPlaced', task, {
       engine: engine.id,
       resumeAfter: task.lastEvent ?? undefined,
-      viewAgeMs: Math.round(clock.monotonicMs() - this.needs.view().asOf),
+      viewAgeMs: Math.round(clock.monotonicMs() - this.runtime.view().asOf),
     });
-    const known = this.levelOf(task);
+    const known = this.suspectLevelOf(task);
     const run = this.startRun(task, engine);
     const startedAt = clock.monotonicMs();
     const taskRun: TaskRun = {
@@ -209,17 +209,17 @@
     task.run = taskRun;
     const end = await run.ended;
     task.run = undefined;
-    this.options.urgency.estimates.noteRun(taskRun.events, taskRun.lastEventAt - startedAt);
+    this.options.urgency.estimates.addRun(taskRun.events, taskRun.lastEventAt - startedAt);
     if (this.options.tasks.get(task.key) === task) {
       this.onRunEnd(task, engine, end);
       if (end.kind === 'broken' && this.hasOnlyBegun(taskRun)) {
-        void this.onBreak(task, engine, known);
+        void this.onBrokenRun(task, engine, known);
       }
     }
   }
 
   private startRun(task: Task, engine: EngineView): ItemRun {
-    return startItemRun(this.needs.wire, this.pace, {
+    return startItemRun(this.runtime.wire, this.pace, {
       body: task.body!,
       customer: task.job.customer,
       engine,
@@ -239,8 +239,8 @@
     const {run} = task;
     if (run !== undefined) {
       run.events++;
-      run.firstEventAt ??= this.needs.clock.monotonicMs();
-      run.lastEventAt = this.needs.clock.monotonicMs();
+      run.firstEventAt ??= this.runtime.clock.monotonicMs();
+      run.lastEventAt = this.runtime.clock.monotonicMs();
       if (!run.isCleared && !this.hasOnlyBegun(run)) {
         run.isCleared = true;
         this.noteServed(task);
@@ -258,7 +258,7 @@
     });
     switch (end.kind) {
       case 'broken':
-        this.options.engines.note(engine, false);
+        this.options.engines.recordOutcome(engine, false);
         return;
       case 'cut':
         return;
@@ -268,15 +268,15 @@
         return;
       case 'notRun':
         if (end.reason !== 'declined') {
-          this.options.engines.note(engine, false);
+          this.options.engines.recordOutcome(engine, false);
         }
-        task.notBefore = this.needs.clock.monotonicMs() + RETRY_DELAY_MS;
+        task.notBefore = this.runtime.clock.monotonicMs() + RETRY_DELAY_MS;
         return;
       case 'whole':
-        this.options.engines.note(engine, true);
+        this.options.engines.recordOutcome(engine, true);
         this.noteServed(task);
-        this.options.urgency.estimates.noteItem(task.job.route, task.events);
-        this.endTask(task, 'completed');
+        this.options.urgency.estimates.addItem(task.job.route, task.events);
+        this.recordEnd(task, 'completed');
         return;
       default:
         unreachable(end);
@@ -284,12 +284,12 @@
   }
 
   private onItemFailure(task: Task, status: number): void {
-    const route = this.options.urgency.routeOf(this.needs.view(), task);
+    const route = this.options.urgency.routeOf(this.runtime.view(), task);
     if (status === UNPROCESSABLE) {
       this.giveUp(task, 'impossible', route);
       return;
     }
-    task.notBefore = this.needs.clock.monotonicMs() + RETRY_DELAY_MS;
+    task.notBefore = this.runtime.clock.monotonicMs() + RETRY_DELAY_MS;
     if (status < SERVER_ERROR) {
       return;
     }
@@ -298,32 +298,32 @@
       return;
     }
     const {index, job} = task;
-    this.needs
+    this.runtime
       .propose({item: index, job: job.id, kind: 'countFailure'})
       .catch((err: unknown) => this.decide('itemReturned', task, {reason: errorMessage(err)}));
   }
 
   /**
-   * Ends an item without an answer, and says what that rests on.
+   * Gives an item up and logs the values that led to it.
    *
    * @param task the item
    * @param why the reason
-   * @param route its route as it is configured now
+   * @param route its route in the current configuration
    */
   giveUp(task: Task, why: GiveUpReason, route: FleetRoute | undefined): void {
-    const {clockMs} = this.needs.state();
-    this.endTask(task, 'givenUp', {
+    const {clockMs} = this.runtime.state();
+    this.recordEnd(task, 'givenUp', {
       ageMs: Math.round(clockMs - task.acceptedAt),
       clockMs: Math.round(clockMs),
       failures: task.item.failures,
       mostAgeMs: route?.giveUpAfterMs,
       mostFailures: route?.maxAttempts,
-      viewAgeMs: Math.round(this.needs.clock.monotonicMs() - this.needs.view().asOf),
+      viewAgeMs: Math.round(this.runtime.clock.monotonicMs() - this.runtime.view().asOf),
       why,
     });
   }
 
-  private endTask(task: Task, outcome: ItemOutcome, fields: LogFields = {}): void {
+  private recordEnd(task: Task, outcome: ItemOutcome, fields: LogFields = {}): void {
     const term = this.options.term();
     if (task.ending || term === undefined) {
       return;
@@ -337,6 +337,6 @@
   }
 
   private decide(decision: ItemDecision, task: Task, fields: LogFields): void {
-    this.needs.decide(decision, task.item.id, {job: task.job.id, ...fields});
+    this.runtime.decide(decision, task.item.id, {job: task.job.id, ...fields});
   }
 }
--- a/packages/stallpaddle-jobs/src/JobsSurvey.ts
+++ b/packages/stallpaddle-jobs/src/JobsSurvey.ts
@@ -1,9 +1,4 @@
-/**
- * What engines hold that nobody here knows of. A dispatcher that loses its power leaves its runs behind: their
- * connections are never closed, so engines go on with them until they end or the VM is back. A new dispatcher asks
- * every engine how many requests it holds; what is more than the entry VMs tell and it runs itself takes room like
- * online requests, until it has ended. Runs of open items among them are stopped: their output goes nowhere.
- */
+/** Survey of the requests that engines still run for an earlier dispatcher. */
 import type {EngineId} from 'stallpaddle';
 import type {EngineView} from 'stallpaddle-fleet';
 import type {EngineOccupancy, EngineOrder, RelayWire} from 'stallpaddle-relay';
@@ -14,42 +9,42 @@
 
 import type {JobsOnlineCounts} from './JobsOnlineCounts';
 
-/** Longest wait for an engine's answer, in milliseconds: it says what it holds without any work. */
-const CALL_MS = 150;
-/** Time between two questions to an engine that holds unknown requests, in milliseconds: five events. */
-const AGAIN_MS = 150;
-/** Most questions to one engine: ten seconds, twice as long as an item of the fleets measured. */
-const MOST_ASKS = 60;
-/** Largest answer that is read, in bytes; those seen have 300. */
-const MOST_BYTES = 65_536;
+/** Timeout for a call to an engine, in milliseconds. */
+const CALL_TIMEOUT_MS = 150;
+/** Interval between queries to an engine that runs unreported requests, in milliseconds. */
+const QUERY_INTERVAL_MS = 150;
+/** Maximum number of queries to one engine. */
+const MAX_QUERIES = 60;
+/** Maximum size of an answer, in bytes. */
+const MAX_RESPONSE_BYTES = 65_536;
 
-/** What a survey needs of its dispatcher. */
+/** Interface between a survey and its dispatcher. */
 export interface JobsSurveyOptions {
   readonly decide: (engine: EngineId, fields: LogFields) => void;
   readonly engines: readonly EngineView[];
-  /** Whether a request is an open item that this dispatcher doesn't run at the engine. */
-  readonly isLeft: (requestId: string, engine: EngineId) => boolean;
-  /** Whether this dispatcher may decide: a run that looks left may be the next leader's. */
-  readonly mayDecide: () => boolean;
+  /** Whether a request is an open item that this dispatcher doesn't run on the engine. */
+  readonly isAbandoned: (requestId: string, engine: EngineId) => boolean;
+  /** Whether this process leads; otherwise a run that looks abandoned may belong to the next leader. */
+  readonly isLeading: () => boolean;
   readonly online: JobsOnlineCounts;
-  /** Called when an engine's room is known, or has changed. */
+  /** Called when an engine's free capacity becomes known or changes. */
   readonly onChange: () => void;
-  /** Items that this dispatcher runs at an engine. */
+  /** Number of items that this dispatcher runs on an engine. */
   readonly runsAt: (engine: EngineId) => number;
   readonly wire: RelayWire;
 }
 
-/** An engine's answer to a call of this module; null when none came in time. */
+/** Calls an engine; null when no answer came in time. */
 function call(address: string, {body, method, path}: EngineOrder): Promise<null | string> {
   return new Promise((resolve) => {
     const headers = {'content-length': Buffer.byteLength(body), 'content-type': 'application/json'};
     const req = request({agent: false, headers, method, path, ...splitAddress(address)});
-    const timer = setTimeout(() => req.destroy(), CALL_MS);
+    const timer = setTimeout(() => req.destroy(), CALL_TIMEOUT_MS);
     req.on('response', (res) => {
       let text = '';
       res.on('data', (chunk: Buffer) => {
         text += chunk.toString();
-        if (text.length > MOST_BYTES) {
+        if (text.length > MAX_RESPONSE_BYTES) {
           req.destroy();
         }
       });
@@ -65,21 +60,26 @@
   });
 }
 
-/** See the module's comment. */
+/**
+ * Queries every engine when a dispatcher begins to lead. After a power loss the connections of an earlier dispatcher
+ * stay open, and engines go on with its runs. Requests beyond those reported by entry VMs and run by this dispatcher
+ * occupy slots like online requests until they end; runs of open items among them are stopped, as nobody receives their
+ * output.
+ */
 export class JobsSurvey {
   private readonly pending: Set<EngineId>;
   private stopped = false;
-  private readonly unknown: Record<EngineId, number> = {};
+  private readonly unreported: Record<EngineId, number> = {};
 
   /**
-   * Begins to ask.
+   * Starts the survey.
    *
-   * @param options what it needs of its dispatcher
+   * @param options services of the dispatcher
    */
   constructor(private readonly options: JobsSurveyOptions) {
     const {engines} = options;
     this.pending = new Set(engines.map(({id}) => id));
-    engines.forEach((engine) => void this.follow(engine));
+    engines.forEach((engine) => void this.surveyEngine(engine));
   }
 
   /**
@@ -91,46 +91,47 @@
     return this.pending.has(id);
   }
 
-  /** Asks no more; what was found no longer counts. */
+  /** Stops the survey and clears the counts of unreported requests. */
   stop(): void {
     this.stopped = true;
     this.options.online.setUnreported({});
   }
 
-  private async follow(engine: EngineView): Promise<void> {
-    let unknown = Infinity;
-    for (let asks = 0; asks < MOST_ASKS && !this.stopped; asks++) {
-      const held = await this.ask(engine);
+  private async surveyEngine(engine: EngineView): Promise<void> {
+    let unreported = Infinity;
+    for (let queries = 0; queries < MAX_QUERIES && !this.stopped; queries++) {
+      const occupancy = await this.queryOccupancy(engine);
       if (this.stopped) {
         return;
       }
-      const seen = held === null ? 0 : Math.max(0, held.total - this.knownAt(engine.id));
-      // Nobody adds to them, so what is seen later beyond that are requests whose sender has not told them yet.
-      unknown = Math.min(unknown, seen);
-      this.note(engine.id, unknown);
-      if (unknown === 0) {
+      const excess =
+        occupancy === null ? 0 : Math.max(0, occupancy.total - this.knownAt(engine.id));
+      // Abandoned requests only decrease; a higher count means new requests that their sender has not reported yet.
+      unreported = Math.min(unreported, excess);
+      this.setUnreported(engine.id, unreported);
+      if (unreported === 0) {
         return;
       }
-      await this.stopLeft(engine, held?.running ?? []);
-      await delay(AGAIN_MS);
+      await this.stopAbandoned(engine, occupancy?.running ?? []);
+      await delay(QUERY_INTERVAL_MS);
     }
   }
 
-  private async ask({address}: EngineView): Promise<EngineOccupancy | null> {
+  private async queryOccupancy({address}: EngineView): Promise<EngineOccupancy | null> {
     const {wire} = this.options;
     const text = await call(address, {body: '', method: 'GET', path: wire.occupancyPath});
     return text === null ? null : wire.readOccupancy(text);
   }
 
-  private async stopLeft(engine: EngineView, running: readonly string[]): Promise<void> {
-    const {engines, isLeft, mayDecide} = this.options;
-    if (!mayDecide()) {
+  private async stopAbandoned(engine: EngineView, running: readonly string[]): Promise<void> {
+    const {engines, isAbandoned, isLeading} = this.options;
+    if (!isLeading()) {
       return;
     }
     const other = engines.find(({id, service}) => id !== engine.id && service === engine.service);
-    const left = running.filter((id) => isLeft(id, engine.id));
+    const abandoned = running.filter((id) => isAbandoned(id, engine.id));
     if (other !== undefined) {
-      await Promise.all(left.map((id) => this.stopRun(engine, id, other.address)));
+      await Promise.all(abandoned.map((id) => this.stopRun(engine, id, other.address)));
     }
   }
 
@@ -149,18 +150,18 @@
     return (online.reported()[id] ?? 0) + runsAt(id);
   }
 
-  private note(id: EngineId, unknown: number): void {
+  private setUnreported(id: EngineId, unreported: number): void {
     const {decide, onChange, online} = this.options;
-    if (unknown > 0 || this.unknown[id] !== undefined) {
-      decide(id, {unknown});
+    if (unreported > 0 || this.unreported[id] !== undefined) {
+      decide(id, {unknown: unreported});
     }
-    if (unknown > 0) {
-      this.unknown[id] = unknown;
+    if (unreported > 0) {
+      this.unreported[id] = unreported;
     } else {
-      delete this.unknown[id];
+      delete this.unreported[id];
     }
     this.pending.delete(id);
-    online.setUnreported({...this.unknown});
+    online.setUnreported({...this.unreported});
     onChange();
   }
 }
--- a/packages/stallpaddle-jobs/src/JobsTasks.ts
+++ b/packages/stallpaddle-jobs/src/JobsTasks.ts
@@ -1,60 +1,57 @@
-/**
- * Items that have not ended, with what their runs brought so far. Runs are kept in memory only: what a
- * lost process had of them runs again.
- */
+/** Open items of a group and their runs. */
 import type {EngineId, MonotonicMs} from 'stallpaddle';
 import type {GroupMs} from 'stallpaddle-replication';
 
 import type {ItemRun} from './JobsItemRun';
-import type {ItemTrial} from './JobsQuarantine';
+import type {ItemTrial} from './JobsTrial';
 import type {Job, JobId, JobItem, JobsState} from './JobsTypes';
 
-/** A run under way. */
+/** A run in progress. */
 export interface TaskRun {
   readonly engine: EngineId;
-  /** Which of its engine's starts runs it: the time of day at which the engine says it started, in Unix milliseconds. */
+  /** Start time of the engine process that runs it, as reported by the engine, in Unix milliseconds. */
   readonly engineStartMs: number;
-  /** Events that this run has brought. */
+  /** Number of events received in this run. */
   events: number;
-  /** When its first event came; undefined before it. */
+  /** Time of the first event; undefined before it. */
   firstEventAt: MonotonicMs | undefined;
-  /** It has gone on past its begin, which speaks for its item. */
+  /** The run got past its beginning, which clears the item of suspicion. */
   isCleared: boolean;
-  /** It gives way, and its end is on its way. */
+  /** The run was preempted and is about to end. */
   isPreempted: boolean;
-  /** When its last event came, or its start. */
+  /** Time of the last event, or of the start. */
   lastEventAt: MonotonicMs;
   readonly run: ItemRun;
 }
 
-/** One item. */
+/** An open item with its output so far; unsaved output is lost with the process. */
 export interface Task {
   readonly acceptedAt: GroupMs;
   body: Uint8Array | undefined;
-  /** Data of the events so far; the recorded parts are one entry each once they were read. */
+  /** Data of the events so far: one entry per recorded part that was read, then one per event. */
   data: string[];
-  /** What the item's request is, whatever its run; worked out only while there are suspects. */
+  /** Digest of the item's request, the same for all runs; computed only while there are suspects. */
   digest: string | undefined;
-  /** Its end was proposed and waits to be recorded. */
+  /** Its end is queued or proposed, but not recorded yet. */
   ending: boolean;
-  /** Number of events so far. */
+  /** Number of events of all runs so far. */
   events: number;
   readonly index: number;
   item: JobItem;
   readonly job: Job;
   readonly key: string;
   lastEvent: string | null;
-  /** It is not tried before. */
+  /** Earliest time of the next run. */
   notBefore: MonotonicMs;
   run: TaskRun | undefined;
-  /** Entries of `data` that are recorded. */
+  /** Number of entries of `data` that are recorded. */
   savedData: number;
-  /** Events that are recorded. */
+  /** Number of events that are recorded. */
   savedEvents: number;
-  /** Its next run while it is held off the engines; undefined before. */
+  /** Its next trial run; undefined if it was never quarantined. */
   trial: ItemTrial | undefined;
-  /** Engine for which a run is being prepared. */
-  startsAt: EngineId | undefined;
+  /** Engine on which it is starting, while its body is read. */
+  startingOn: EngineId | undefined;
 }
 
 function taskOf(job: Job, index: number): Task {
@@ -76,16 +73,16 @@
     run: undefined,
     savedData: 0,
     savedEvents: events,
-    startsAt: undefined,
+    startingOn: undefined,
     trial: undefined,
   };
 }
 
-/** All open items of a group. */
+/** Keeps the open items of the group in step with its state, and which engine each one runs on. */
 export class JobsTasks {
-  /** Items that run or begin, by engine. */
+  /** Items that run or start, by engine. */
   private readonly byEngine = new Map<EngineId, Set<Task>>();
-  private readonly known = new Map<JobId, Job>();
+  private readonly jobs = new Map<JobId, Job>();
   private readonly tasks = new Map<string, Task>();
 
   /** All items. */
@@ -96,29 +93,29 @@
   /**
    * An item by its key.
    *
-   * @param key job and place
+   * @param key id of the job and index of the item
    */
   get(key: string): Task | undefined {
     return this.tasks.get(key);
   }
 
   /**
-   * Items that run at an engine or begin there.
+   * Items that run or start on an engine.
    *
    * @param engine the engine
    */
-  at(engine: EngineId): readonly Task[] {
+  assignedTo(engine: EngineId): readonly Task[] {
     return [...(this.byEngine.get(engine) ?? [])];
   }
 
   /**
-   * Counts an item at an engine, from the moment it is given to it.
+   * Assigns an item to an engine.
    *
    * @param task the item
    * @param engine the engine
-   * @returns ends the count
+   * @returns releases the item again
    */
-  registerAt(task: Task, engine: EngineId): () => void {
+  assign(task: Task, engine: EngineId): () => void {
     const tasks = this.byEngine.get(engine) ?? new Set<Task>();
     this.byEngine.set(engine, tasks);
     tasks.add(task);
@@ -131,38 +128,38 @@
   }
 
   /**
-   * Takes in the group's state: new items are added; runs of items that have ended are cut.
+   * Updates the items to the group's state: adds new items, and cancels runs of items that have ended.
    *
    * @param state the group's state
    */
-  follow(state: JobsState): void {
+  sync(state: JobsState): void {
     for (const id of state.open.keys()) {
       const job = state.jobs.get(id)!;
-      if (this.known.get(id) !== job) {
-        this.known.set(id, job);
-        this.followJob(job);
+      if (this.jobs.get(id) !== job) {
+        this.jobs.set(id, job);
+        this.syncJob(job);
       }
     }
-    for (const id of this.known.keys()) {
+    for (const id of this.jobs.keys()) {
       if (!state.open.has(id)) {
-        this.forgetJob(id);
+        this.removeJob(id);
       }
     }
   }
 
-  /** Cuts all runs and forgets everything. */
+  /** Cancels all runs and removes all items. */
   clear(): void {
-    for (const id of this.known.keys()) {
-      this.forgetJob(id);
+    for (const id of this.jobs.keys()) {
+      this.removeJob(id);
     }
   }
 
-  private followJob(job: Job): void {
+  private syncJob(job: Job): void {
     job.items.forEach((item, index) => {
       const key = `${job.id}/${index}`;
       const task = this.tasks.get(key);
       if (item.outcome !== null) {
-        this.forget(key);
+        this.remove(key);
       } else if (task === undefined) {
         this.tasks.set(key, taskOf(job, index));
       } else {
@@ -171,19 +168,19 @@
     });
   }
 
-  private forgetJob(id: JobId): void {
-    this.known.get(id)?.items.forEach((_, index) => this.forget(`${id}/${index}`));
-    this.known.delete(id);
+  private removeJob(id: JobId): void {
+    this.jobs.get(id)?.items.forEach((_, index) => this.remove(`${id}/${index}`));
+    this.jobs.delete(id);
   }
 
-  private forget(key: string): void {
+  private remove(key: string): void {
     const task = this.tasks.get(key);
     if (task === undefined) {
       return;
     }
     task.run?.run.cancel();
     this.tasks.delete(key);
-    const engine = task.run?.engine ?? task.startsAt;
+    const engine = task.run?.engine ?? task.startingOn;
     if (engine !== undefined) {
       this.byEngine.get(engine)?.delete(task);
     }
--- a/packages/stallpaddle-jobs/src/JobsTypes.ts
+++ b/packages/stallpaddle-jobs/src/JobsTypes.ts
@@ -1,11 +1,9 @@
-/**
- * Batch jobs of opaque requests, as a group of replicas keeps them.
- */
+/** Replicated state of batch jobs. Their requests are opaque. */
 import type {Map as ImmutableMap, List} from 'immutable';
 import type {GroupMs} from 'stallpaddle-replication';
 import type {BlobRef} from 'stallpaddle-storage';
 
-/** Name of a job, given by whoever submits it. */
+/** Id of a job within the group. */
 export type JobId = string;
 
 /** How an item ended. */
@@ -13,26 +11,26 @@
 
 /** Why an item is given up. */
 export type GiveUpReason =
-  /** An engine says that none can do it. */
+  /** An engine answered that no engine can process it. */
   | 'impossible'
   /** Its route was removed. */
   | 'noRoute'
-  /** Engines failed at it as often as its route allows. */
+  /** Its number of failures reached the limit of its route. */
   | 'tooManyFailures'
-  /** Its job was accepted longer ago than its route allows. */
+  /** Its job is older than its route allows. */
   | 'tooOld';
 
-/** What the runs of an item have brought, as far as it was recorded. */
+/** Recorded output of an open item. */
 export interface ItemProgress {
   readonly events: number;
   readonly lastEvent: string | null;
-  /** Data of its events, joined by line feeds within a part and between parts. */
+  /** Data of its events, joined by line feeds within and between parts. */
   readonly parts: readonly BlobRef[];
 }
 
-/** A part of an item's output that is to be recorded. */
+/** A part of an item's output to record. */
 export interface ProgressPart {
-  /** Events before this part; a part that doesn't follow what is recorded is left out. */
+  /** Number of events before this part; a part that does not directly follow the recorded ones is ignored. */
   readonly after: number;
   readonly events: number;
   readonly item: number;
@@ -44,7 +42,7 @@
 /** One request of a job. */
 export interface JobItem {
   readonly body: BlobRef;
-  /** Answers of engines that failed at it. */
+  /** Number of failed attempts. */
   readonly failures: number;
   /** Name and value of each header. */
   readonly headers: readonly (readonly [string, string])[];
@@ -52,78 +50,78 @@
   readonly outcome: ItemOutcome | null;
   readonly path: string;
   readonly progress: ItemProgress | null;
-  /** Of its prompt and its longest answer together. */
+  /** Tokens of its prompt and its longest possible answer together. */
   readonly tokens: number;
 }
 
-/** A listed result; its place never changes. */
+/** A recorded result; its position never changes. */
 export interface JobResult {
-  /** Place of the item in the job. */
+  /** Index of the item in the job. */
   readonly item: number;
   readonly outcome: ItemOutcome;
-  /** Parts of the output, to be joined by line feeds; none for an item that was given up. */
+  /** Parts of the output, to be joined by line feeds; empty if the item was given up. */
   readonly texts: readonly BlobRef[];
 }
 
 /** A batch job. */
 export interface Job {
   readonly acceptedAt: GroupMs;
-  /** The customer that it belongs to; left out where the fleet knew none. */
+  /** The customer that owns it; omitted when the fleet has no customers. */
   readonly customer?: string | undefined;
-  /** Whether its submitter wants no more of it. */
+  /** Whether its submitter cancelled it. */
   readonly ended: boolean;
-  /** Host and path that it was submitted to: they choose its route, whatever is configured later. */
+  /** Host and path that it was submitted to; its route is looked up by them in the current configuration. */
   readonly host: string;
-  /** Name within the whole group. */
+  /** Id within the group. */
   readonly id: JobId;
   readonly items: readonly JobItem[];
   readonly path: string;
   readonly results: List<JobResult>;
-  /** Route at the time it was accepted; its waiting tokens count there. */
+  /** Route at submission, under which its waiting tokens are counted. */
   readonly route: string;
 }
 
-/** An item as it is submitted. */
+/** An item of a submission. */
 export interface SubmittedItem extends Omit<JobItem, 'body' | 'failures' | 'outcome' | 'progress'> {
   readonly body: Uint8Array;
 }
 
-/** A job as it is submitted. */
+/** A job to submit. */
 export interface Submission {
-  /** The customer that submits it; left out where the fleet knows none. */
+  /** The submitting customer; omitted when the fleet has no customers. */
   readonly customer?: string | undefined;
   readonly host: string;
-  /** The submitter's own name for it; another customer may use the same. */
+  /** Name chosen by the submitter, unique per customer. */
   readonly id: string;
   readonly items: readonly SubmittedItem[];
   readonly path: string;
   readonly route: string;
 }
 
-/** End of one item. */
+/** End of an item. */
 export interface ItemEnd {
-  /** Events before those told here: all of them are recorded. */
+  /** Number of events before `data`, all of them recorded. */
   readonly after: number;
-  /** Data of each event after those; empty for an item that is given up. */
+  /** Data of each later event; empty if the item is given up. */
   readonly data: readonly string[];
   readonly item: number;
   readonly job: JobId;
   readonly outcome: ItemOutcome;
 }
 
-/** A job, as its submitter names it. */
+/** Names a job. */
 export interface JobName {
-  /** The customer that asks; left out where the fleet knows none. */
+  /** The requesting customer; omitted when the fleet has no customers. */
   readonly customer?: string | undefined;
   readonly job: string;
 }
 
-/** A submitter wants no more of its job. */
+/** Cancels a job. */
 export interface EndJob extends JobName {
   readonly kind: 'endJob';
 }
 
-/** What a command does. */
+/** State change of a command. */
 export type JobsChange =
   | {readonly ends: readonly ItemEnd[]; readonly kind: 'endItems'}
   | {readonly item: number; readonly job: JobId; readonly kind: 'countFailure'}
@@ -131,13 +129,13 @@
   | {readonly kind: 'saveProgress'; readonly parts: readonly ProgressPart[]}
   | {
       readonly kind: 'submit';
-      /** Most tokens of the job's customer that may wait on the route; 0 for no limit. */
+      /** Maximum number of waiting tokens of the job's customer on the route; 0 for no limit. */
       readonly maxWaitingTokens: number;
       readonly submission: Submission;
     }
   | {readonly kind: 'tick'};
 
-/** A command. Each may be repeated without harm. */
+/** A command of the state machine. */
 export interface JobsCommand {
   readonly change: JobsChange;
 }
@@ -149,13 +147,13 @@
   | {readonly kind: 'overQuota'; readonly waitingTokens: number}
   | {readonly kind: 'unknownJob'};
 
-/** Everything that the group keeps. */
+/** State of the group. */
 export interface JobsState {
   readonly blobEnd: number;
   readonly clockMs: GroupMs;
   readonly jobs: ImmutableMap<JobId, Job>;
-  /** Jobs with items that have not ended. */
+  /** Jobs with open items. */
   readonly open: ImmutableMap<JobId, true>;
-  /** Tokens of items that have not ended, by route and customer. */
+  /** Tokens of open items, by route and customer. */
   readonly waitingTokens: ImmutableMap<string, number>;
 }
--- a/packages/stallpaddle-jobs/src/JobsUrgency.ts
+++ b/packages/stallpaddle-jobs/src/JobsUrgency.ts
@@ -1,6 +1,4 @@
-/**
- * Which items that wait are most urgent: by their routes' targets, and by how long such items take.
- */
+/** Urgency of batch items. */
 import type {MonotonicMs} from 'stallpaddle';
 import type {GroupMs} from 'stallpaddle-replication';
 
@@ -12,13 +10,13 @@
 import {JobsEstimates} from './JobsEstimates';
 
 interface WaitingItem extends PlannedItem {
-  /** Time that it still needs, in milliseconds. */
+  /** Expected remaining run time, in milliseconds. */
   readonly remainingMs: number;
-  /** Time until it is due, in milliseconds. */
+  /** Time until the item is due, in milliseconds. */
   readonly slackMs: number;
 }
 
-/** In time before late; then whatever is due first, or, among the late, whatever ends first. */
+/** Items that can be on time come first, ordered by due time; late ones follow, ordered by remaining run time. */
 function compareUrgency(a: WaitingItem, b: WaitingItem): number {
   if (a.late !== b.late) {
     return Number(a.late) - Number(b.late);
@@ -26,13 +24,13 @@
   return a.late ? a.remainingMs - b.remainingMs : a.slackMs - b.slackMs;
 }
 
-function mayStart({ending, notBefore, run, startsAt}: Task, now: MonotonicMs): boolean {
-  return run === undefined && startsAt === undefined && !ending && now >= notBefore;
+function mayStart({ending, notBefore, run, startingOn}: Task, now: MonotonicMs): boolean {
+  return run === undefined && startingOn === undefined && !ending && now >= notBefore;
 }
 
-/** See the module's comment. */
+/** Orders waiting items by their routes' target times and their expected run times. */
 export class JobsUrgency {
-  /** How long items take. */
+  /** Expected run times. */
   readonly estimates = new JobsEstimates();
   private routes: {readonly table: RouteTable; readonly version: number} | undefined;
 
@@ -42,11 +40,11 @@
   constructor(private readonly clockMs: () => GroupMs) {}
 
   /**
-   * Route of an item as it is configured now.
+   * Route of an item in the current configuration.
    *
-   * @param view what is known of the fleet
+   * @param view the fleet view
    * @param task the item
-   * @returns undefined when no route leads there, or no configuration is known
+   * @returns undefined when no route matches, or no configuration is known
    */
   routeOf({config}: FleetView, task: Task): FleetRoute | undefined {
     if (config === null) {
@@ -61,7 +59,7 @@
   /**
    * Time until an item is due, in milliseconds; negative when it is late.
    *
-   * @param view what is known of the fleet
+   * @param view the fleet view
    * @param task the item
    */
   slackMs(view: FleetView, task: Task): number {
@@ -70,24 +68,24 @@
   }
 
   /**
-   * Items that may start, the most urgent first; those that can't be in time come last.
+   * Items that may start, the most urgent first; those that can no longer be on time come last.
    *
-   * @param view what is known of the fleet
+   * @param view the fleet view
    * @param tasks all open items
-   * @param now the present moment
+   * @param now the current time
    */
-  waiting(view: FleetView, tasks: Iterable<Task>, now: MonotonicMs): readonly PlannedItem[] {
+  waitingItems(view: FleetView, tasks: Iterable<Task>, now: MonotonicMs): readonly PlannedItem[] {
     const found: WaitingItem[] = [];
     for (const task of tasks) {
       if (mayStart(task, now)) {
-        found.push(...this.waitingItem(view, task));
+        found.push(...this.toWaitingItem(view, task));
       }
     }
     return found.sort(compareUrgency);
   }
 
-  /** Empty for an item without a route or a service. */
-  private waitingItem(view: FleetView, task: Task): readonly WaitingItem[] {
+  /** Empty if the item has no route, or its route no service. */
+  private toWaitingItem(view: FleetView, task: Task): readonly WaitingItem[] {
     const route = this.routeOf(view, task);
     const service = route?.split.find(({weight}) => weight > 0)?.service;
     if (route === undefined || service === undefined) {
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
@@ -440,9 +440,9 @@
   });
 
   /**
-   * Seen on a fleet of 68 VMs: an output went on after an event with a run that had not been asked to go on there. An elected leader may
-   * not decide before an entry of its own is recorded; records of the leader before may be applied until then. It had taken
-   * its items in before, so a run went on from an older event than the one that was recorded.
+   * Seen on a fleet of 68 VMs: an output went on after an event with a run that had not been asked to go on there. An
+   * elected leader may not decide before an entry of its own is recorded; records of the leader before may be applied
+   * until then. It had taken its items in before, so a run went on from an older event than the one that was recorded.
    */
   test('a leader whose lease doesn’t run yet takes items in only once all records before it are applied', async () => {
     const engines = await startEngines(1, 60, 5);
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsQuarantine.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsTrial.test.ts
@@ -4,7 +4,7 @@
 /**
  * When an item that may have ended engines runs once more.
  */
-import {nextTrial, trialDelayMs} from '../../JobsQuarantine';
+import {nextTrial, trialDelayMs} from '../../JobsTrial';
 
 describe('nextTrial', () => {
   test('waits longer after each end, and never longer than a request is held', () => {
--- a/packages/stallpaddle-jobs/src/index.ts
+++ b/packages/stallpaddle-jobs/src/index.ts
@@ -1,4 +1,4 @@
-/** Batch jobs of opaque requests: replicated state, and the dispatcher that runs their items. */
+/** Batch jobs: their replicated state and the dispatcher that runs their items on engines. */
 export {MAX_RESULT_BYTES} from './JobsConstants';
 export type {ItemDecision, JobsDispatcherOptions} from './JobsContext';
 export {JobsDispatcher} from './JobsDispatcher';
