--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
@@ -1,6 +1,4 @@
-/**
- * Items before real stand-in engines: cut and resumed, failed, silent, and taken over by the next leader.
- */
+/** Dispatching batch items to fake engines: preemption, failures, stalls, and changes of the leader. */
 import type {FleetRoute, FleetView} from 'stallpaddle-fleet';
 
 import {request} from 'node:http';
@@ -17,10 +15,10 @@
 import {jobsMachine, updateJobs} from '../../JobsMachine';
 import {joinOutput} from '../../JobsQueries';
 
-const undo: (() => Promise<void> | void)[] = [];
+const cleanups: (() => Promise<void> | void)[] = [];
 
 afterEach(async () => {
-  for (const step of undo.splice(0)) {
+  for (const step of cleanups.splice(0)) {
     await step();
   }
 });
@@ -40,8 +38,8 @@
   timeoutMs: 15_000,
 };
 
-/** The group's state in one place, as if each command were committed at once. */
-class Group {
+/** Replication group in memory that commits each command at once. */
+class FakeGroup {
   readonly blobs = new Map<number, Uint8Array>();
   leader: JobsDispatcher | undefined;
   state: JobsState = jobsMachine.initial();
@@ -89,7 +87,7 @@
   const engines = await Promise.all(
     Array.from({length: count}, () => StreamEngine.start(events, gapMs)),
   );
-  engines.forEach((engine) => undo.push(() => engine.stop()));
+  engines.forEach((engine) => cleanups.push(() => engine.stop()));
   return engines;
 }
 
@@ -119,19 +117,19 @@
   };
 }
 
-/** What differs from a leader whose lease always runs and whose commands are all recorded. */
+/** Overrides for a leader that always holds the lease and whose commands are all committed. */
 interface LeadOptions {
   readonly decide?: JobsDispatcherOptions['decide'];
-  /** Whether its lease runs. */
+  /** Whether it holds the lease. */
   readonly mayLead?: () => boolean;
-  /** How long bodies take to be read, in milliseconds. */
+  /** Time to read a body, in milliseconds. */
   readonly readMs?: number;
   readonly propose?: (change: JobsChange) => Promise<unknown>;
   readonly term?: () => number;
 }
 
-function lead(
-  group: Group,
+function startLeader(
+  group: FakeGroup,
   view: () => FleetView,
   {
     decide = () => {},
@@ -158,7 +156,7 @@
     wire: plainRelay,
   });
   group.leader = dispatcher;
-  undo.push(() => {
+  cleanups.push(() => {
     leads = false;
     dispatcher.stop();
   });
@@ -166,26 +164,28 @@
   return dispatcher;
 }
 
-async function until(isTrue: () => boolean, mostMs = 5_000): Promise<void> {
+async function waitUntil(isTrue: () => boolean, timeoutMs = 5_000): Promise<void> {
   for (let waited = 0; !isTrue(); waited += 5) {
-    expect(waited).toBeLessThan(mostMs);
+    expect(waited).toBeLessThan(timeoutMs);
     await delay(5);
   }
 }
 
-function whole(events: number): string {
+function expectedOutput(events: number): string {
   return Array.from({length: events}, (_, at) => `piece ${at + 1}`).join('\n');
 }
 
 describe('JobsDispatcher', () => {
-  test('runs each item whole, with its own headers, body and place', async () => {
+  test('runs each item to completion, with its own headers, body and index', async () => {
     const engines = await startEngines(2, 5, 2);
-    const group = new Group();
-    lead(group, () => viewOf(engines));
+    const group = new FakeGroup();
+    startLeader(group, () => viewOf(engines));
     group.submit(6);
-    await until(() => group.results.length === 6);
+    await waitUntil(() => group.results.length === 6);
     expect(new Set(group.results.map(({item}) => item)).size).toBe(6);
-    expect(group.results.map((_, at) => group.textOf(at))).toEqual(Array(6).fill(whole(5)));
+    expect(group.results.map((_, at) => group.textOf(at))).toEqual(
+      Array(6).fill(expectedOutput(5)),
+    );
     const seen = engines.flatMap((engine) => engine.seen);
     expect(seen).toHaveLength(6);
     const first = seen.find(({url}) => url === '/p/0')!;
@@ -193,10 +193,10 @@
     expect(first.headers[PLAIN.request]).toBe('i0');
   });
 
-  test('counts items whose bodies are still being read: no engine gets more than it has room for', async () => {
+  test('counts items whose bodies are still being read, so no engine gets more than its free slots', async () => {
     const engines = await startEngines(2, 20, 5);
-    const group = new Group();
-    const dispatcher = lead(group, () => viewOf(engines), {readMs: 60});
+    const group = new FakeGroup();
+    const dispatcher = startLeader(group, () => viewOf(engines), {readMs: 60});
     group.submit(6);
     let most = 0;
     while (group.results.length < 6) {
@@ -209,12 +209,12 @@
     expect(engines.flatMap(({seen}) => seen)).toHaveLength(6);
   });
 
-  test('begins many items in turns, so that other work goes between them', async () => {
+  test('starts many items over several turns of the event loop', async () => {
     const engines = await startEngines(1, 1, 1);
     const view = viewOf(engines);
     const [engine] = view.news.engines;
     const roomy = {...view, news: {...view.news, engines: [{...engine!, slots: 500}]}};
-    const group = new Group();
+    const group = new FakeGroup();
     let turn = 0;
     const perTurn = new Map<number, number>();
     const watch = (): void => {
@@ -225,57 +225,57 @@
     };
     group.submit(200);
     watch();
-    lead(group, () => ({...roomy, asOf: systemClock.monotonicMs()}), {
+    startLeader(group, () => ({...roomy, asOf: systemClock.monotonicMs()}), {
       decide: (decision) => {
         if (decision === 'itemPlaced') {
           perTurn.set(turn, (perTurn.get(turn) ?? 0) + 1);
         }
       },
     });
-    await until(() => group.results.length === 200, 20_000);
+    await waitUntil(() => group.results.length === 200, 20_000);
     expect(Math.max(...perTurn.values())).toBeLessThanOrEqual(2 * MAX_STARTS_PER_PASS);
   });
 
-  test('gives way to online requests and goes on after the last whole event', async () => {
+  test('preempts runs for online requests and resumes them after the last complete event', async () => {
     const engines = await startEngines(2, 40, 10);
-    const group = new Group();
-    const dispatcher = lead(group, () => viewOf(engines));
+    const group = new FakeGroup();
+    const dispatcher = startLeader(group, () => viewOf(engines));
     group.submit(2);
-    await until(() => engines.every(({seen}) => seen.length > 0));
+    await waitUntil(() => engines.every(({seen}) => seen.length > 0));
     await delay(100);
     dispatcher.online.update('entry', 1, {e0: 2});
     dispatcher.schedulePass();
-    await until(() => engines[0]!.seen.every(({left}) => left));
+    await waitUntil(() => engines[0]!.seen.every(({left}) => left));
     dispatcher.online.update('entry', 2, {});
-    await until(() => group.results.length === 2);
-    expect([group.textOf(0), group.textOf(1)]).toEqual([whole(40), whole(40)]);
+    await waitUntil(() => group.results.length === 2);
+    expect([group.textOf(0), group.textOf(1)]).toEqual([expectedOutput(40), expectedOutput(40)]);
     const resumed = engines
       .flatMap(({seen}) => seen)
       .filter(({headers}) => headers[PLAIN.resumeAfter]);
     expect(resumed).toHaveLength(1);
   });
 
-  test('an item that ends engines waits, has one trial, is listed as nothing, and the others are run', async () => {
+  test('quarantines an item that ends engines, with one trial run and no result, and runs the other items', async () => {
     const engines = await startEngines(6, 5, 2);
     engines.forEach((engine) => engine.fatal.add('body 0'));
-    const group = new Group();
+    const group = new FakeGroup();
     const decided: string[] = [];
     const decide: JobsDispatcherOptions['decide'] = (decision, id) =>
       decided.push(`${decision} ${id}`);
-    lead(group, () => viewOf(engines), {decide});
+    startLeader(group, () => viewOf(engines), {decide});
     group.submit(6);
-    await until(() => decided.includes('itemHeld i0') && group.results.length === 5);
+    await waitUntil(() => decided.includes('itemHeld i0') && group.results.length === 5);
     const ended = () => engines.filter(({seen}) => seen.some(({body}) => body === 'body 0'));
     expect(ended()).toHaveLength(2);
-    await until(() => decided.filter((line) => line === 'itemHeld i0').length === 2, 8_000);
+    await waitUntil(() => decided.filter((line) => line === 'itemHeld i0').length === 2, 8_000);
     await delay(4_000);
     expect(ended()).toHaveLength(3);
     expect(group.results.map(({item}) => item).sort()).toEqual([1, 2, 3, 4, 5]);
     expect(decided.filter((line) => line === 'itemHeld i0')).toHaveLength(2);
   });
 
-  test('an item that only stood beside two ends of engines is run all the same, seconds later', async () => {
-    // Seen in a soak: an item of two engines that another request had ended stayed unlisted for as long as it was held.
+  test('runs an item that was only present when two engines ended, after its quarantine', async () => {
+    // Guards against quarantine without trial runs, which leaves an innocent item without a result.
     const engines = await startEngines(6, 5, 2);
     let ends = 0;
     engines.forEach((engine) => {
@@ -286,56 +286,56 @@
         }
       };
     });
-    const group = new Group();
-    lead(group, () => viewOf(engines));
+    const group = new FakeGroup();
+    startLeader(group, () => viewOf(engines));
     group.submit(1);
-    await until(() => group.results.length === 1, 8_000);
-    expect([ends, group.textOf(0)]).toEqual([2, whole(5)]);
+    await waitUntil(() => group.results.length === 1, 8_000);
+    expect([ends, group.textOf(0)]).toEqual([2, expectedOutput(5)]);
   });
 
-  test('an item that has brought more than a first event since its run began is no suspect', async () => {
+  test('does not suspect an item whose run brought more than a first event', async () => {
     const engines = await startEngines(6, 5, 2);
     engines.forEach((engine) => {
       engine.fatal.add('body 0');
       engine.eventsBeforeEnd = 2;
     });
-    const group = new Group();
+    const group = new FakeGroup();
     const decided: string[] = [];
-    lead(group, () => viewOf(engines), {decide: (decision) => decided.push(decision)});
+    startLeader(group, () => viewOf(engines), {decide: (decision) => decided.push(decision)});
     group.submit(1);
-    await until(() => group.results.length === 1 || decided.includes('itemHeld'), 8_000);
+    await waitUntil(() => group.results.length === 1 || decided.includes('itemHeld'), 8_000);
     expect(decided).not.toContain('itemHeld');
   });
 
-  test('makes room for a request in the turn in which it is told, and cuts each run once', async () => {
+  test('preempts for an online request in the turn of its report, and each run only once', async () => {
     const engines = await startEngines(2, 60, 10);
-    const group = new Group();
-    const cuts: unknown[] = [];
-    const dispatcher = lead(group, () => viewOf(engines), {
+    const group = new FakeGroup();
+    const preempted: unknown[] = [];
+    const dispatcher = startLeader(group, () => viewOf(engines), {
       decide: (decision, _, {engine}) => {
         if (decision === 'itemCut') {
-          cuts.push(engine);
+          preempted.push(engine);
         }
       },
     });
     group.submit(2);
-    await until(() => engines.every(({seen}) => seen.length > 0));
+    await waitUntil(() => engines.every(({seen}) => seen.length > 0));
     dispatcher.updateOnlineCounts('entry', 1, {e1: 1});
-    expect(cuts).toEqual([]);
+    expect(preempted).toEqual([]);
     dispatcher.updateOnlineCounts('entry', 2, {e1: 2});
     dispatcher.updateOnlineCounts('other', 1, {e1: 1});
-    expect(cuts).toEqual(['e1']);
+    expect(preempted).toEqual(['e1']);
     await delay(50);
-    expect(cuts).toEqual(['e1']);
+    expect(preempted).toEqual(['e1']);
   });
 
-  test('runs items anew whose engine has started again and knows nothing of them', async () => {
-    // The connection of the run tells nothing: the engine lost its power, and its VM answers at the same address.
+  test('restarts items whose engine has restarted and lost them', async () => {
+    // After a power loss the VM answers at the same address, and the run's connection reports no error.
     const engines = await startEngines(2, 40, 10);
-    const group = new Group();
-    const cuts: unknown[] = [];
+    const group = new FakeGroup();
+    const preempted: unknown[] = [];
     let startedAtMs = 0;
-    const dispatcher = lead(
+    const dispatcher = startLeader(
       group,
       () => {
         const view = viewOf(engines);
@@ -346,23 +346,23 @@
       {
         decide: (decision, _, {engine}) => {
           if (decision === 'itemCut') {
-            cuts.push(engine);
+            preempted.push(engine);
           }
         },
       },
     );
     group.submit(2);
-    await until(() => engines.every(({seen}) => seen.length > 0));
+    await waitUntil(() => engines.every(({seen}) => seen.length > 0));
     await delay(60);
     startedAtMs = 1_000;
     dispatcher.schedulePass();
-    await until(() => cuts.length > 0);
-    await until(() => group.results.length === 2);
-    expect(cuts).toEqual(['e0']);
-    expect([group.textOf(0), group.textOf(1)]).toEqual([whole(40), whole(40)]);
+    await waitUntil(() => preempted.length > 0);
+    await waitUntil(() => group.results.length === 2);
+    expect(preempted).toEqual(['e0']);
+    expect([group.textOf(0), group.textOf(1)]).toEqual([expectedOutput(40), expectedOutput(40)]);
   });
 
-  /** Requests whose sender keeps the connections open and never reads: its VM has lost its power. */
+  /** Sends requests whose connections stay open unread, as after a power loss of the sender. */
   function holdSlots(engine: StreamEngine, count: number): () => void {
     const requests = Array.from({length: count}, (_, at) =>
       request(`http://${engine.address}/left`, {
@@ -375,157 +375,156 @@
     return () => requests.forEach((req) => req.destroy());
   }
 
-  test('starts nothing in slots that runs of a lost dispatcher still hold', async () => {
+  test('starts nothing in slots that runs of a lost dispatcher still occupy', async () => {
     const [engine] = await startEngines(1, 400, 10);
     const release = holdSlots(engine!, 2);
-    undo.push(release);
-    await until(() => engine!.seen.length === 2);
-    const group = new Group();
-    const dispatcher = lead(group, () => viewOf([engine!]));
+    cleanups.push(release);
+    await waitUntil(() => engine!.seen.length === 2);
+    const group = new FakeGroup();
+    const dispatcher = startLeader(group, () => viewOf([engine!]));
     group.submit(1);
     await delay(500);
     expect(engine!.seen).toHaveLength(2);
     expect(dispatcher.online.totals()).toEqual({e0: 2});
     release();
-    await until(() => engine!.seen.length === 3);
+    await waitUntil(() => engine!.seen.length === 3);
     expect(dispatcher.online.totals()).toEqual({});
   });
 
-  test('stops runs of open items that a lost dispatcher has left, and no other', async () => {
+  test('stops only the runs of open items that a lost dispatcher abandoned', async () => {
     const engines = await startEngines(2, 400, 10);
     const leave = (id: string): void => {
       const headers = {[PLAIN.request]: id};
       const {address} = engines[0]!;
       const req = request(`http://${address}/`, {agent: false, headers, method: 'POST'}).end();
       req.on('error', () => {});
-      undo.push(() => void req.destroy());
+      cleanups.push(() => void req.destroy());
     };
     leave('i0');
     leave('an online request');
-    await until(() => engines[0]!.seen.length === 2);
-    const group = new Group();
+    await waitUntil(() => engines[0]!.seen.length === 2);
+    const group = new FakeGroup();
     group.submit(1);
-    lead(group, () => viewOf(engines));
-    await until(() => engines[0]!.seen[0]!.left);
+    startLeader(group, () => viewOf(engines));
+    await waitUntil(() => engines[0]!.seen[0]!.left);
     await delay(300);
     expect(engines[0]!.seen[1]!.open).toBe(true);
     expect(engines[0]!.orders).toEqual(['POST i0', 'DELETE i0']);
     expect(engines[1]!.seen.map(({headers}) => headers[PLAIN.request])).toEqual(['i0']);
   });
 
-  test('starts at engines that do not say what they hold', async () => {
+  test('starts items on engines that do not report their occupancy', async () => {
     const [engine] = await startEngines(1, 5, 2);
     engine!.tellsOccupancy = false;
-    const group = new Group();
-    lead(group, () => viewOf([engine!]));
+    const group = new FakeGroup();
+    startLeader(group, () => viewOf([engine!]));
     group.submit(1);
-    await until(() => group.results.length === 1);
+    await waitUntil(() => group.results.length === 1);
   });
 
-  test('the next leader goes on from what was recorded', async () => {
+  test('the next leader resumes from the recorded progress', async () => {
     const engines = await startEngines(1, 60, 5);
-    const group = new Group();
-    const first = lead(group, () => viewOf(engines));
+    const group = new FakeGroup();
+    const first = startLeader(group, () => viewOf(engines));
     group.submit(1);
-    await until(() => engines[0]!.seen.length > 0);
+    await waitUntil(() => engines[0]!.seen.length > 0);
     await delay(120);
     await first.saveProgress();
     first.stop();
     const {progress} = group.state.jobs.get('job')!.items[0]!;
     expect(progress!.events).toBeGreaterThan(0);
-    lead(group, () => viewOf(engines));
-    await until(() => group.results.length === 1);
-    expect(group.textOf(0)).toBe(whole(60));
+    startLeader(group, () => viewOf(engines));
+    await waitUntil(() => group.results.length === 1);
+    expect(group.textOf(0)).toBe(expectedOutput(60));
     expect(engines[0]!.seen[1]!.headers[PLAIN.resumeAfter]).toBe(String(progress!.events));
   });
 
   /**
-   * Seen on a fleet of 68 VMs: an output went on after an event with a run that had not been asked to go on there. An
-   * elected leader may not decide before an entry of its own is recorded; records of the leader before may be applied
-   * until then. It had taken its items in before, so a run went on from an older event than the one that was recorded.
+   * Guards against loading items before the lease is held: records of the earlier leader may still be applied until
+   * then, and a run would resume after an older event than the recorded one.
    */
-  test('a leader whose lease doesn’t run yet takes items in only once all records before it are applied', async () => {
+  test('a new leader loads items only after all earlier records are applied', async () => {
     const engines = await startEngines(1, 60, 5);
-    const group = new Group();
+    const group = new FakeGroup();
     group.submit(1);
     let mayLead = false;
-    lead(group, () => viewOf(engines), {mayLead: () => mayLead});
+    startLeader(group, () => viewOf(engines), {mayLead: () => mayLead});
     await delay(100);
     const text = Buffer.from(['piece 1', 'piece 2', 'piece 3'].join('\n'));
     const part = {after: 0, events: 3, item: 0, job: 'job', lastEvent: '3', text};
     await group.propose({kind: 'saveProgress', parts: [part]});
     mayLead = true;
-    await until(() => group.results.length === 1);
+    await waitUntil(() => group.results.length === 1);
     expect(engines[0]!.seen.map(({headers}) => headers[PLAIN.resumeAfter])).toEqual(['3']);
-    expect(group.textOf(0)).toBe(whole(60));
+    expect(group.textOf(0)).toBe(expectedOutput(60));
   });
 
-  test('joins no event that does not follow, and begins again after the last that did', async () => {
+  test('rejects an event out of order and resumes after the last valid one', async () => {
     const engines = await startEngines(1, 5, 2);
     engines[0]!.manners = [{kind: 'skipEvent'}, {after: 2, kind: 'endWithin'}];
-    const group = new Group();
-    lead(group, () => viewOf(engines));
+    const group = new FakeGroup();
+    startLeader(group, () => viewOf(engines));
     group.submit(1);
-    await until(() => group.results.length === 1);
-    expect(group.textOf(0)).toBe(whole(5));
+    await waitUntil(() => group.results.length === 1);
+    expect(group.textOf(0)).toBe(expectedOutput(5));
   });
 
-  test('does not take an answer without a length for whole when its connection was reset', async () => {
+  test('does not treat an answer without a length as complete when its connection was reset', async () => {
     const engines = await startEngines(1, 5, 2);
     engines[0]!.manners = [{after: 3, kind: 'resetUnframed'}];
-    const group = new Group();
-    lead(group, () => viewOf(engines));
+    const group = new FakeGroup();
+    startLeader(group, () => viewOf(engines));
     group.submit(1);
-    await until(() => group.results.length === 1);
-    expect(group.textOf(0)).toBe(whole(5));
+    await waitUntil(() => group.results.length === 1);
+    expect(group.textOf(0)).toBe(expectedOutput(5));
   });
 
-  test('gives an item up after as many failures as its route allows, and at once when it can never be done', async () => {
+  test('gives an item up after the maximum number of failures, and at once when it is impossible', async () => {
     const engines = await startEngines(1, 5, 2);
     engines[0]!.manners = [
       {kind: 'fail', status: 500},
       {kind: 'fail', status: 500},
     ];
-    const group = new Group();
-    lead(group, () => viewOf(engines));
+    const group = new FakeGroup();
+    startLeader(group, () => viewOf(engines));
     group.submit(1);
-    await until(() => group.results.length === 1);
+    await waitUntil(() => group.results.length === 1);
     expect(group.results[0]).toMatchObject({outcome: 'givenUp', texts: []});
     expect(engines[0]!.seen).toHaveLength(2);
 
-    const other = new Group();
+    const other = new FakeGroup();
     engines[0]!.manners = [{kind: 'fail', status: 422}];
-    lead(other, () => viewOf(engines));
+    startLeader(other, () => viewOf(engines));
     other.submit(1);
-    await until(() => other.results.length === 1);
+    await waitUntil(() => other.results.length === 1);
     expect(other.results[0]!.outcome).toBe('givenUp');
     expect(engines[0]!.seen).toHaveLength(3);
   });
 
-  test('an engine that declines, or leaves the request to another, has not run the item', async () => {
+  test('does not count a declined request as a run of the item', async () => {
     const engines = await startEngines(1, 5, 2);
     engines[0]!.manners = [{kind: 'decline'}, {kind: 'decline'}, {kind: 'decline'}];
-    const group = new Group();
-    lead(group, () => viewOf(engines));
+    const group = new FakeGroup();
+    startLeader(group, () => viewOf(engines));
     group.submit(1);
-    await until(() => group.results.length === 1);
+    await waitUntil(() => group.results.length === 1);
     expect(group.results[0]!.outcome).toBe('completed');
   });
 
-  test('finds an engine silent, tells it, and goes on elsewhere', async () => {
+  test('reports a stalled engine and continues on another one', async () => {
     const engines = await startEngines(2, 5, 2);
     engines.forEach((engine) => (engine.manners = [{kind: 'mute'}]));
-    const group = new Group();
-    const dispatcher = lead(group, () => viewOf(engines));
+    const group = new FakeGroup();
+    const dispatcher = startLeader(group, () => viewOf(engines));
     group.submit(1);
-    await until(() => dispatcher.stalledEngines().length === 1);
-    await until(() => group.results.length === 1);
-    expect(group.textOf(0)).toBe(whole(5));
+    await waitUntil(() => dispatcher.stalledEngines().length === 1);
+    await waitUntil(() => group.results.length === 1);
+    expect(group.textOf(0)).toBe(expectedOutput(5));
   });
 
-  test('records an end although the lease lapses for a moment', async () => {
+  test('records an end despite a brief lease lapse', async () => {
     const engines = await startEngines(1, 5, 2);
-    const group = new Group();
+    const group = new FakeGroup();
     let mayLead = true;
     const propose = (change: JobsChange): Promise<unknown> => {
       if (change.kind !== 'endItems' || !mayLead) {
@@ -540,33 +539,33 @@
       return group.propose(change);
     };
     let lapsed = false;
-    lead(group, () => viewOf(engines), {mayLead: () => mayLead, propose});
+    startLeader(group, () => viewOf(engines), {mayLead: () => mayLead, propose});
     group.submit(1);
-    await until(() => group.results.length === 1);
+    await waitUntil(() => group.results.length === 1);
     expect(lapsed).toBe(true);
   });
 
-  test('a lease that lapses for a moment cuts no run', async () => {
+  test('a brief lease lapse cancels no run', async () => {
     const engines = await startEngines(1, 80, 5);
-    const group = new Group();
+    const group = new FakeGroup();
     let mayLead = true;
-    const dispatcher = lead(group, () => viewOf(engines), {mayLead: () => mayLead});
+    const dispatcher = startLeader(group, () => viewOf(engines), {mayLead: () => mayLead});
     group.submit(1);
-    await until(() => engines[0]!.seen.length > 0);
+    await waitUntil(() => engines[0]!.seen.length > 0);
     await delay(50);
     mayLead = false;
     dispatcher.schedulePass();
     await delay(100);
     mayLead = true;
     dispatcher.schedulePass();
-    await until(() => group.results.length === 1);
+    await waitUntil(() => group.results.length === 1);
     expect(engines[0]!.seen).toHaveLength(1);
-    expect(group.textOf(0)).toBe(whole(80));
+    expect(group.textOf(0)).toBe(expectedOutput(80));
   });
 
-  test('takes nothing of an earlier term up again: runs are cut, ends found then are not recorded', async () => {
+  test('a change of the term cancels runs and discards ends of the earlier term', async () => {
     const engines = await startEngines(1, 30, 5);
-    const group = new Group();
+    const group = new FakeGroup();
     let term = 1;
     const recorded: number[] = [];
     let held = true;
@@ -580,24 +579,24 @@
       recorded.push(term);
       return group.propose(change);
     };
-    const dispatcher = lead(group, () => viewOf(engines), {propose, term: () => term});
+    const dispatcher = startLeader(group, () => viewOf(engines), {propose, term: () => term});
     group.submit(2);
-    // One item ends in the first term, but its end isn't recorded; the other is under way when the term changes.
+    // One item ends in the first term without its end being recorded; the other is running when the term changes.
     engines[0]!.manners = [{kind: 'fail', status: 422}];
-    await until(() => engines[0]!.seen.length === 2);
+    await waitUntil(() => engines[0]!.seen.length === 2);
     await delay(60);
     term = 3;
     held = false;
     dispatcher.schedulePass();
-    await until(() => group.results.length === 2);
+    await waitUntil(() => group.results.length === 2);
     expect(engines[0]!.seen).toHaveLength(4);
     expect(recorded.every((at) => at === 3)).toBe(true);
     expect(group.results.map(({outcome}) => outcome)).toEqual(['completed', 'completed']);
   });
 
-  test('goes on recording after a record whose outcome was unknown', async () => {
+  test('continues to save progress after a save with an unknown outcome', async () => {
     const engines = await startEngines(1, 100, 5);
-    const group = new Group();
+    const group = new FakeGroup();
     let failed = 0;
     const propose = async (change: JobsChange): Promise<unknown> => {
       const answer = await group.propose(change);
@@ -607,10 +606,10 @@
       }
       return answer;
     };
-    const dispatcher = lead(group, () => viewOf(engines), {propose});
+    const dispatcher = startLeader(group, () => viewOf(engines), {propose});
     group.submit(1);
     const progress = (): number => group.state.jobs.get('job')!.items[0]!.progress?.events ?? 0;
-    await until(() => engines[0]!.seen.length > 0);
+    await waitUntil(() => engines[0]!.seen.length > 0);
     await delay(100);
     await dispatcher.saveProgress();
     const first = progress();
@@ -618,12 +617,12 @@
     await dispatcher.saveProgress();
     expect([failed, progress() > first]).toEqual([1, true]);
     dispatcher.stop();
-    lead(group, () => viewOf(engines));
-    await until(() => group.results.length === 1);
-    expect(group.textOf(0)).toBe(whole(100));
+    startLeader(group, () => viewOf(engines));
+    await waitUntil(() => group.results.length === 1);
+    expect(group.textOf(0)).toBe(expectedOutput(100));
   });
 
-  test('the log names how each item ended, and every engine that was offered it', async () => {
+  test('logs the outcome of each item and every engine that it was sent to', async () => {
     const manners = ['serve', 'decline', 'fail', 'reset', 'breakOff', 'otherEngine', 'skipEvent'];
     const random = seededRandom(20_261);
     const draw = () => manners[Math.floor(random() * manners.length)];
@@ -636,12 +635,12 @@
         );
       });
       const lines: {decision: string; fields: LogFields; id: string}[] = [];
-      const group = new Group();
-      const dispatcher = lead(group, () => viewOf(engines), {
+      const group = new FakeGroup();
+      const dispatcher = startLeader(group, () => viewOf(engines), {
         decide: (decision, id, fields) => lines.push({decision, fields, id}),
       });
       group.submit(4);
-      await until(() => group.results.length === 4, 20_000);
+      await waitUntil(() => group.results.length === 4, 20_000);
       dispatcher.stop();
       for (const {item, outcome} of group.results) {
         const id = `i${item}`;
@@ -659,31 +658,31 @@
     }
   }, 60_000);
 
-  test('starts nothing on old knowledge', async () => {
+  test('starts nothing with a stale fleet view', async () => {
     const engines = await startEngines(1, 5, 2);
     const old = viewOf(engines);
-    const group = new Group();
-    lead(group, () => ({...old, asOf: systemClock.monotonicMs() - 1_500}));
+    const group = new FakeGroup();
+    startLeader(group, () => ({...old, asOf: systemClock.monotonicMs() - 1_500}));
     group.submit(1);
     await delay(150);
     expect(engines[0]!.seen).toHaveLength(0);
   });
 
-  test('cuts the runs of a job that was ended, and gives up items whose route is gone', async () => {
+  test('cancels the runs of a cancelled job, and gives up items whose route was removed', async () => {
     const engines = await startEngines(1, 500, 10);
-    const group = new Group();
-    lead(group, () => viewOf(engines));
+    const group = new FakeGroup();
+    startLeader(group, () => viewOf(engines));
     group.submit(1);
-    await until(() => engines[0]!.seen.length > 0);
+    await waitUntil(() => engines[0]!.seen.length > 0);
     await group.propose({job: 'job', kind: 'endJob'});
-    await until(() => engines[0]!.seen.every(({left}) => left));
+    await waitUntil(() => engines[0]!.seen.every(({left}) => left));
     await delay(100);
     expect(engines[0]!.seen).toHaveLength(1);
 
-    const other = new Group();
-    lead(other, () => viewOf(engines, []));
+    const other = new FakeGroup();
+    startLeader(other, () => viewOf(engines, []));
     other.submit(2);
-    await until(() => other.results.length === 2);
+    await waitUntil(() => other.results.length === 2);
     expect(other.results.map(({outcome}) => outcome)).toEqual(['givenUp', 'givenUp']);
   });
 });
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsMachine.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsMachine.test.ts
@@ -1,6 +1,4 @@
-/**
- * Batch jobs under repeated and reordered commands, beside a naive model.
- */
+/** State machine of batch jobs: repeated and reordered commands, compared with a naive model. */
 import fc from 'fast-check';
 import {decodeValue, encodeValue} from 'stallpaddle';
 import {assertHistories} from 'stallpaddle-testing';
@@ -57,7 +55,7 @@
 }
 
 describe('jobs of customers', () => {
-  test('are there for their customer alone', () => {
+  test('are visible to their own customer only', () => {
     const {state} = run(EMPTY, submitAs('one', 'a', 2));
     const found = ['one', 'two', undefined].map((customer) => [
       findResults(state, {customer, job: 'a'}, 0, 1)?.total,
@@ -70,7 +68,7 @@
     ]);
   });
 
-  test('are ended by their customer alone, and others hear of no such job', () => {
+  test('can be cancelled by their own customer only; for others the job is unknown', () => {
     const other = {customer: 'two', job: 'a', kind: 'endJob'} as const;
     const {answers, state} = run(EMPTY, submitAs('one', 'a', 2), other);
     expect(answers[1]).toEqual({kind: 'unknownJob'});
@@ -90,14 +88,14 @@
     expect(totals).toEqual([2, 3]);
   });
 
-  test('can’t be had under the group’s own name for them', () => {
+  test('are not found by their id within the group', () => {
     const {state} = run(EMPTY, submitAs('one', 'a', 2));
     const [name] = state.jobs.keys();
     expect(findResults(state, {job: name!}, 0, 1)).toBeUndefined();
     expect(findResults(state, {customer: 'two', job: name!}, 0, 1)).toBeUndefined();
   });
 
-  test('count their tokens for their customer, and free them as they end', () => {
+  test('count waiting tokens per customer and release them when they end', () => {
     const {answers, state} = run(
       EMPTY,
       submitAs('one', 'a', 9),
@@ -116,7 +114,7 @@
     expect([...ended.state.waitingTokens.values()]).toEqual([90, 90]);
   });
 
-  test('that were taken before there were customers are there for whoever names them', () => {
+  test('submitted without a customer are visible to every customer', () => {
     const {state} = run(EMPTY, submit('a', 2));
     expect(findResults(state, {customer: 'one', job: 'a'}, 0, 1)?.total).toBe(2);
     const {answers} = run(state, submitAs('one', 'a', 2));
@@ -125,7 +123,7 @@
 });
 
 describe('updateJobs', () => {
-  test('takes a job once, and says so each time', () => {
+  test('accepts a job once and reports repeated submissions', () => {
     const {answers, state} = run(EMPTY, submit('a', 2), submit('a', 2));
     expect(answers).toEqual([
       {kind: 'accepted', repeated: false},
@@ -134,7 +132,7 @@
     expect(state.waitingTokens.get('r')).toBe(20);
   });
 
-  test('leaves no trace of a job that does not fit', () => {
+  test('keeps nothing of a job that exceeds the quota', () => {
     const {answers, state} = run(EMPTY, submit('a', 9), submit('b', 2));
     expect(answers[1]).toEqual({kind: 'overQuota', waitingTokens: 90});
     expect(state.jobs.has('b')).toBe(false);
@@ -143,7 +141,7 @@
     });
   });
 
-  test('lists an item once, with its first text, at a place that never changes', () => {
+  test('records an item once, with its first text, at a fixed position', () => {
     const {state} = run(
       EMPTY,
       submit('a', 2),
@@ -159,14 +157,14 @@
     expect(state.open.size).toBe(0);
   });
 
-  test('lists nothing more of a job that was ended, and frees its tokens', () => {
+  test('records no results of a cancelled job and releases its tokens', () => {
     const {state} = run(EMPTY, submit('a', 2), {job: 'a', kind: 'endJob'}, end('a', 0, 'x'));
     expect(findResults(state, {job: 'a'}, 0, 1e6)?.results).toEqual([]);
     expect(state.waitingTokens.get('r')).toBeUndefined();
     expect(findBody(state, {job: 'a'}, 'a-0')).toBeUndefined();
   });
 
-  test('keeps what runs have brought, each part once and in order', () => {
+  test('stores the parts of an output once and in order', () => {
     const part = (after: number, events: number, text: string): JobsChange => ({
       kind: 'saveProgress',
       parts: [
@@ -197,42 +195,47 @@
     expect(ended.state.jobs.get('a')!.items[0]!.progress).toBeNull();
   });
 
-  test('an output is what was recorded and what its end adds, whatever the end knew of the records', () => {
+  test('joins recorded progress and the end of an item without gaps or repeats, whatever progress the end assumed', () => {
     const events = fc.array(fc.stringMatching(/^[a-z\n]{0,3}$/), {maxLength: 12});
-    const property = fc.property(events, fc.array(fc.nat(12)), fc.nat(12), (all, cuts, told) => {
-      const blobs = new Map<number, Uint8Array>();
-      const apply = (state: JobsState, change: JobsChange): JobsState => {
-        const step = updateJobs(state, {change}, 1);
-        step.blobs.forEach(({payload, ref}) => blobs.set(ref.offset, payload));
-        return step.state;
-      };
-      const places = [...new Set(cuts.map((cut) => Math.min(cut, all.length)))].sort(
-        (a, b) => a - b,
-      );
-      let [state, after] = [apply(EMPTY, submit('a', 1)), 0];
-      for (const place of places.filter((cut) => cut > 0)) {
-        const text = Buffer.from(all.slice(after, place).join('\n'));
-        const part = {after, events: place - after, item: 0, job: 'a', lastEvent: '', text};
-        state = apply(state, {kind: 'saveProgress', parts: [part]});
-        after = place;
-      }
-      const known = Math.min(told, after);
-      const last = {after: known, data: all.slice(known), item: 0, job: 'a'};
-      state = apply(state, {ends: [{...last, outcome: 'completed'}], kind: 'endItems'});
-      const [result] = findResults(state, {job: 'a'}, 0, 1e6)!.results;
-      const output = joinOutput(result!.texts.map(({offset}) => blobs.get(offset)!));
-      expect(Buffer.from(output).toString()).toBe(all.join('\n'));
-    });
+    const property = fc.property(
+      events,
+      fc.array(fc.nat(12)),
+      fc.nat(12),
+      (all, positions, assumed) => {
+        const blobs = new Map<number, Uint8Array>();
+        const apply = (state: JobsState, change: JobsChange): JobsState => {
+          const step = updateJobs(state, {change}, 1);
+          step.blobs.forEach(({payload, ref}) => blobs.set(ref.offset, payload));
+          return step.state;
+        };
+        const splits = [
+          ...new Set(positions.map((position) => Math.min(position, all.length))),
+        ].sort((a, b) => a - b);
+        let [state, after] = [apply(EMPTY, submit('a', 1)), 0];
+        for (const split of splits.filter((position) => position > 0)) {
+          const text = Buffer.from(all.slice(after, split).join('\n'));
+          const part = {after, events: split - after, item: 0, job: 'a', lastEvent: '', text};
+          state = apply(state, {kind: 'saveProgress', parts: [part]});
+          after = split;
+        }
+        const known = Math.min(assumed, after);
+        const last = {after: known, data: all.slice(known), item: 0, job: 'a'};
+        state = apply(state, {ends: [{...last, outcome: 'completed'}], kind: 'endItems'});
+        const [result] = findResults(state, {job: 'a'}, 0, 1e6)!.results;
+        const output = joinOutput(result!.texts.map(({offset}) => blobs.get(offset)!));
+        expect(Buffer.from(output).toString()).toBe(all.join('\n'));
+      },
+    );
     fc.assert(property, {numRuns: 500});
   });
 
-  test('takes no end that continues what was never recorded', () => {
+  test('ignores an end that follows unrecorded events', () => {
     const last = {after: 3, data: ['x'], item: 0, job: 'a', outcome: 'completed'} as const;
     const {state} = run(EMPTY, submit('a', 1), {ends: [last], kind: 'endItems'});
     expect(findResults(state, {job: 'a'}, 0, 1e6)!.results).toEqual([]);
   });
 
-  test('agrees with a naive model in any history of repeated commands', async () => {
+  test('matches a naive model for any history of repeated commands', async () => {
     const job = fc.constantFrom('a', 'b', 'c');
     const change = fc.oneof(
       fc.tuple(job, fc.integer({max: 5, min: 1})).map(([id, items]) => submit(id, items)),
@@ -285,7 +288,7 @@
     await assertHistories('histories of jobs', property, 300);
   });
 
-  test('replicas place bulk data alike', () => {
+  test('stores bulk data at the same offsets on all replicas', () => {
     const changes = [submit('a', 2), end('a', 0, 'text')];
     const command = (change: JobsChange) => encodeValue({change});
     const replicas = [EMPTY, EMPTY].map((state) =>
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsOnlineCounts.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsOnlineCounts.test.ts
@@ -1,6 +1,4 @@
-/**
- * Counts of online requests: any order of words ends with each sender's last one.
- */
+/** Counts of online requests: only the latest report of each sender counts, in any order of arrival. */
 import type {Clock} from 'stallpaddle';
 
 import fc from 'fast-check';
@@ -10,13 +8,13 @@
 import {ONLINE_COUNTS_TTL_MS} from '../../JobsConstants';
 import {JobsOnlineCounts} from '../../JobsOnlineCounts';
 
-interface Word {
+interface CountsReport {
   readonly own: Readonly<Record<string, number>>;
   readonly sender: string;
   readonly sequence: number;
 }
 
-const WORDS = fc.array(
+const REPORTS = fc.array(
   fc.record({
     own: fc.dictionary(fc.constantFrom('e0', 'e1', 'e2'), fc.integer({max: 9, min: 1})),
     sender: fc.constantFrom('a', 'b', 'c'),
@@ -24,12 +22,12 @@
   }),
 );
 
-/** What the words come to, worked out the plain way. */
-function sumOf(words: readonly Word[], except: string): Record<string, number> {
-  const last = new Map<string, Word>();
-  for (const word of words) {
-    if (word.sequence > (last.get(word.sender)?.sequence ?? -1)) {
-      last.set(word.sender, word);
+/** Computes the totals from scratch. */
+function sumOf(reports: readonly CountsReport[], except: string): Record<string, number> {
+  const last = new Map<string, CountsReport>();
+  for (const report of reports) {
+    if (report.sequence > (last.get(report.sender)?.sequence ?? -1)) {
+      last.set(report.sender, report);
     }
   }
   const sum: Record<string, number> = {};
@@ -42,39 +40,39 @@
 }
 
 describe('JobsOnlineCounts', () => {
-  test('counts the last word of every sender but one', () => {
+  test('sums the latest report of every sender except one', () => {
     fc.assert(
-      fc.property(WORDS, fc.constantFrom('a', 'b', 'nobody'), (words, except) => {
+      fc.property(REPORTS, fc.constantFrom('a', 'b', 'nobody'), (reports, except) => {
         const online = new JobsOnlineCounts(systemClock);
-        words.forEach(({own, sender, sequence}) => online.update(sender, sequence, own));
-        expect(online.totals(except)).toEqual(sumOf(words, except));
+        reports.forEach(({own, sender, sequence}) => online.update(sender, sequence, own));
+        expect(online.totals(except)).toEqual(sumOf(reports, except));
       }),
     );
   });
 
-  test('has another version exactly when a sender’s counts change', () => {
+  test('changes its version exactly when the counts of a sender change', () => {
     const online = new JobsOnlineCounts(systemClock);
-    const words: Word['own'][] = [{e0: 1}, {e0: 1}, {e0: 2}, {e0: 2, e1: 1}, {e0: 2}];
-    const versions = words.map((own, at) => {
+    const reports: CountsReport['own'][] = [{e0: 1}, {e0: 1}, {e0: 2}, {e0: 2, e1: 1}, {e0: 2}];
+    const versions = reports.map((own, at) => {
       online.update('a', at, own);
       return online.version;
     });
     expect(versions).toEqual([1, 1, 2, 3, 4]);
   });
 
-  test('counts unknown requests apart, the latest in place of any before', () => {
+  test('counts unreported requests separately and replaces earlier counts of them', () => {
     const online = new JobsOnlineCounts(systemClock);
     online.update('a', 7, {e0: 1});
     online.setUnreported({e0: 5, e1: 2});
     online.setUnreported({e0: 3});
     expect([online.reported(), online.totals()]).toEqual([{e0: 1}, {e0: 4}]);
-    // A survey that ends leaves nothing, and the next one begins anew.
+    // A survey that ends clears its counts, and the next one starts from zero.
     online.setUnreported({});
     online.setUnreported({e1: 1});
     expect(online.totals()).toEqual({e0: 1, e1: 1});
   });
 
-  test('forgets a sender that has fallen silent', () => {
+  test('removes the counts of a sender that no longer reports', () => {
     let now = 0;
     const clock: Clock = {...systemClock, monotonicMs: () => now};
     const online = new JobsOnlineCounts(clock);
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsProgress.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsProgress.test.ts
@@ -1,6 +1,4 @@
-/**
- * What many runs have brought, recorded in pieces.
- */
+/** Saving the output of many runs in batches. */
 import {delay} from 'stallpaddle';
 import {describe, expect, test} from 'vitest';
 
@@ -28,49 +26,49 @@
 }
 
 interface Recorder {
-  readonly pieces: (readonly ProgressPart[])[];
+  readonly batches: (readonly ProgressPart[])[];
   readonly progress: JobsProgress;
-  /** Most records that were under way at once. */
+  /** Maximum number of concurrent proposals. */
   readonly seen: {most: number};
 }
 
 function startRecorder(failAt = Infinity): Recorder {
-  const pieces: (readonly ProgressPart[])[] = [];
+  const batches: (readonly ProgressPart[])[] = [];
   const seen = {most: 0};
-  let underWay = 0;
+  let concurrent = 0;
   const progress = new JobsProgress({
     decide: () => {},
     propose: async (change: JobsChange) => {
-      seen.most = Math.max(seen.most, ++underWay);
+      seen.most = Math.max(seen.most, ++concurrent);
       await delay(1);
-      underWay--;
-      if (pieces.length === failAt) {
+      concurrent--;
+      if (batches.length === failAt) {
         throw new Error('the outcome is unknown');
       }
-      pieces.push(change.kind === 'saveProgress' ? change.parts : []);
+      batches.push(change.kind === 'saveProgress' ? change.parts : []);
     },
   });
-  return {pieces, progress, seen};
+  return {batches, progress, seen};
 }
 
-function bytesOf(piece: readonly ProgressPart[]): number {
-  return piece.reduce((sum, {text}) => sum + text.length, 0);
+function bytesOf(batch: readonly ProgressPart[]): number {
+  return batch.reduce((sum, {text}) => sum + text.length, 0);
 }
 
 describe('JobsProgress', () => {
-  test('records all in pieces of bounded size, one after the other', async () => {
-    const {pieces, progress, seen} = startRecorder();
+  test('saves all output in batches of bounded size, one after the other', async () => {
+    const {batches, progress, seen} = startRecorder();
     const tasks = Array.from({length: 40}, (_, at) => taskOf(at));
     await Promise.all([progress.save(tasks, () => true), progress.save(tasks, () => true)]);
     const largest = EVENTS * (EVENT.length + 1);
-    pieces.forEach((piece) => expect(bytesOf(piece)).toBeLessThan(TARGET_COMMAND_BYTES + largest));
-    expect(pieces.flat().map(({item}) => item)).toEqual(tasks.map(({index}) => index));
+    batches.forEach((batch) => expect(bytesOf(batch)).toBeLessThan(TARGET_COMMAND_BYTES + largest));
+    expect(batches.flat().map(({item}) => item)).toEqual(tasks.map(({index}) => index));
     expect(tasks.every(({savedEvents}) => savedEvents === EVENTS)).toBe(true);
     expect(seen.most).toBe(1);
   });
 
-  test('records nothing twice, and events that come meanwhile the next time', async () => {
-    const {pieces, progress} = startRecorder();
+  test('saves nothing twice, and events that arrive during a save with the next one', async () => {
+    const {batches, progress} = startRecorder();
     const tasks = Array.from({length: 8}, (_, at) => taskOf(at));
     const first = progress.save(tasks, () => true);
     tasks.forEach((task) => {
@@ -81,20 +79,20 @@
     await progress.save(tasks, () => true);
     await progress.save(tasks, () => true);
     const events = new Map<number, number>();
-    for (const {after, events: count, item} of pieces.flat()) {
+    for (const {after, events: count, item} of batches.flat()) {
       expect(after).toBe(events.get(item) ?? 0);
       events.set(item, after + count);
     }
     expect([...events.values()]).toEqual(tasks.map(() => EVENTS + 1));
   });
 
-  test('stops at a record that fails, and when it may not go on', async () => {
+  test('stops after a failed batch, and when it may not continue', async () => {
     const failing = startRecorder(2);
     const tasks = Array.from({length: 40}, (_, at) => taskOf(at));
     await failing.progress.save(tasks, () => true);
-    expect(failing.pieces).toHaveLength(2);
-    const {pieces, progress} = startRecorder();
-    await progress.save(tasks, () => pieces.length < 1);
-    expect(pieces).toHaveLength(1);
+    expect(failing.batches).toHaveLength(2);
+    const {batches, progress} = startRecorder();
+    await progress.save(tasks, () => batches.length < 1);
+    expect(batches).toHaveLength(1);
   });
 });
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsTrial.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsTrial.test.ts
@@ -1,18 +1,16 @@
+/** Timing of trial runs of quarantined items. */
 import {FIRST_HOLD_MS, HELD_LEVEL} from 'stallpaddle-fleet';
 import {describe, expect, test} from 'vitest';
 
-/**
- * When an item that may have ended engines runs once more.
- */
 import {nextTrial, trialDelayMs} from '../../JobsTrial';
 
 describe('nextTrial', () => {
-  test('waits longer after each end, and never longer than a request is held', () => {
+  test('increases the delay with each engine that ends, up to the quarantine of a request', () => {
     const pauses = [0, 1, 2, 3, 9].map((more) => trialDelayMs(HELD_LEVEL + more));
     expect(pauses).toEqual([3_000, 15_000, 75_000, 375_000, FIRST_HOLD_MS]);
   });
 
-  test('stays due while no other engine ends, and begins to wait anew with the next end', () => {
+  test('keeps the planned time while no other engine ends, and restarts the delay with the next one', () => {
     const first = nextTrial(undefined, 2, 100);
     expect(first).toEqual({at: 3_100, level: 2});
     expect(nextTrial(first, 2, 9_000)).toBe(first);
