--- a/packages/stallpaddle-jobs/src/index.ts
+++ b/packages/stallpaddle-jobs/src/index.ts
@@ -1,18 +1,18 @@
-/** Batch jobs of opaque requests: replicated state, and the dispatcher that runs their items. */
-export {RESULT_BYTES} from './JobsConstants';
+/** Batch jobs: their replicated state and the dispatcher that runs their items on engines. */
+export {MAX_RESULT_BYTES} from './JobsConstants';
 export type {ItemDecision, JobsDispatcherOptions} from './JobsContext';
 export {JobsDispatcher} from './JobsDispatcher';
 export {jobsMachine} from './JobsMachine';
 export {findJob, jobIdOf} from './JobsNames';
-export {JobsOnline} from './JobsOnline';
+export {JobsOnlineCounts} from './JobsOnlineCounts';
 export {
   type BodyAnswer,
   findBody,
   findResults,
   type JobsRequest,
   joinOutput,
-  type OnlineAnswer,
-  type OnlineVersion,
+  type OnlineCountsAnswer,
+  type OnlineCountsVersion,
   type ReadResult,
   type ResultRef,
   type ResultsAnswer,
--- a/packages/stallpaddle-node/src/NodeOnlineDesk.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineDesk.ts
@@ -4,7 +4,7 @@
  * request that it begins, and one that serves nobody costs one word a second.
  */
 import type {EngineId} from 'stallpaddle';
-import type {JobsDispatcher, JobsRequest, OnlineAnswer} from 'stallpaddle-jobs';
+import type {JobsDispatcher, JobsRequest, OnlineCountsAnswer} from 'stallpaddle-jobs';
 
 import {drawId} from 'stallpaddle';
 
@@ -28,15 +28,15 @@
    * @param request its words
    * @param dispatcher runs the items
    */
-  tell({known, own, sender, sequence}: Tell, dispatcher: JobsDispatcher): OnlineAnswer {
-    dispatcher.learnOnline(sender, sequence, own);
+  tell({known, own, sender, sequence}: Tell, dispatcher: JobsDispatcher): OnlineCountsAnswer {
+    dispatcher.updateOnlineCounts(sender, sequence, own);
     const {online} = dispatcher;
     const since = known?.epoch === this.epoch ? known.changes : null;
     const totals = online.totals(sender);
     return {
       isAll: since === null,
       others: since === null ? totals : countsOf(online.changedSince(since), totals),
-      suspects: dispatcher.silentEngines(),
+      suspects: dispatcher.stalledEngines(),
       version: {changes: online.version, epoch: this.epoch},
     };
   }
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
@@ -1,10 +1,10 @@
 /**
  * Each word of an entry VM is answered with what the others have begun and ended since its last one.
  */
-import type {JobsDispatcher, OnlineAnswer, OnlineVersion} from 'stallpaddle-jobs';
+import type {JobsDispatcher, OnlineCountsAnswer, OnlineCountsVersion} from 'stallpaddle-jobs';
 
 import {seededRandom, systemClock} from 'stallpaddle';
-import {JobsOnline} from 'stallpaddle-jobs';
+import {JobsOnlineCounts} from 'stallpaddle-jobs';
 import {RelayOnlineLoad} from 'stallpaddle-relay';
 import {describe, expect, test} from 'vitest';
 
@@ -13,13 +13,17 @@
 type Counts = Readonly<Record<string, number>>;
 
 function deskOf() {
-  const online = new JobsOnline(systemClock);
-  const learnOnline = (sender: string, sequence: number, own: Counts) =>
-    void online.learn(sender, sequence, own);
-  const dispatcher = {learnOnline, online, silentEngines: () => ['quiet']} as never;
+  const online = new JobsOnlineCounts(systemClock);
+  const updateOnlineCounts = (sender: string, sequence: number, own: Counts) =>
+    void online.update(sender, sequence, own);
+  const dispatcher = {online, stalledEngines: () => ['quiet'], updateOnlineCounts} as never;
   const desk = new NodeOnlineDesk();
   const sequences = new Map<string, number>();
-  const tell = (sender: string, own: Counts, known: null | OnlineVersion = null): OnlineAnswer => {
+  const tell = (
+    sender: string,
+    own: Counts,
+    known: null | OnlineCountsVersion = null,
+  ): OnlineCountsAnswer => {
     const sequence = (sequences.get(sender) ?? 0) + 1;
     sequences.set(sender, sequence);
     const request = {kind: 'tellOnline', known, own, sender, sequence} as const;
@@ -65,11 +69,11 @@
       const own = [0, 1, 2].map((at) => [`e${at}`, Math.floor(random() * 4)] as const);
       return Object.fromEntries(own.filter(([, held]) => held > 0));
     };
-    let known: null | OnlineVersion = null;
+    let known: null | OnlineCountsVersion = null;
     for (let count = 1; count <= 400; count++) {
       tell(`s${count % 3}`, draw());
       if (random() < 0.5) {
-        const answer: OnlineAnswer = tell('b', draw(), known);
+        const answer: OnlineCountsAnswer = tell('b', draw(), known);
         // An answer that is lost leaves the VM with what it knew.
         if (random() < 0.7) {
           known = answer.version;
