--- a/packages/stallpaddle-replication/src/ReplicaDriver.ts
+++ b/packages/stallpaddle-replication/src/ReplicaDriver.ts
@@ -33,7 +33,7 @@
 import {leadershipOf} from './ReplicationLease';
 import {isCaughtUp, knownLeader, startReplica, stepReplica, uncountedMs} from './ReplicationStep';
 import {isVoter, ReplicaTurns, turnPeriodMs, untilElectionMs} from './ReplicaTurns';
-import {ReplicaWatch} from './ReplicaWatch';
+import {ReplicaMonitor} from './ReplicaMonitor';
 import {ReplicaWriter} from './ReplicaWriter';
 
 /** An append that only tells that its leader lives. */
@@ -53,7 +53,7 @@
   private stopped = false;
   private commitTimer: NodeJS.Timeout | undefined;
   private readonly turns = new ReplicaTurns(() => this.tick());
-  private readonly watch: ReplicaWatch;
+  private readonly watch: ReplicaMonitor;
   private readonly writer: ReplicaWriter;
 
   private constructor(
@@ -67,7 +67,7 @@
   ) {
     this.blobs = new ReplicaBlobs(blobs, (err) => this.fail(err));
     this.damage = new ReplicaDamage(options.clock, options.logger, options.group);
-    this.watch = new ReplicaWatch(options.clock, options.logger, options.timing);
+    this.watch = new ReplicaMonitor(options.clock, options.logger, options.timing);
     this.writer = new ReplicaWriter({
       onFailure: (err) => this.fail(err),
       onPersisted: (index, term) => this.dispatch({index, kind: 'persisted', term}),
--- a/packages/stallpaddle-replication/src/ReplicaWatch.ts
+++ b/packages/stallpaddle-replication/src/ReplicaMonitor.ts
@@ -21,7 +21,7 @@
 type EndOfLeadership = 'handedOver' | 'laterTerm' | 'nothingRecorded' | 'quorumSilent';
 
 /** See the module's comment. */
-export class ReplicaWatch {
+export class ReplicaMonitor {
   private dueAt: MonotonicMs;
   private latestLate: {readonly at: MonotonicMs; readonly ms: number} = {at: -Infinity, ms: 0};
   private missingToldAt: MonotonicMs = -Infinity;
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaWatch.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
@@ -10,7 +10,7 @@
 import {EMPTY_SNAPSHOT, ReplicationLog} from '../../ReplicationLog';
 import {startReplica, stepReplica} from '../../ReplicationStep';
 import {isVoter, ReplicaTurns, turnPeriodMs, untilElectionMs} from '../../ReplicaTurns';
-import {ReplicaWatch} from '../../ReplicaWatch';
+import {ReplicaMonitor} from '../../ReplicaMonitor';
 
 const TIMING = {electionTimeoutMs: 500, heartbeatMs: 125, leaseDriftFraction: 0.2};
 const SELF = 'a/1';
@@ -21,7 +21,7 @@
   readonly lines: (LogFields & {readonly message: string})[] = [];
   now = 0;
   state: ReplicationState;
-  readonly watch: ReplicaWatch;
+  readonly watch: ReplicaMonitor;
 
   constructor() {
     const write = (message: string, fields: LogFields = {}): void => {
@@ -33,7 +33,7 @@
     const log = ReplicationLog.restore({...EMPTY_SNAPSHOT, members}, []);
     const hardState = {term: 0, votedFor: null};
     this.state = startReplica({group: 'g', hardState, log, self: SELF, timing: TIMING}, 0);
-    this.watch = new ReplicaWatch(clock, logger, TIMING);
+    this.watch = new ReplicaMonitor(clock, logger, TIMING);
   }
 
   step(event: Parameters<typeof stepReplica>[1]): void {
