--- a/packages/stallpaddle-replication/src/ReplicaDriver.ts
+++ b/packages/stallpaddle-replication/src/ReplicaDriver.ts
@@ -32,7 +32,7 @@
 import {ReplicaStorage as Storage} from './ReplicaStorage';
 import {leadershipOf} from './ReplicationLease';
 import {isCaughtUp, knownLeader, startReplica, stepReplica, uncountedMs} from './ReplicationStep';
-import {isVoter, ReplicaTurns, turnPeriodMs, untilElectionMs} from './ReplicaTurns';
+import {isVoter, ReplicaTicker, turnPeriodMs, untilElectionMs} from './ReplicaTicker';
 import {ReplicaMonitor} from './ReplicaMonitor';
 import {ReplicaWriter} from './ReplicaWriter';
 
@@ -52,7 +52,7 @@
   private readonly snapshots: ReplicaSnapshots<State>;
   private stopped = false;
   private commitTimer: NodeJS.Timeout | undefined;
-  private readonly turns = new ReplicaTurns(() => this.tick());
+  private readonly turns = new ReplicaTicker(() => this.tick());
   private readonly watch: ReplicaMonitor;
   private readonly writer: ReplicaWriter;
 
--- a/packages/stallpaddle-replication/src/ReplicaMonitor.ts
+++ b/packages/stallpaddle-replication/src/ReplicaMonitor.ts
@@ -9,7 +9,7 @@
 
 import {STUCK_TIMEOUTS} from './ReplicationConstants';
 import {leadershipOf, quorumHeardAt} from './ReplicationLease';
-import {isVoter, turnPeriodMs} from './ReplicaTurns';
+import {isVoter, turnPeriodMs} from './ReplicaTicker';
 
 /** Time for which the latest late turn is told, in milliseconds: some election timeouts, so a change of leaders shows it. */
 const TOLD_MS = 2_000;
--- a/packages/stallpaddle-replication/src/ReplicaTurns.ts
+++ b/packages/stallpaddle-replication/src/ReplicaTicker.ts
@@ -49,7 +49,7 @@
 }
 
 /** See the module's comment. */
-export class ReplicaTurns {
+export class ReplicaTicker {
   /** When the single look is due, by the steady clock; undefined while there is none. */
   private dueAt: MonotonicMs | undefined;
   private periodMs = 0;
--- a/packages/stallpaddle-replication/src/ReplicationSilence.ts
+++ b/packages/stallpaddle-replication/src/ReplicationSilence.ts
@@ -5,7 +5,7 @@
 
 import type {ReplicationTiming, Role} from './ReplicationTypes';
 
-import {turnPeriodMs} from './ReplicaTurns';
+import {turnPeriodMs} from './ReplicaTicker';
 
 type LeaderRole = Extract<Role, {kind: 'leader'}>;
 
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
@@ -9,7 +9,7 @@
 
 import {EMPTY_SNAPSHOT, ReplicationLog} from '../../ReplicationLog';
 import {startReplica, stepReplica} from '../../ReplicationStep';
-import {isVoter, ReplicaTurns, turnPeriodMs, untilElectionMs} from '../../ReplicaTurns';
+import {isVoter, ReplicaTicker, turnPeriodMs, untilElectionMs} from '../../ReplicaTicker';
 import {ReplicaMonitor} from '../../ReplicaMonitor';
 
 const TIMING = {electionTimeoutMs: 500, heartbeatMs: 125, leaseDriftFraction: 0.2};
@@ -136,7 +136,7 @@
 
   test('looks as often as was set last', async () => {
     let looks = 0;
-    const turns = new ReplicaTurns(() => looks++);
+    const turns = new ReplicaTicker(() => looks++);
     expect([turns.follow(5), turns.follow(5), turns.follow(1_000)]).toEqual([true, false, true]);
     await new Promise((resolve) => setTimeout(resolve, 60));
     expect(looks).toBe(0);
@@ -166,7 +166,7 @@
   test('a single look comes when it is due, no later for what was put off, earlier when it must', async () => {
     const startedAt = performance.now();
     const looks: number[] = [];
-    const turns = new ReplicaTurns(() => looks.push(performance.now() - startedAt));
+    const turns = new ReplicaTicker(() => looks.push(performance.now() - startedAt));
     expect(turns.followOnce(300, 0)).toBe(true);
     expect(turns.followOnce(400, 50)).toBe(false);
     expect(turns.followOnce(40, 100)).toBe(true);
