--- a/packages/stallpaddle-replication/src/ReplicaMonitor.ts
+++ b/packages/stallpaddle-replication/src/ReplicaMonitor.ts
@@ -9,7 +9,7 @@
 
 import {STUCK_TIMEOUTS} from './ReplicationConstants';
 import {leadershipOf, quorumHeardAt} from './ReplicationLease';
-import {isVoter, turnPeriodMs} from './ReplicaTicker';
+import {isVoter, tickPeriodMs} from './ReplicaTicker';
 
 /** Time for which the latest late turn is told, in milliseconds: some election timeouts, so a change of leaders shows it. */
 const TOLD_MS = 2_000;
@@ -38,7 +38,7 @@
     private readonly logger: Logger,
     private readonly timing: ReplicationTiming,
   ) {
-    this.dueAt = clock.monotonicMs() + turnPeriodMs(timing);
+    this.dueAt = clock.monotonicMs() + tickPeriodMs(timing);
   }
 
   /**
@@ -89,7 +89,7 @@
     const {group, role} = state;
     const now = this.clock.monotonicMs();
     const lateMs = Math.max(0, now - this.dueAt);
-    this.dueAt = now + turnPeriodMs(this.timing, isVoter(state));
+    this.dueAt = now + tickPeriodMs(this.timing, isVoter(state));
     if (lateMs >= this.turnLateMs) {
       this.latestLate = {at: now, ms: lateMs};
     }
--- a/packages/stallpaddle-replication/src/ReplicaTicker.ts
+++ b/packages/stallpaddle-replication/src/ReplicaTicker.ts
@@ -17,7 +17,7 @@
  * @param timing times of the group
  * @param isVoter whether the replica has a vote
  */
-export function turnPeriodMs(
+export function tickPeriodMs(
   {electionTimeoutMs, heartbeatMs}: ReplicationTiming,
   isVoter = true,
 ): number {
--- a/packages/stallpaddle-replication/src/ReplicationSilence.ts
+++ b/packages/stallpaddle-replication/src/ReplicationSilence.ts
@@ -5,7 +5,7 @@
 
 import type {ReplicationTiming, Role} from './ReplicationTypes';
 
-import {turnPeriodMs} from './ReplicaTicker';
+import {tickPeriodMs} from './ReplicaTicker';
 
 type LeaderRole = Extract<Role, {kind: 'leader'}>;
 
@@ -23,7 +23,7 @@
   now: MonotonicMs,
   timing: ReplicationTiming,
 ): LeaderRole {
-  const periodMs = turnPeriodMs(timing);
+  const periodMs = tickPeriodMs(timing);
   const lateMs = now - role.lookedAt - periodMs;
   const known = role.lateLooks.filter(({at}) => at > quorumAt);
   const lateLooks = lateMs > periodMs ? [...known, {at: now, lateMs}] : known;
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
@@ -9,7 +9,7 @@
 
 import {EMPTY_SNAPSHOT, ReplicationLog} from '../../ReplicationLog';
 import {startReplica, stepReplica} from '../../ReplicationStep';
-import {isVoter, ReplicaTicker, turnPeriodMs, untilElectionMs} from '../../ReplicaTicker';
+import {isVoter, ReplicaTicker, tickPeriodMs, untilElectionMs} from '../../ReplicaTicker';
 import {ReplicaMonitor} from '../../ReplicaMonitor';
 
 const TIMING = {electionTimeoutMs: 500, heartbeatMs: 125, leaseDriftFraction: 0.2};
@@ -42,7 +42,7 @@
     this.watch.noteRole(before, this.state);
   }
 
-  turn(afterMs = turnPeriodMs(TIMING)): void {
+  turn(afterMs = tickPeriodMs(TIMING)): void {
     this.now += afterMs;
     this.watch.noteTurn(this.state);
     this.step({kind: 'tick'});
@@ -130,8 +130,8 @@
       return startReplica({group: 'g', hardState, log, self: SELF, timing: TIMING}, 0);
     };
     expect([isVoter(stateOf([SELF, OTHER])), isVoter(stateOf([OTHER]))]).toEqual([true, false]);
-    expect(turnPeriodMs(TIMING, true)).toBeLessThan(TIMING.heartbeatMs / 2);
-    expect(turnPeriodMs(TIMING, false)).toBe(TIMING.electionTimeoutMs);
+    expect(tickPeriodMs(TIMING, true)).toBeLessThan(TIMING.heartbeatMs / 2);
+    expect(tickPeriodMs(TIMING, false)).toBe(TIMING.electionTimeoutMs);
   });
 
   test('looks as often as was set last', async () => {
