--- a/packages/stallpaddle-replication/src/ReplicaDriver.ts
+++ b/packages/stallpaddle-replication/src/ReplicaDriver.ts
@@ -32,7 +32,7 @@
 import {ReplicaStorage as Storage} from './ReplicaStorage';
 import {leadershipOf} from './ReplicationLease';
 import {isCaughtUp, knownLeader, startReplica, stepReplica, uncountedMs} from './ReplicationStep';
-import {isVoter, ReplicaTicker, tickPeriodMs, untilElectionMs} from './ReplicaTicker';
+import {isVoter, ReplicaTicker, tickPeriodMs, msUntilElection} from './ReplicaTicker';
 import {ReplicaMonitor} from './ReplicaMonitor';
 import {ReplicaWriter} from './ReplicaWriter';
 
@@ -346,7 +346,7 @@
       return;
     }
     const now = this.options.clock.monotonicMs();
-    const electionMs = untilElectionMs(this.replication, now);
+    const electionMs = msUntilElection(this.replication, now);
     const waitMs = electionMs ?? tickPeriodMs(this.options.timing, isVoter(this.replication));
     const isNew =
       electionMs === undefined ? this.turns.follow(waitMs) : this.turns.followOnce(waitMs, now);
--- a/packages/stallpaddle-replication/src/ReplicaTicker.ts
+++ b/packages/stallpaddle-replication/src/ReplicaTicker.ts
@@ -40,7 +40,7 @@
  * @param state its state
  * @param now the steady clock, in milliseconds
  */
-export function untilElectionMs(state: ReplicationState, now: MonotonicMs): number | undefined {
+export function msUntilElection(state: ReplicationState, now: MonotonicMs): number | undefined {
   const {electionAt, role} = state;
   if (role.kind === 'leader' || !isVoter(state)) {
     return undefined;
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
@@ -9,7 +9,7 @@
 
 import {EMPTY_SNAPSHOT, ReplicationLog} from '../../ReplicationLog';
 import {startReplica, stepReplica} from '../../ReplicationStep';
-import {isVoter, ReplicaTicker, tickPeriodMs, untilElectionMs} from '../../ReplicaTicker';
+import {isVoter, ReplicaTicker, tickPeriodMs, msUntilElection} from '../../ReplicaTicker';
 import {ReplicaMonitor} from '../../ReplicaMonitor';
 
 const TIMING = {electionTimeoutMs: 500, heartbeatMs: 125, leaseDriftFraction: 0.2};
@@ -149,7 +149,7 @@
   test('whoever may stand looks when it is time to, and stands at that look', () => {
     const watched = new Watched();
     for (let looks = 0; looks < 20; looks++) {
-      const waitMs = untilElectionMs(watched.state, watched.now)!;
+      const waitMs = msUntilElection(watched.state, watched.now)!;
       watched.now += waitMs - 1;
       const {electionCount} = watched.state;
       watched.step({kind: 'tick'});
@@ -160,7 +160,7 @@
       expect(watched.state.electionCount).toBeGreaterThan(electionCount);
     }
     watched.lead();
-    expect(untilElectionMs(watched.state, watched.now)).toBeUndefined();
+    expect(msUntilElection(watched.state, watched.now)).toBeUndefined();
   });
 
   test('a single look comes when it is due, no later for what was put off, earlier when it must', async () => {
