--- a/packages/stallpaddle-replication/src/ReplicaDamage.ts
+++ b/packages/stallpaddle-replication/src/ReplicaCorruption.ts
@@ -12,7 +12,7 @@
 const MOST_TOLD = 1_000;
 
 /** See the module's comment. */
-export class ReplicaDamage {
+export class ReplicaCorruption {
   private madeWayAt: MonotonicMs = -Infinity;
   private readonly toldAt = new Map<number, MonotonicMs>();
 
--- a/packages/stallpaddle-replication/src/ReplicaDriver.ts
+++ b/packages/stallpaddle-replication/src/ReplicaDriver.ts
@@ -25,7 +25,7 @@
 
 import {ReplicaBlobs} from './ReplicaBlobs';
 import {COMMIT_RECORD_MS} from './ReplicaConstants';
-import {ReplicaDamage} from './ReplicaDamage';
+import {ReplicaCorruption} from './ReplicaCorruption';
 import {NotLeaderError, ReplicaStoppedError} from './ReplicaErrors';
 import {ReplicaRequests} from './ReplicaRequests';
 import {ReplicaSnapshots} from './ReplicaSnapshots';
@@ -46,7 +46,7 @@
 export class ReplicaDriver<State> {
   private readonly blobs: ReplicaBlobs;
   private commits = 0;
-  private readonly damage: ReplicaDamage;
+  private readonly damage: ReplicaCorruption;
   private readonly listeners = new Set<(state: State) => void>();
   private readonly requests = new ReplicaRequests();
   private readonly snapshots: ReplicaSnapshots<State>;
@@ -66,7 +66,7 @@
     readonly replayed: number,
   ) {
     this.blobs = new ReplicaBlobs(blobs, (err) => this.fail(err));
-    this.damage = new ReplicaDamage(options.clock, options.logger, options.group);
+    this.damage = new ReplicaCorruption(options.clock, options.logger, options.group);
     this.watch = new ReplicaMonitor(options.clock, options.logger, options.timing);
     this.writer = new ReplicaWriter({
       onFailure: (err) => this.fail(err),
