--- a/packages/stallpaddle-replication/src/ReplicationLeader.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLeader.ts
@@ -26,7 +26,7 @@
 import {$becomeFollower, $emit, $persist, $send} from './ReplicationDraft';
 import {holdsLease, majorityValue, quorumHeardAt} from './ReplicationLease';
 import {entryBytes} from './ReplicationLog';
-import {afterLook, isQuorumSilent} from './ReplicationSilence';
+import {afterLook, isQuorumLost} from './ReplicationSilence';
 
 type AppendReply = Extract<MessageBody, {kind: 'appendReply'}>;
 type LeaderRole = Extract<Role, {kind: 'leader'}>;
@@ -178,7 +178,7 @@
   const quorumAt = Math.max(quorumHeardAt(draft, now), draft.role.since);
   const role = afterLook(draft.role, quorumAt, now, timing);
   draft.role = role;
-  if (isQuorumSilent(role, quorumAt, now, timing)) {
+  if (isQuorumLost(role, quorumAt, now, timing)) {
     $becomeFollower(draft, null);
     return;
   }
--- a/packages/stallpaddle-replication/src/ReplicationSilence.ts
+++ b/packages/stallpaddle-replication/src/ReplicationSilence.ts
@@ -41,7 +41,7 @@
  * @param now monotonic time
  * @param timing times of the group
  */
-export function isQuorumSilent(
+export function isQuorumLost(
   {lateLooks}: LeaderRole,
   quorumAt: MonotonicMs,
   now: MonotonicMs,
