--- a/packages/stallpaddle-replication/src/ReplicationLeader.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLeader.ts
@@ -26,7 +26,7 @@
 import {$becomeFollower, $emit, $persist, $send} from './ReplicationDraft';
 import {holdsLease, majorityValue, quorumHeardAt} from './ReplicationLease';
 import {entryBytes} from './ReplicationLog';
-import {afterLook, isQuorumLost} from './ReplicationSilence';
+import {recordTick, isQuorumLost} from './ReplicationSilence';
 
 type AppendReply = Extract<MessageBody, {kind: 'appendReply'}>;
 type LeaderRole = Extract<Role, {kind: 'leader'}>;
@@ -176,7 +176,7 @@
     return;
   }
   const quorumAt = Math.max(quorumHeardAt(draft, now), draft.role.since);
-  const role = afterLook(draft.role, quorumAt, now, timing);
+  const role = recordTick(draft.role, quorumAt, now, timing);
   draft.role = role;
   if (isQuorumLost(role, quorumAt, now, timing)) {
     $becomeFollower(draft, null);
--- a/packages/stallpaddle-replication/src/ReplicationSilence.ts
+++ b/packages/stallpaddle-replication/src/ReplicationSilence.ts
@@ -17,7 +17,7 @@
  * @param now monotonic time
  * @param timing times of the group
  */
-export function afterLook(
+export function recordTick(
   role: LeaderRole,
   quorumAt: MonotonicMs,
   now: MonotonicMs,
