--- a/packages/stallpaddle-replication/src/ReplicationTypes.ts
+++ b/packages/stallpaddle-replication/src/ReplicationTypes.ts
@@ -132,7 +132,7 @@
 }
 
 /** A leader's look at its clock that came late: it sent nothing meanwhile, so nobody could answer. */
-export interface LateLook {
+export interface LateTick {
   readonly at: MonotonicMs;
   readonly lateMs: number;
 }
@@ -150,7 +150,7 @@
       readonly countedUntil: MonotonicMs;
       readonly kind: 'leader';
       /** Its late looks since the last send that a majority has answered. */
-      readonly lateLooks: readonly LateLook[];
+      readonly lateLooks: readonly LateTick[];
       /** When it last looked at its clock. */
       readonly lookedAt: MonotonicMs;
       /** When a command was last recorded, or none waited for it. */
