--- a/packages/stallpaddle-replication/src/ReplicationElection.ts
+++ b/packages/stallpaddle-replication/src/ReplicationElection.ts
@@ -58,7 +58,7 @@
   draft.role = {
     countedUntil: since,
     kind: 'leader',
-    lateLooks: [],
+    lateTicks: [],
     lookedAt: since,
     progress,
     recordedAt: since,
--- a/packages/stallpaddle-replication/src/ReplicationSilence.ts
+++ b/packages/stallpaddle-replication/src/ReplicationSilence.ts
@@ -25,9 +25,9 @@
 ): LeaderRole {
   const periodMs = tickPeriodMs(timing);
   const lateMs = now - role.lookedAt - periodMs;
-  const known = role.lateLooks.filter(({at}) => at > quorumAt);
+  const known = role.lateTicks.filter(({at}) => at > quorumAt);
   const lateLooks = lateMs > periodMs ? [...known, {at: now, lateMs}] : known;
-  return {...role, lateLooks, lookedAt: now};
+  return {...role, lateTicks: lateLooks, lookedAt: now};
 }
 
 /**
@@ -42,7 +42,7 @@
  * @param timing times of the group
  */
 export function isQuorumLost(
-  {lateLooks}: LeaderRole,
+  {lateTicks: lateLooks}: LeaderRole,
   quorumAt: MonotonicMs,
   now: MonotonicMs,
   {electionTimeoutMs}: ReplicationTiming,
--- a/packages/stallpaddle-replication/src/ReplicationTypes.ts
+++ b/packages/stallpaddle-replication/src/ReplicationTypes.ts
@@ -150,7 +150,7 @@
       readonly countedUntil: MonotonicMs;
       readonly kind: 'leader';
       /** Its late looks since the last send that a majority has answered. */
-      readonly lateLooks: readonly LateTick[];
+      readonly lateTicks: readonly LateTick[];
       /** When it last looked at its clock. */
       readonly lookedAt: MonotonicMs;
       /** When a command was last recorded, or none waited for it. */
