--- a/packages/stallpaddle-replication/src/ReplicationElection.ts
+++ b/packages/stallpaddle-replication/src/ReplicationElection.ts
@@ -59,7 +59,7 @@
     countedUntil: since,
     kind: 'leader',
     lateTicks: [],
-    lookedAt: since,
+    lastTickAt: since,
     progress,
     recordedAt: since,
     since,
--- a/packages/stallpaddle-replication/src/ReplicationSilence.ts
+++ b/packages/stallpaddle-replication/src/ReplicationSilence.ts
@@ -24,10 +24,10 @@
   timing: ReplicationTiming,
 ): LeaderRole {
   const periodMs = tickPeriodMs(timing);
-  const lateMs = now - role.lookedAt - periodMs;
+  const lateMs = now - role.lastTickAt - periodMs;
   const known = role.lateTicks.filter(({at}) => at > quorumAt);
   const lateLooks = lateMs > periodMs ? [...known, {at: now, lateMs}] : known;
-  return {...role, lateTicks: lateLooks, lookedAt: now};
+  return {...role, lateTicks: lateLooks, lastTickAt: now};
 }
 
 /**
--- a/packages/stallpaddle-replication/src/ReplicationTypes.ts
+++ b/packages/stallpaddle-replication/src/ReplicationTypes.ts
@@ -152,7 +152,7 @@
       /** Its late looks since the last send that a majority has answered. */
       readonly lateTicks: readonly LateTick[];
       /** When it last looked at its clock. */
-      readonly lookedAt: MonotonicMs;
+      readonly lastTickAt: MonotonicMs;
       /** When a command was last recorded, or none waited for it. */
       readonly recordedAt: MonotonicMs;
       readonly progress: ReadonlyMap<ReplicaId, Progress>;
