--- a/packages/stallpaddle-replication/src/ReplicaMonitor.ts
+++ b/packages/stallpaddle-replication/src/ReplicaMonitor.ts
@@ -187,7 +187,7 @@
     if (now - quorumHeardAt(before, now) > electionTimeoutMs) {
       return 'quorumSilent';
     }
-    const waitsSince = before.role.kind === 'leader' ? before.role.recordedAt : now;
+    const waitsSince = before.role.kind === 'leader' ? before.role.commitAdvancedAt : now;
     const isStuck = now - waitsSince > electionTimeoutMs * STUCK_TIMEOUTS;
     return isStuck ? 'nothingRecorded' : 'handedOver';
   }
--- a/packages/stallpaddle-replication/src/ReplicationElection.ts
+++ b/packages/stallpaddle-replication/src/ReplicationElection.ts
@@ -61,7 +61,7 @@
     lateTicks: [],
     lastTickAt: since,
     progress,
-    recordedAt: since,
+    commitAdvancedAt: since,
     since,
     termStart: next,
   };
--- a/packages/stallpaddle-replication/src/ReplicationLeader.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLeader.ts
@@ -183,8 +183,8 @@
     return;
   }
   if (draft.commit >= draft.log.lastIndex) {
-    draft.role = {...role, recordedAt: now};
-  } else if (now - role.recordedAt > timing.electionTimeoutMs * STUCK_TIMEOUTS) {
+    draft.role = {...role, commitAdvancedAt: now};
+  } else if (now - role.commitAdvancedAt > timing.electionTimeoutMs * STUCK_TIMEOUTS) {
     // Commands wait though a majority answers that it lives.
     $becomeFollower(draft, null);
     // Whoever the log reaches may lead; this replica stands again only once the others have had their turns.
@@ -245,7 +245,7 @@
   );
   if (reached > draft.commit && log.termAt(reached) === draft.term) {
     draft.commit = reached;
-    draft.role = {...role, recordedAt: draft.now};
+    draft.role = {...role, commitAdvancedAt: draft.now};
     $applyCommitted(draft);
     $stepDownWhenRemoved(draft);
   }
--- a/packages/stallpaddle-replication/src/ReplicationTypes.ts
+++ b/packages/stallpaddle-replication/src/ReplicationTypes.ts
@@ -154,7 +154,7 @@
       /** When it last looked at its clock. */
       readonly lastTickAt: MonotonicMs;
       /** When a command was last recorded, or none waited for it. */
-      readonly recordedAt: MonotonicMs;
+      readonly commitAdvancedAt: MonotonicMs;
       readonly progress: ReadonlyMap<ReplicaId, Progress>;
       readonly since: MonotonicMs;
       /** Index of this term's first entry; until it is committed nothing may be read. */
