--- a/packages/stallpaddle-replication/src/ReplicaMonitor.ts
+++ b/packages/stallpaddle-replication/src/ReplicaMonitor.ts
@@ -137,7 +137,7 @@
     }
     this.noteMajority(before, after);
     if (before.role.kind === 'follower' && after.role.kind === 'preCandidate') {
-      const silentMs = Math.round(this.clock.monotonicMs() - before.heardLeaderAt);
+      const silentMs = Math.round(this.clock.monotonicMs() - before.leaderContactAt);
       const turnLateMs = Math.round(this.turnLateMs);
       this.logger.info('This replica hears no leader.', {group, silentMs, term, turnLateMs});
     }
--- a/packages/stallpaddle-replication/src/ReplicationElection.ts
+++ b/packages/stallpaddle-replication/src/ReplicationElection.ts
@@ -19,7 +19,7 @@
 
 function hasLiveLeader(draft: ReplicationDraft): boolean {
   const {electionTimeoutMs} = draft.timing;
-  return draft.role.kind === 'leader' || draft.now - draft.heardLeaderAt < electionTimeoutMs;
+  return draft.role.kind === 'leader' || draft.now - draft.leaderContactAt < electionTimeoutMs;
 }
 
 function isUpToDate(draft: ReplicationDraft, request: VoteRequest): boolean {
--- a/packages/stallpaddle-replication/src/ReplicationFollower.ts
+++ b/packages/stallpaddle-replication/src/ReplicationFollower.ts
@@ -30,7 +30,7 @@
   } else {
     $becomeFollower(draft, message.from);
   }
-  draft.heardLeaderAt = draft.now;
+  draft.leaderContactAt = draft.now;
   $resetElection(draft);
 }
 
@@ -161,6 +161,6 @@
   draft.commit = meta.index;
   draft.applied = meta.index;
   draft.persisted = meta.index;
-  draft.heardLeaderAt = draft.now;
+  draft.leaderContactAt = draft.now;
   $resetElection(draft);
 }
--- a/packages/stallpaddle-replication/src/ReplicationStep.ts
+++ b/packages/stallpaddle-replication/src/ReplicationStep.ts
@@ -72,7 +72,7 @@
       electionAt: now,
       electionCount: 0,
       group: start.group,
-      heardLeaderAt: now,
+      leaderContactAt: now,
       log: start.log,
       persisted: start.log.lastIndex,
       role: {kind: 'follower', leader: null},
--- a/packages/stallpaddle-replication/src/ReplicationTypes.ts
+++ b/packages/stallpaddle-replication/src/ReplicationTypes.ts
@@ -255,7 +255,7 @@
   readonly electionCount: number;
   readonly group: GroupId;
   /** When a current leader was last heard, or the start: until the timeout no vote is given. */
-  readonly heardLeaderAt: MonotonicMs;
+  readonly leaderContactAt: MonotonicMs;
   readonly log: ReplicationLog;
   /** Last index known to be synced on this replica's disk. */
   readonly persisted: LogIndex;
