--- a/packages/stallpaddle-replication/src/ReplicationFollower.ts
+++ b/packages/stallpaddle-replication/src/ReplicationFollower.ts
@@ -122,7 +122,7 @@
   const position = appends.findIndex(({sentAt}) => sentAt === answeredSentAt);
   // To a replica that lacks a snapshot, and without a lease, the leader names no commit at all.
   if (position >= 0 && commit > 0 && commit <= draft.commit) {
-    draft.completeAt = Math.max(draft.completeAt, appends[position]!.at);
+    draft.caughtUpAt = Math.max(draft.caughtUpAt, appends[position]!.at);
     draft.answered = {appends: appends.slice(position), term};
   }
 }
--- a/packages/stallpaddle-replication/src/ReplicationStep.ts
+++ b/packages/stallpaddle-replication/src/ReplicationStep.ts
@@ -68,7 +68,7 @@
       answered: null,
       applied: index,
       commit,
-      completeAt: -Infinity,
+      caughtUpAt: -Infinity,
       electionAt: now,
       electionCount: 0,
       group: start.group,
--- a/packages/stallpaddle-replication/src/ReplicationTypes.ts
+++ b/packages/stallpaddle-replication/src/ReplicationTypes.ts
@@ -249,7 +249,7 @@
   readonly applied: LogIndex;
   readonly commit: LogIndex;
   /** When this replica last held all that its leader had committed, as a follower; -Infinity before it ever did. */
-  readonly completeAt: MonotonicMs;
+  readonly caughtUpAt: MonotonicMs;
   readonly electionAt: MonotonicMs;
   /** Number of timeouts drawn so far; spreads elections of different replicas. */
   readonly electionCount: number;
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicationFollower.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicationFollower.test.ts
@@ -52,29 +52,29 @@
     let follower = take(start(SELF), append(0, 1000), 1, 5000);
     follower = take(follower, append(1, 1100), 1, 5000);
     expect(follower.commit).toBe(1);
-    expect(follower.completeAt).toBeLessThanOrEqual(1100);
+    expect(follower.caughtUpAt).toBeLessThanOrEqual(1100);
   });
 
   test('knows by an append that names its answer that it held all when it gave that', () => {
     let follower = take(start(SELF), append(0, 1000), 1, 1050);
     follower = take(follower, append(1, 1100, 1000), 1, 9000);
-    expect(follower.completeAt).toBe(1050);
+    expect(follower.caughtUpAt).toBe(1050);
     follower = take(follower, append(1, 1200, 1100), 1, 9001);
-    expect(follower.completeAt).toBe(9000);
+    expect(follower.caughtUpAt).toBe(9000);
   });
 
   test('that has started again knows nothing by an answer of its earlier life', () => {
     let follower = take(start(SELF), append(0, 1100), 1, 50);
     follower = take(follower, append(1, 1200, 1000), 1, 51);
-    expect(follower.completeAt).toBe(-Infinity);
+    expect(follower.caughtUpAt).toBe(-Infinity);
   });
 
   test('knows nothing by an answer in an earlier term, or an append that names a commit that it lacks', () => {
     let follower = take(start(SELF), append(0, 1000), 1, 1050);
     follower = take(follower, append(1, 1100, 1000), 2, 1150);
-    expect(follower.completeAt).toBe(-Infinity);
+    expect(follower.caughtUpAt).toBe(-Infinity);
     follower = take(follower, append(9, 1200, 1100), 2, 1250);
-    expect(follower.completeAt).toBe(-Infinity);
+    expect(follower.caughtUpAt).toBe(-Infinity);
   });
 });
 
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicationWorld.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicationWorld.ts
@@ -331,7 +331,7 @@
     if (replica?.state === undefined || this.isFrozen(id)) {
       return;
     }
-    const {completeAt} = replica.state;
+    const {caughtUpAt: completeAt} = replica.state;
     const {effects, state} = stepReplica(replica.state, event, this.clockOf(id));
     replica.state = state;
     for (const effect of effects) {
@@ -365,8 +365,8 @@
           break;
       }
     }
-    if (state.completeAt > completeAt) {
-      this.checkComplete(id, replica, state.completeAt / replica.clockRate);
+    if (state.caughtUpAt > completeAt) {
+      this.checkComplete(id, replica, state.caughtUpAt / replica.clockRate);
     }
   }
 
