--- a/packages/stallpaddle-replication/src/ReplicationTypes.ts
+++ b/packages/stallpaddle-replication/src/ReplicationTypes.ts
@@ -229,7 +229,7 @@
 }
 
 /** A leader's append that a follower answered. */
-export interface AnsweredAppend {
+export interface AckedAppend {
   /** When, by the follower's clock. */
   readonly at: MonotonicMs;
   /** When it was sent, by the leader's clock. */
@@ -238,7 +238,7 @@
 
 /** Appends of a term's leader that a follower answered, from the last whose answer surely came to the latest. */
 export interface AnsweredAppends {
-  readonly appends: readonly AnsweredAppend[];
+  readonly appends: readonly AckedAppend[];
   readonly term: Term;
 }
 
