--- a/packages/stallpaddle-replication/src/ReplicationTypes.ts
+++ b/packages/stallpaddle-replication/src/ReplicationTypes.ts
@@ -237,7 +237,7 @@
 }
 
 /** Appends of a term's leader that a follower answered, from the last whose answer surely came to the latest. */
-export interface AnsweredAppends {
+export interface AckedAppends {
   readonly appends: readonly AckedAppend[];
   readonly term: Term;
 }
@@ -245,7 +245,7 @@
 /** Everything that a replica of a group knows. */
 export interface ReplicationState {
   /** What this replica answered as a follower of its term's leader; null before the first answer. */
-  readonly answered: AnsweredAppends | null;
+  readonly answered: AckedAppends | null;
   readonly applied: LogIndex;
   readonly commit: LogIndex;
   /** When this replica last held all that its leader had committed, as a follower; -Infinity before it ever did. */
