--- a/packages/stallpaddle-replication/src/ReplicationFollower.ts
+++ b/packages/stallpaddle-replication/src/ReplicationFollower.ts
@@ -103,9 +103,9 @@
 
 /** Notes that an append is answered. */
 function $noteAnswered(draft: ReplicationDraft, term: Term, sentAt: MonotonicMs): void {
-  const appends = draft.answered?.term === term ? draft.answered.appends : [];
+  const appends = draft.ackedAppends?.term === term ? draft.ackedAppends.appends : [];
   const added = [...appends, {at: draft.now, sentAt}].slice(-MOST_ANSWERED);
-  draft.answered = {appends: added, term};
+  draft.ackedAppends = {appends: added, term};
 }
 
 /**
@@ -118,12 +118,12 @@
   term: Term,
   {answeredSentAt, commit}: Append,
 ): void {
-  const appends = draft.answered?.term === term ? draft.answered.appends : [];
+  const appends = draft.ackedAppends?.term === term ? draft.ackedAppends.appends : [];
   const position = appends.findIndex(({sentAt}) => sentAt === answeredSentAt);
   // To a replica that lacks a snapshot, and without a lease, the leader names no commit at all.
   if (position >= 0 && commit > 0 && commit <= draft.commit) {
     draft.caughtUpAt = Math.max(draft.caughtUpAt, appends[position]!.at);
-    draft.answered = {appends: appends.slice(position), term};
+    draft.ackedAppends = {appends: appends.slice(position), term};
   }
 }
 
--- a/packages/stallpaddle-replication/src/ReplicationStep.ts
+++ b/packages/stallpaddle-replication/src/ReplicationStep.ts
@@ -65,7 +65,7 @@
   const commit = Math.max(index, Math.min(start.hardState.commit ?? 0, start.log.lastIndex));
   const draft = openDraft(
     {
-      answered: null,
+      ackedAppends: null,
       applied: index,
       commit,
       caughtUpAt: -Infinity,
--- a/packages/stallpaddle-replication/src/ReplicationTypes.ts
+++ b/packages/stallpaddle-replication/src/ReplicationTypes.ts
@@ -245,7 +245,7 @@
 /** Everything that a replica of a group knows. */
 export interface ReplicationState {
   /** What this replica answered as a follower of its term's leader; null before the first answer. */
-  readonly answered: AckedAppends | null;
+  readonly ackedAppends: AckedAppends | null;
   readonly applied: LogIndex;
   readonly commit: LogIndex;
   /** When this replica last held all that its leader had committed, as a follower; -Infinity before it ever did. */
