--- a/packages/stallpaddle-replication/src/ReplicaMonitor.ts
+++ b/packages/stallpaddle-replication/src/ReplicaMonitor.ts
@@ -8,7 +8,7 @@
 import type {Leadership, ReplicationState, ReplicationTiming} from './ReplicationTypes';
 
 import {STUCK_TIMEOUTS} from './ReplicationConstants';
-import {leadershipOf, quorumHeardAt} from './ReplicationLease';
+import {leadershipOf, quorumAckedAt} from './ReplicationLease';
 import {isVoter, tickPeriodMs} from './ReplicaTicker';
 
 /** Time for which the latest late turn is told, in milliseconds: some election timeouts, so a change of leaders shows it. */
@@ -174,7 +174,7 @@
     readonly turnLateMs: number;
   } {
     const now = this.clock.monotonicMs();
-    const quorumSilentMs = Math.round(now - quorumHeardAt(state, now));
+    const quorumSilentMs = Math.round(now - quorumAckedAt(state, now));
     return {quorumSilentMs, turnLateMs: Math.round(this.turnLateMs)};
   }
 
@@ -184,7 +184,7 @@
     if (after.term > before.term) {
       return 'laterTerm';
     }
-    if (now - quorumHeardAt(before, now) > electionTimeoutMs) {
+    if (now - quorumAckedAt(before, now) > electionTimeoutMs) {
       return 'quorumSilent';
     }
     const waitsSince = before.role.kind === 'leader' ? before.role.commitAdvancedAt : now;
--- a/packages/stallpaddle-replication/src/ReplicationLeader.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLeader.ts
@@ -24,7 +24,7 @@
   YIELD_TIMEOUTS,
 } from './ReplicationConstants';
 import {$becomeFollower, $emit, $persist, $send} from './ReplicationDraft';
-import {holdsLease, majorityValue, quorumHeardAt} from './ReplicationLease';
+import {holdsLease, majorityValue, quorumAckedAt} from './ReplicationLease';
 import {entryBytes} from './ReplicationLog';
 import {recordTick, isQuorumLost} from './ReplicationSilence';
 
@@ -175,7 +175,7 @@
   if (draft.role.kind !== 'leader') {
     return;
   }
-  const quorumAt = Math.max(quorumHeardAt(draft, now), draft.role.since);
+  const quorumAt = Math.max(quorumAckedAt(draft, now), draft.role.since);
   const role = recordTick(draft.role, quorumAt, now, timing);
   draft.role = role;
   if (isQuorumLost(role, quorumAt, now, timing)) {
--- a/packages/stallpaddle-replication/src/ReplicationLease.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLease.ts
@@ -50,7 +50,7 @@
  * @param state a leader's state
  * @param now monotonic time, which stands for the leader's own answer
  */
-export function quorumHeardAt(state: ReplicationState, now: MonotonicMs): MonotonicMs {
+export function quorumAckedAt(state: ReplicationState, now: MonotonicMs): MonotonicMs {
   const {role} = state;
   if (role.kind !== 'leader') {
     return -Infinity;
@@ -69,7 +69,7 @@
  */
 export function leaseUntil(state: ReplicationState, now: MonotonicMs): MonotonicMs {
   const {electionTimeoutMs, leaseDriftFraction} = state.timing;
-  return quorumHeardAt(state, now) + electionTimeoutMs * (1 - leaseDriftFraction);
+  return quorumAckedAt(state, now) + electionTimeoutMs * (1 - leaseDriftFraction);
 }
 
 /**
