--- a/packages/stallpaddle-node/src/NodeJobsDesk.ts
+++ b/packages/stallpaddle-node/src/NodeJobsDesk.ts
@@ -22,7 +22,7 @@
   type ResultRef,
   type ResultsAnswer,
 } from 'stallpaddle-jobs';
-import {holdersOf} from 'stallpaddle-replication';
+import {votersWithEntry} from 'stallpaddle-replication';
 
 import type {NodeGroup} from './NodeGroup';
 import type {NodeLog} from './NodeLog';
@@ -123,7 +123,7 @@
       const result = (await answer) as JobsAnswer;
       const {status} = driver;
       const {voters} = status.log.members;
-      const holders = holdersOf(status, index).join(',');
+      const holders = votersWithEntry(status, index).join(',');
       const fields = {answer: result.kind, holders, index, term, voters: voters.join(',')};
       this.decide('jobRecorded', id, fields);
       return result;
--- a/packages/stallpaddle-replication/src/ReplicationLease.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLease.ts
@@ -35,7 +35,7 @@
  * @param state a leader's state
  * @param index the place
  */
-export function holdersOf(state: ReplicationState, index: LogIndex): readonly ReplicaId[] {
+export function votersWithEntry(state: ReplicationState, index: LogIndex): readonly ReplicaId[] {
   const {log, persisted, role, self} = state;
   const progress = role.kind === 'leader' ? role.progress : undefined;
   return log.members.voters.filter((voter) => {
--- a/packages/stallpaddle-replication/src/index.ts
+++ b/packages/stallpaddle-replication/src/index.ts
@@ -14,7 +14,7 @@
 export {DEFAULT_TIMING} from './ReplicationConstants';
 export {wantsSnapshot} from './ReplicationFollower';
 export {
-  holdersOf,
+  votersWithEntry,
   holdsLease,
   isMajority,
   leadershipOf,
