--- a/packages/stallpaddle-replication/src/ReplicaMonitor.ts
+++ b/packages/stallpaddle-replication/src/ReplicaMonitor.ts
@@ -7,7 +7,7 @@
 
 import type {Leadership, ReplicationState, ReplicationTiming} from './ReplicationTypes';
 
-import {STUCK_TIMEOUTS} from './ReplicationConstants';
+import {STALLED_COMMIT_TIMEOUTS} from './ReplicationConstants';
 import {leadershipOf, quorumAckedAt} from './ReplicationLease';
 import {isVoter, tickPeriodMs} from './ReplicaTicker';
 
@@ -188,7 +188,7 @@
       return 'quorumSilent';
     }
     const waitsSince = before.role.kind === 'leader' ? before.role.commitAdvancedAt : now;
-    const isStuck = now - waitsSince > electionTimeoutMs * STUCK_TIMEOUTS;
+    const isStuck = now - waitsSince > electionTimeoutMs * STALLED_COMMIT_TIMEOUTS;
     return isStuck ? 'nothingRecorded' : 'handedOver';
   }
 }
--- a/packages/stallpaddle-replication/src/ReplicationConstants.ts
+++ b/packages/stallpaddle-replication/src/ReplicationConstants.ts
@@ -23,7 +23,7 @@
  * the slowest links that were seen (1.6 KB a millisecond) 8 MB get through in ten timeouts of 0.5 s, twice the largest
  * command of callers. A leader whose log reaches nobody for longer makes way for one that may reach them.
  */
-export const STUCK_TIMEOUTS = 10;
+export const STALLED_COMMIT_TIMEOUTS = 10;
 
 /** Election timeouts for which a leader that gave up so leaves the election to others; they stand within two. */
 export const YIELD_TIMEOUTS = 2;
--- a/packages/stallpaddle-replication/src/ReplicationLeader.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLeader.ts
@@ -20,7 +20,7 @@
   ALIVE_HEARTBEATS,
   MAX_APPEND_BYTES,
   MAX_PROBE_BYTES,
-  STUCK_TIMEOUTS,
+  STALLED_COMMIT_TIMEOUTS,
   YIELD_TIMEOUTS,
 } from './ReplicationConstants';
 import {$becomeFollower, $emit, $persist, $send} from './ReplicationDraft';
@@ -184,7 +184,7 @@
   }
   if (draft.commit >= draft.log.lastIndex) {
     draft.role = {...role, commitAdvancedAt: now};
-  } else if (now - role.commitAdvancedAt > timing.electionTimeoutMs * STUCK_TIMEOUTS) {
+  } else if (now - role.commitAdvancedAt > timing.electionTimeoutMs * STALLED_COMMIT_TIMEOUTS) {
     // Commands wait though a majority answers that it lives.
     $becomeFollower(draft, null);
     // Whoever the log reaches may lead; this replica stands again only once the others have had their turns.
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicationFaults.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicationFaults.test.ts
@@ -13,7 +13,7 @@
   ReplicationState,
 } from '../../ReplicationTypes';
 
-import {STUCK_TIMEOUTS} from '../../ReplicationConstants';
+import {STALLED_COMMIT_TIMEOUTS} from '../../ReplicationConstants';
 import {entryBytes, ReplicationLog} from '../../ReplicationLog';
 import {isUrgent, startReplica, stepReplica} from '../../ReplicationStep';
 import {ReplicationWorld} from './ReplicationWorld';
@@ -356,7 +356,7 @@
     const {term} = world.replicas.get(leader)!.state!;
     world.propose(leader, 'large');
     // For almost as long as commands may wait.
-    for (let ms = 0; ms < ELECTION_MS * (STUCK_TIMEOUTS - 1); ms += 5) {
+    for (let ms = 0; ms < ELECTION_MS * (STALLED_COMMIT_TIMEOUTS - 1); ms += 5) {
       world.advance(5);
       deliverUrgent(world);
       expect(world.leaseHolders()).toEqual([leader]);
