--- a/packages/stallpaddle-replication/src/ReplicationConstants.ts
+++ b/packages/stallpaddle-replication/src/ReplicationConstants.ts
@@ -26,7 +26,7 @@
 export const STALLED_COMMIT_TIMEOUTS = 10;
 
 /** Election timeouts for which a leader that gave up so leaves the election to others; they stand within two. */
-export const YIELD_TIMEOUTS = 2;
+export const STEP_DOWN_BACKOFF_TIMEOUTS = 2;
 
 /** Times for replicas a few milliseconds apart, in milliseconds. */
 export const DEFAULT_TIMING: ReplicationTiming = {
--- a/packages/stallpaddle-replication/src/ReplicationLeader.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLeader.ts
@@ -21,7 +21,7 @@
   MAX_APPEND_BYTES,
   MAX_PROBE_BYTES,
   STALLED_COMMIT_TIMEOUTS,
-  YIELD_TIMEOUTS,
+  STEP_DOWN_BACKOFF_TIMEOUTS,
 } from './ReplicationConstants';
 import {$becomeFollower, $emit, $persist, $send} from './ReplicationDraft';
 import {holdsLease, majorityValue, quorumAckedAt} from './ReplicationLease';
@@ -188,7 +188,7 @@
     // Commands wait though a majority answers that it lives.
     $becomeFollower(draft, null);
     // Whoever the log reaches may lead; this replica stands again only once the others have had their turns.
-    draft.electionAt += timing.electionTimeoutMs * YIELD_TIMEOUTS;
+    draft.electionAt += timing.electionTimeoutMs * STEP_DOWN_BACKOFF_TIMEOUTS;
     return;
   }
   for (const [replica, progress] of role.progress) {
