--- a/packages/stallpaddle-replication/src/ReplicationConstants.ts
+++ b/packages/stallpaddle-replication/src/ReplicationConstants.ts
@@ -16,7 +16,7 @@
  * Heartbeats for which a replica may answer nothing before it is told apart from appends that the leader lives. A lease
  * is 3.2 heartbeats long, so two such words fit into it; one heartbeat would send them all the time.
  */
-export const ALIVE_HEARTBEATS = 1.25;
+export const ALIVE_AFTER_HEARTBEATS = 1.25;
 
 /**
  * Election timeouts for which commands may wait without any being recorded, though a majority answers that it lives. At
--- a/packages/stallpaddle-replication/src/ReplicationLeader.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLeader.ts
@@ -17,7 +17,7 @@
 } from './ReplicationTypes';
 
 import {
-  ALIVE_HEARTBEATS,
+  ALIVE_AFTER_HEARTBEATS,
   MAX_APPEND_BYTES,
   MAX_PROBE_BYTES,
   STALLED_COMMIT_TIMEOUTS,
@@ -203,7 +203,7 @@
 function $sendAliveWhenDue(draft: ReplicationDraft, replica: ReplicaId, progress: Progress): void {
   const {now, role, timing} = draft;
   const silentMs = now - Math.max(progress.ackedSentAt, progress.aliveSentAt);
-  if (role.kind === 'leader' && silentMs > timing.heartbeatMs * ALIVE_HEARTBEATS) {
+  if (role.kind === 'leader' && silentMs > timing.heartbeatMs * ALIVE_AFTER_HEARTBEATS) {
     $setProgress(draft, role, replica, {aliveSentAt: now});
     $send(draft, replica, {kind: 'alive', sentAt: now}, false);
   }
