--- a/packages/stallpaddle-node/src/NodeJobsDesk.ts
+++ b/packages/stallpaddle-node/src/NodeJobsDesk.ts
@@ -212,7 +212,7 @@
  * a result finds it again. A replica that follows can say so of a question that it has held for a while.
  */
 function expectComplete(driver: Driver, askedMs: number): void {
-  if (driver.completeAgeMs > askedMs) {
+  if (driver.stalenessMs > askedMs) {
     driver.read();
   }
 }
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
@@ -56,11 +56,11 @@
 }
 
 /** A replica whose process does one thing after the other: each piece of bulk data costs it a millisecond. */
-function replicaOf(state: JobsState, leads: boolean, completeAgeMs = 0) {
+function replicaOf(state: JobsState, leads: boolean, stalenessMs = 0) {
   let work: Promise<unknown> = Promise.resolve();
   const counts = {blobs: 0};
   const driver = {
-    completeAgeMs,
+    stalenessMs,
     leads,
     localState: state,
     read: (): JobsState => {
--- a/packages/stallpaddle-replication/src/ReplicaDriver.ts
+++ b/packages/stallpaddle-replication/src/ReplicaDriver.ts
@@ -148,7 +148,7 @@
   }
 
   /** Age of what this replica surely holds of what is committed, in milliseconds; Infinity when it can't tell. */
-  get completeAgeMs(): number {
+  get stalenessMs(): number {
     const now = this.options.clock.monotonicMs();
     return this.leads ? 0 : now - this.replication.caughtUpAt;
   }
