--- a/packages/stallpaddle-node/src/NodeGroup.ts
+++ b/packages/stallpaddle-node/src/NodeGroup.ts
@@ -181,7 +181,7 @@
     expose('commits', 'Entries applied since the start.', () => this.driver.counters.commits);
     expose('syncs', 'Syncs of the log since the start.', () => this.driver.counters.syncs);
     expose('turn_late_seconds', 'Delay of the latest turn of the last two seconds.', () => {
-      return this.driver.turnLateMs / SECOND_MS;
+      return this.driver.tickDelayMs / SECOND_MS;
     });
     expose('voters', 'Voters of the group.', () => this.driver.status.log.members.voters.length);
     expose('unapplied', 'Entries in the log that are not known to be committed.', () => {
--- a/packages/stallpaddle-replication/src/ReplicaDriver.ts
+++ b/packages/stallpaddle-replication/src/ReplicaDriver.ts
@@ -116,7 +116,7 @@
   }
 
   /** Delay of the latest late turn of the last two seconds, in milliseconds. */
-  get turnLateMs(): number {
+  get tickDelayMs(): number {
     return this.watch.turnLateMs;
   }
 
