--- a/packages/stallpaddle-replication/src/ReplicaDriver.ts
+++ b/packages/stallpaddle-replication/src/ReplicaDriver.ts
@@ -117,7 +117,7 @@
 
   /** Delay of the latest late turn of the last two seconds, in milliseconds. */
   get tickDelayMs(): number {
-    return this.watch.turnLateMs;
+    return this.watch.tickDelayMs;
   }
 
   /** Time that this leader's next command will count, in milliseconds; 0 without leadership. */
--- a/packages/stallpaddle-replication/src/ReplicaMonitor.ts
+++ b/packages/stallpaddle-replication/src/ReplicaMonitor.ts
@@ -51,7 +51,7 @@
   }
 
   /** Delay of the latest late turn of the last two seconds, in milliseconds. */
-  get turnLateMs(): number {
+  get tickDelayMs(): number {
     return this.clock.monotonicMs() - this.latestLate.at < TOLD_MS ? this.latestLate.ms : 0;
   }
 
@@ -90,7 +90,7 @@
     const now = this.clock.monotonicMs();
     const lateMs = Math.max(0, now - this.dueAt);
     this.dueAt = now + tickPeriodMs(this.timing, isVoter(state));
-    if (lateMs >= this.turnLateMs) {
+    if (lateMs >= this.tickDelayMs) {
       this.latestLate = {at: now, ms: lateMs};
     }
     if (lateMs > this.timing.heartbeatMs) {
@@ -138,7 +138,7 @@
     this.noteMajority(before, after);
     if (before.role.kind === 'follower' && after.role.kind === 'preCandidate') {
       const silentMs = Math.round(this.clock.monotonicMs() - before.leaderContactAt);
-      const turnLateMs = Math.round(this.turnLateMs);
+      const turnLateMs = Math.round(this.tickDelayMs);
       this.logger.info('This replica hears no leader.', {group, silentMs, term, turnLateMs});
     }
     const isEnd = before.role.kind === 'leader' && after.role.kind !== 'leader';
@@ -175,7 +175,7 @@
   } {
     const now = this.clock.monotonicMs();
     const quorumSilentMs = Math.round(now - quorumAckedAt(state, now));
-    return {quorumSilentMs, turnLateMs: Math.round(this.turnLateMs)};
+    return {quorumSilentMs, turnLateMs: Math.round(this.tickDelayMs)};
   }
 
   private causeOf(before: ReplicationState, after: ReplicationState): EndOfLeadership {
