--- a/packages/stallpaddle-bench/src/BenchGroup.ts
+++ b/packages/stallpaddle-bench/src/BenchGroup.ts
@@ -28,7 +28,7 @@
     for (const id of IDS) {
       const disk = await openDisk(this.folderOf(id));
       const first = this.machine.encode(this.machine.initial());
-      await ReplicaStorage.form(disk, first, {learners: [], voters: IDS});
+      await ReplicaStorage.initialize(disk, first, {learners: [], voters: IDS});
       await this.open(id);
     }
   }
--- a/packages/stallpaddle-node/src/NodeGroup.ts
+++ b/packages/stallpaddle-node/src/NodeGroup.ts
@@ -69,7 +69,7 @@
     const formed = await ReplicaStorage.formedMembers(disk);
     if (formed === undefined && founders !== null && founders.includes(self)) {
       const members = {learners: [], voters: founders};
-      await ReplicaStorage.form(disk, machine.encode(machine.initial()), members);
+      await ReplicaStorage.initialize(disk, machine.encode(machine.initial()), members);
     }
     const group = new NodeGroup(options);
     try {
--- a/packages/stallpaddle-replication/src/ReplicaStorage.ts
+++ b/packages/stallpaddle-replication/src/ReplicaStorage.ts
@@ -107,7 +107,7 @@
    * @param machine the state machine's encoded first state
    * @param members the group's first members
    */
-  static async form(disk: Disk, machine: Uint8Array, members: GroupMembers): Promise<void> {
+  static async initialize(disk: Disk, machine: Uint8Array, members: GroupMembers): Promise<void> {
     const snapshot: MachineSnapshot = {machine, meta: {index: 0, members, term: 0}};
     await writeSnapshot(disk, encodeValue(snapshot));
   }
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDiskFaults.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDiskFaults.test.ts
@@ -51,7 +51,7 @@
 
 async function formed(members: GroupMembers): Promise<FakeDisk> {
   const disk = new FakeDisk();
-  await ReplicaStorage.form(disk, listMachine.encode(listMachine.initial()), members);
+  await ReplicaStorage.initialize(disk, listMachine.encode(listMachine.initial()), members);
   return disk;
 }
 
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDriver.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDriver.test.ts
@@ -79,7 +79,7 @@
   async function formed(): Promise<FakeDisk> {
     const disk = new FakeDisk();
     const first = listMachine.encode(listMachine.initial());
-    await ReplicaStorage.form(disk, first, {learners: [], voters: [SELF]});
+    await ReplicaStorage.initialize(disk, first, {learners: [], voters: [SELF]});
     return disk;
   }
 
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcReplicaWorld.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcReplicaWorld.ts
@@ -95,7 +95,7 @@
     const members: GroupMembers = {learners: [], voters: ids};
     for (const id of ids) {
       const first = listMachine.encode(listMachine.initial());
-      await ReplicaStorage.form(world.machines.get(id)!.disk, first, members);
+      await ReplicaStorage.initialize(world.machines.get(id)!.disk, first, members);
       await world.start(id);
     }
     await world.run(400);
--- a/packages/stallpaddle-vm/src/VmGroups.ts
+++ b/packages/stallpaddle-vm/src/VmGroups.ts
@@ -224,7 +224,7 @@
         const replicas = answers.map((answer) => answer?.replica ?? '');
         const voters = foundedBy?.voters ?? [this.self, ...replicas].sort();
         const members = {learners: [], voters};
-        await ReplicaStorage.form(disk, machine.encode(machine.initial()), members);
+        await ReplicaStorage.initialize(disk, machine.encode(machine.initial()), members);
         this.formed.set(group, members);
         return;
       }
