--- a/packages/stallpaddle-node/src/NodeGroup.ts
+++ b/packages/stallpaddle-node/src/NodeGroup.ts
@@ -66,7 +66,7 @@
    */
   static async open<State>(options: NodeGroupOptions<State>): Promise<NodeGroup<State>> {
     const {disk, founders, machine, self} = options;
-    const formed = await ReplicaStorage.formedMembers(disk);
+    const formed = await ReplicaStorage.storedMembers(disk);
     if (formed === undefined && founders !== null && founders.includes(self)) {
       const members = {learners: [], voters: founders};
       await ReplicaStorage.initialize(disk, machine.encode(machine.initial()), members);
--- a/packages/stallpaddle-replication/src/ReplicaStorage.ts
+++ b/packages/stallpaddle-replication/src/ReplicaStorage.ts
@@ -117,7 +117,7 @@
    *
    * @param disk folder of the replica
    */
-  static async formedMembers(disk: Disk): Promise<GroupMembers | undefined> {
+  static async storedMembers(disk: Disk): Promise<GroupMembers | undefined> {
     const bytes = await readSnapshot(disk);
     return bytes === undefined ? undefined : decodeValue<MachineSnapshot>(bytes).meta.members;
   }
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDriver.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDriver.test.ts
@@ -161,7 +161,7 @@
     expect(await learner.finishInstall(snapshot, term)).toBe(false);
     const half = await learner.installBlobs(0, whole.subarray(0, 20));
     expect([half, await learner.finishInstall(snapshot, term)]).toEqual([20, false]);
-    expect(await ReplicaStorage.formedMembers(disk)).toBeUndefined();
+    expect(await ReplicaStorage.storedMembers(disk)).toBeUndefined();
     await learner.installBlobs(20, whole.subarray(20));
     expect(await learner.finishInstall(snapshot, term)).toBe(true);
     // A loss of power right after its word.
--- a/packages/stallpaddle-vm/src/VmGroups.ts
+++ b/packages/stallpaddle-vm/src/VmGroups.ts
@@ -174,7 +174,7 @@
     machine: ReplicaMachine<State>,
   ): Promise<ReplicaDriver<State>> {
     const disk = await openDisk(path.join(this.folder, group));
-    const known = await ReplicaStorage.formedMembers(disk);
+    const known = await ReplicaStorage.storedMembers(disk);
     if (known === undefined) {
       await this.found(group, disk, machine);
     } else {
