--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicationWorld.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicationCluster.ts
@@ -77,7 +77,7 @@
 }
 
 /** See the module's comment. */
-export class ReplicationWorld {
+export class ReplicationCluster {
   /** Commands that a leader has acknowledged. */
   readonly acknowledged: string[] = [];
   /** When each of them was. */
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicationFaults.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicationFaults.test.ts
@@ -16,7 +16,7 @@
 import {STALLED_COMMIT_TIMEOUTS} from '../../ReplicationConstants';
 import {entryBytes, ReplicationLog} from '../../ReplicationLog';
 import {isUrgent, startReplica, stepReplica} from '../../ReplicationStep';
-import {ReplicationWorld} from './ReplicationWorld';
+import {ReplicationCluster} from './ReplicationCluster';
 
 const IDS: readonly ReplicaId[] = ['a/1', 'b/1', 'c/1'];
 const ELECTION_MS = 100;
@@ -31,7 +31,7 @@
   return {body: {kind: 'vote', lastIndex, lastTerm, transfer: false}, from, group: 'g', term, to};
 }
 
-function votesOf(world: ReplicationWorld, voter: ReplicaId, term: number): readonly ReplicaId[] {
+function votesOf(world: ReplicationCluster, voter: ReplicaId, term: number): readonly ReplicaId[] {
   return world
     .messagesFrom(voter)
     .filter(({body, term: at}) => at === term && body.kind === 'voteReply' && body.granted)
@@ -42,9 +42,9 @@
 function settled(): {
   readonly leader: ReplicaId;
   readonly others: readonly [ReplicaId, ReplicaId];
-  readonly world: ReplicationWorld;
+  readonly world: ReplicationCluster;
 } {
-  const world = new ReplicationWorld(IDS);
+  const world = new ReplicationCluster(IDS);
   world.settle(600);
   const [leader] = world.leaseHolders();
   const others = IDS.filter((id) => id !== leader) as [ReplicaId, ReplicaId];
@@ -54,7 +54,7 @@
 
 describe('a vote', () => {
   test('leaves only once it is on the disk, so that no restart gives it twice', () => {
-    const world = new ReplicationWorld(IDS);
+    const world = new ReplicationCluster(IDS);
     world.now += ELECTION_MS * 3;
     world.inject(voteRequest('a/1', 'b/1', 9, 0, 0));
     world.crash('b/1');
@@ -322,7 +322,7 @@
 
 describe('the time that commands count', () => {
   test('is counted by no leader for another, also when one leads again', () => {
-    const world = new ReplicationWorld(IDS);
+    const world = new ReplicationCluster(IDS);
     for (let turn = 0; turn < 8; turn++) {
       world.settle(600);
       const [leader] = world.leaseHolders();
@@ -340,7 +340,7 @@
 
 describe('a leader whose appends take long', () => {
   /** Delivers all that overtakes, and the answers to it; appends stay under way. */
-  function deliverUrgent(world: ReplicationWorld): void {
+  function deliverUrgent(world: ReplicationCluster): void {
     for (let position = 0; position < world.parcels.length;) {
       const parcel = world.parcels[position]!;
       if (parcel.kind === 'message' && isUrgent(parcel.message)) {
@@ -369,7 +369,7 @@
 
   /** Runs everything without failures but for messages of one replica that are lost. */
   function runLosing(
-    world: ReplicationWorld,
+    world: ReplicationCluster,
     from: ReplicaId,
     ms: number,
     isLost: (message: Message) => boolean,
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicationStep.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicationStep.test.ts
@@ -7,7 +7,7 @@
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {ReplicationWorld} from './ReplicationWorld';
+import {ReplicationCluster} from './ReplicationCluster';
 
 const IDS: readonly ReplicaId[] = ['a/1', 'b/1', 'c/1'];
 
@@ -67,14 +67,14 @@
   },
 );
 
-function flow(world: ReplicationWorld, count: number): void {
+function flow(world: ReplicationCluster, count: number): void {
   for (let step = 0; step < count; step++) {
     world.ids.forEach((id) => world.sync(id));
     world.deliver(0, false);
   }
 }
 
-function perform(world: ReplicationWorld, step: Action, number: number): void {
+function perform(world: ReplicationCluster, step: Action, number: number): void {
   switch (step.kind) {
     case 'advance':
       world.advance(step.ms);
@@ -116,7 +116,7 @@
   }
 }
 
-function leaderOf(world: ReplicationWorld): ReplicaId {
+function leaderOf(world: ReplicationCluster): ReplicaId {
   world.settle(600);
   const [leader] = world.leaseHolders();
   expect(leader).toBeDefined();
@@ -132,7 +132,7 @@
       const property = fc.property(
         fc.array(action, {maxLength: 200, minLength: 40, size: 'max'}),
         (actions) => {
-          const world = new ReplicationWorld(IDS);
+          const world = new ReplicationCluster(IDS);
           world.settle(250);
           actions.forEach((step, number) => perform(world, step, number));
           world.settle(1500);
@@ -152,7 +152,7 @@
   );
 
   test('elects a leader again after the leader was killed', () => {
-    const world = new ReplicationWorld(IDS);
+    const world = new ReplicationCluster(IDS);
     const first = leaderOf(world);
     world.propose(first, 'one');
     world.settle(50);
@@ -168,7 +168,7 @@
   });
 
   test('takes nothing on after a freeze longer than the lease', () => {
-    const world = new ReplicationWorld(IDS);
+    const world = new ReplicationCluster(IDS);
     const first = leaderOf(world);
     world.freeze(first, 400);
     for (let waited = 0; waited < 80; waited++) {
@@ -185,7 +185,7 @@
   });
 
   test('does not disturb a leader by a replica that was cut off', () => {
-    const world = new ReplicationWorld(IDS);
+    const world = new ReplicationCluster(IDS);
     const leader = leaderOf(world);
     const {term} = world.replicas.get(leader)!.state!;
     const [alone] = IDS.filter((id) => id !== leader);
@@ -202,7 +202,7 @@
   });
 
   test('brings a replica back by snapshot after the log was cut', () => {
-    const world = new ReplicationWorld(IDS);
+    const world = new ReplicationCluster(IDS);
     const leader = leaderOf(world);
     const [away] = IDS.filter((id) => id !== leader);
     world.crash(away!);
@@ -221,7 +221,7 @@
   });
 
   test('replaces a lost disk, and stands the loss of another replica right after', () => {
-    const world = new ReplicationWorld(IDS);
+    const world = new ReplicationCluster(IDS);
     const leader = leaderOf(world);
     for (let number = 0; number < 10; number++) {
       world.propose(leader, `c${number}`);
@@ -248,7 +248,7 @@
   });
 
   test('never counts a vote of a disk that was lost', () => {
-    const world = new ReplicationWorld(IDS);
+    const world = new ReplicationCluster(IDS);
     const leader = leaderOf(world);
     const [lost, other] = IDS.filter((id) => id !== leader) as [ReplicaId, ReplicaId];
     // Only the leader and the lost replica have the command.
@@ -272,7 +272,7 @@
   });
 
   test('lets a leader take itself out: it leads until that is recorded, and the others go on', () => {
-    const world = new ReplicationWorld(IDS);
+    const world = new ReplicationCluster(IDS);
     const leader = leaderOf(world);
     world.propose(leader, 'one');
     world.settle(100);
@@ -295,7 +295,7 @@
   });
 
   test('refuses two changes of members at once', () => {
-    const world = new ReplicationWorld(IDS);
+    const world = new ReplicationCluster(IDS);
     const leader = leaderOf(world);
     const term = world.replicas.get(leader)!.state!.log.lastIndex;
     world.changeMembers(leader, {learners: [], voters: [leader]});
