--- a/packages/stallpaddle-replication/src/ReplicaDriver.ts
+++ b/packages/stallpaddle-replication/src/ReplicaDriver.ts
@@ -76,7 +76,7 @@
     });
     this.snapshots = new ReplicaSnapshots({
       blobs: this.blobs,
-      checkRuns: () => this.checkRuns(),
+      assertRunning: () => this.checkRuns(),
       dispatch: (event) => this.dispatch(event),
       fail: (err) => this.fail(err),
       hardState: () => this.hardState(),
--- a/packages/stallpaddle-replication/src/ReplicaSnapshots.ts
+++ b/packages/stallpaddle-replication/src/ReplicaSnapshots.ts
@@ -30,7 +30,7 @@
 export interface ReplicaSnapshotsHost<State> {
   readonly blobs: ReplicaBlobs;
   /** Throws once the replica has ended: its successor may have opened the same files. */
-  readonly checkRuns: () => void;
+  readonly assertRunning: () => void;
   readonly dispatch: (event: ReplicationEvent) => void;
   readonly fail: (err: unknown) => void;
   readonly hardState: () => HardState;
@@ -186,7 +186,7 @@
   /** Runs a task while no snapshot is taken, begun or taken over. */
   private alone<Result>(task: () => Promise<Result>): Promise<Result> {
     const run = this.work.then(() => {
-      this.host.checkRuns();
+      this.host.assertRunning();
       return task();
     });
     this.work = run.catch(() => {});
@@ -207,7 +207,7 @@
    * majority would answer the leader in time. Only the log's restart goes between two writes.
    */
   private async write(): Promise<MachineSnapshot> {
-    const {blobs, checkRuns, dispatch, hardState, machineState, options, replication} = this.host;
+    const {blobs, assertRunning: checkRuns, dispatch, hardState, machineState, options, replication} = this.host;
     const {storage, writer} = this.host;
     const {applied, log} = replication();
     const meta = {index: applied, members: log.membersAt(applied), term: log.termAt(applied)!};
@@ -238,7 +238,7 @@
   }
 
   private async source(): Promise<SnapshotSource> {
-    const {blobs, checkRuns, options, replication} = this.host;
+    const {blobs, assertRunning: checkRuns, options, replication} = this.host;
     const {group, machine} = options;
     const snapshot = await this.toSend();
     checkRuns();
