--- a/packages/stallpaddle-replication/src/ReplicaDriver.ts
+++ b/packages/stallpaddle-replication/src/ReplicaDriver.ts
@@ -27,13 +27,13 @@
 import {COMMIT_RECORD_MS} from './ReplicaConstants';
 import {ReplicaCorruption} from './ReplicaCorruption';
 import {NotLeaderError, ReplicaStoppedError} from './ReplicaErrors';
+import {ReplicaMonitor} from './ReplicaMonitor';
 import {ReplicaRequests} from './ReplicaRequests';
 import {ReplicaSnapshots} from './ReplicaSnapshots';
 import {ReplicaStorage as Storage} from './ReplicaStorage';
+import {isVoter, msUntilElection, ReplicaTicker, tickPeriodMs} from './ReplicaTicker';
 import {leadershipOf} from './ReplicationLease';
 import {isCaughtUp, knownLeader, startReplica, stepReplica, uncountedMs} from './ReplicationStep';
-import {isVoter, ReplicaTicker, tickPeriodMs, msUntilElection} from './ReplicaTicker';
-import {ReplicaMonitor} from './ReplicaMonitor';
 import {ReplicaWriter} from './ReplicaWriter';
 
 /** An append that only tells that its leader lives. */
@@ -75,8 +75,8 @@
       storage,
     });
     this.snapshots = new ReplicaSnapshots({
-      blobs: this.blobs,
       assertRunning: () => this.checkRuns(),
+      blobs: this.blobs,
       dispatch: (event) => this.dispatch(event),
       fail: (err) => this.fail(err),
       hardState: () => this.hardState(),
--- a/packages/stallpaddle-replication/src/ReplicaMonitor.ts
+++ b/packages/stallpaddle-replication/src/ReplicaMonitor.ts
@@ -7,9 +7,9 @@
 
 import type {Leadership, ReplicationState, ReplicationTiming} from './ReplicationTypes';
 
+import {isVoter, tickPeriodMs} from './ReplicaTicker';
 import {STALLED_COMMIT_TIMEOUTS} from './ReplicationConstants';
 import {leadershipOf, quorumAckedAt} from './ReplicationLease';
-import {isVoter, tickPeriodMs} from './ReplicaTicker';
 
 /** Time for which the latest late turn is told, in milliseconds: some election timeouts, so a change of leaders shows it. */
 const TOLD_MS = 2_000;
--- a/packages/stallpaddle-replication/src/ReplicaSnapshots.ts
+++ b/packages/stallpaddle-replication/src/ReplicaSnapshots.ts
@@ -207,7 +207,15 @@
    * majority would answer the leader in time. Only the log's restart goes between two writes.
    */
   private async write(): Promise<MachineSnapshot> {
-    const {blobs, assertRunning: checkRuns, dispatch, hardState, machineState, options, replication} = this.host;
+    const {
+      assertRunning: checkRuns,
+      blobs,
+      dispatch,
+      hardState,
+      machineState,
+      options,
+      replication,
+    } = this.host;
     const {storage, writer} = this.host;
     const {applied, log} = replication();
     const meta = {index: applied, members: log.membersAt(applied), term: log.termAt(applied)!};
@@ -238,7 +246,7 @@
   }
 
   private async source(): Promise<SnapshotSource> {
-    const {blobs, assertRunning: checkRuns, options, replication} = this.host;
+    const {assertRunning: checkRuns, blobs, options, replication} = this.host;
     const {group, machine} = options;
     const snapshot = await this.toSend();
     checkRuns();
--- /dev/null
+++ b/packages/stallpaddle-replication/src/ReplicationCheckQuorum.ts
@@ -0,0 +1,53 @@
+/**
+ * Check-quorum: a leader steps down when no majority has acknowledged it for an election timeout. Time in which its own
+ * process was held up is not held against the followers.
+ */
+import type {MonotonicMs} from 'stallpaddle';
+
+import type {ReplicationTiming, Role} from './ReplicationTypes';
+
+import {tickPeriodMs} from './ReplicaTicker';
+
+type LeaderRole = Extract<Role, {kind: 'leader'}>;
+
+/**
+ * Records a clock tick of a leader, and drops late ticks from before the newest send that a majority has acknowledged.
+ *
+ * @param role role of the leader
+ * @param quorumAt send time of the newest message that a majority has acknowledged
+ * @param now monotonic time
+ * @param timing timing of the group
+ */
+export function recordTick(
+  role: LeaderRole,
+  quorumAt: MonotonicMs,
+  now: MonotonicMs,
+  timing: ReplicationTiming,
+): LeaderRole {
+  const periodMs = tickPeriodMs(timing);
+  const lateMs = now - role.lastTickAt - periodMs;
+  const recent = role.lateTicks.filter(({at}) => at > quorumAt);
+  const lateTicks = lateMs > periodMs ? [...recent, {at: now, lateMs}] : recent;
+  return {...role, lastTickAt: now, lateTicks};
+}
+
+/**
+ * Whether a majority has not responded for an election timeout in which the leader was able to send and receive. A
+ * process that was held up for a short time thus keeps its role with commands in flight, although its lease lapses. The
+ * delay of its ticks extends the timeout by at most one more election timeout: within two, another leader has been
+ * elected.
+ *
+ * @param role role of the leader, with the current tick recorded
+ * @param quorumAt send time of the newest message that a majority has acknowledged
+ * @param now monotonic time
+ * @param timing timing of the group
+ */
+export function isQuorumLost(
+  {lateTicks}: LeaderRole,
+  quorumAt: MonotonicMs,
+  now: MonotonicMs,
+  {electionTimeoutMs}: ReplicationTiming,
+): boolean {
+  const delayedMs = lateTicks.reduce((sum, {lateMs}) => sum + lateMs, 0);
+  return now - quorumAt > electionTimeoutMs + Math.min(delayedMs, electionTimeoutMs);
+}
--- a/packages/stallpaddle-replication/src/ReplicationDraft.ts
+++ b/packages/stallpaddle-replication/src/ReplicationDraft.ts
@@ -1,6 +1,6 @@
 /**
- * The next state while a step builds it. Functions whose names begin with `$` may be called only
- * within a step: they change the draft.
+ * Mutable draft of the next state. Functions whose names begin with `$` change the draft and may only be called within
+ * a step.
  */
 import type {MonotonicMs, ReplicaId} from 'stallpaddle';
 
@@ -18,7 +18,7 @@
 
 type Mutable<T> = {-readonly [Key in keyof T]: T[Key]};
 
-/** State under construction, with the effects gathered so far. */
+/** Next state of a replica and the effects collected so far. */
 export interface ReplicationDraft extends Mutable<ReplicationState> {
   readonly effects: ReplicationEffect[];
   readonly now: MonotonicMs;
@@ -27,7 +27,7 @@
 const HASH_RANGE = 4_294_967_296;
 
 /**
- * Opens a draft of the next state.
+ * Creates a draft of the next state.
  *
  * @param state current state
  * @param now monotonic time of the event
@@ -37,7 +37,7 @@
 }
 
 /**
- * Closes a draft.
+ * Returns the finished state and its effects.
  *
  * @param draft finished draft
  */
@@ -47,10 +47,10 @@
 }
 
 /**
- * Adds an effect.
+ * Adds an effect for the driver to execute.
  *
  * @param draft draft of the running step
- * @param effect what the driver must do
+ * @param effect the effect
  */
 export function $emit(draft: ReplicationDraft, effect: ReplicationEffect): void {
   draft.effects.push(effect);
@@ -62,7 +62,7 @@
  * @param draft draft of the running step
  * @param to receiver
  * @param body what to send
- * @param afterPersist the message speaks for what was written before it
+ * @param afterPersist whether the message must wait until all earlier writes are synced
  */
 export function $send(
   draft: ReplicationDraft,
@@ -75,10 +75,10 @@
 }
 
 /**
- * Asks for a write of the term, the vote and entries.
+ * Requests a write of the hard state and entries.
  *
  * @param draft draft of the running step
- * @param entries entries to write, may be none
+ * @param entries entries to write, if any
  */
 export function $persist(draft: ReplicationDraft, entries: readonly LogEntry[]): void {
   const {commit, term, votedFor} = draft;
@@ -87,8 +87,8 @@
 }
 
 /**
- * Draws the next election time: between one and two election timeouts from now. The draw is a
- * hash of name and count, so that a run can be repeated.
+ * Draws the next election time, between one and two election timeouts from now. The draw is a hash of the replica and a
+ * counter, so that runs are reproducible.
  *
  * @param draft draft of the running step
  */
@@ -102,7 +102,7 @@
  * Becomes a follower.
  *
  * @param draft draft of the running step
- * @param leader the term's leader, where known
+ * @param leader leader of the term, if known
  */
 export function $becomeFollower(draft: ReplicationDraft, leader: ReplicaId | null): void {
   const role: Role = {kind: 'follower', leader};
@@ -111,11 +111,11 @@
 }
 
 /**
- * Enters a later term as a follower and records it.
+ * Enters a later term as a follower and persists it.
  *
  * @param draft draft of the running step
  * @param term the later term
- * @param leader its leader, where known
+ * @param leader leader of that term, if known
  */
 export function $enterTerm(draft: ReplicationDraft, term: number, leader: ReplicaId | null): void {
   draft.term = term;
--- a/packages/stallpaddle-replication/src/ReplicationElection.ts
+++ b/packages/stallpaddle-replication/src/ReplicationElection.ts
@@ -1,5 +1,5 @@
 /**
- * Elections: pre-vote, vote, and the refusal to vote while a leader may hold its lease.
+ * Leader election: pre-vote, vote and leadership transfer. Votes are withheld while a leader may hold its lease.
  */
 import type {ReplicaId} from 'stallpaddle';
 
@@ -7,13 +7,13 @@
 import type {Message, MessageBody, Progress} from './ReplicationTypes';
 
 import {$becomeFollower, $enterTerm, $persist, $resetElection, $send} from './ReplicationDraft';
-import {$appendOwn, $broadcast} from './ReplicationLeader';
+import {$appendToLog, $broadcast} from './ReplicationLeader';
 import {isMajority} from './ReplicationLease';
 
 type VoteRequest = Extract<MessageBody, {kind: 'preVote' | 'vote'}>;
 type VoteReply = Extract<MessageBody, {kind: 'preVoteReply' | 'voteReply'}>;
 
-function othersOf(draft: ReplicationDraft): readonly ReplicaId[] {
+function otherVoters(draft: ReplicationDraft): readonly ReplicaId[] {
   return draft.log.members.voters.filter((voter) => voter !== draft.self);
 }
 
@@ -31,8 +31,8 @@
 
 function $requestVotes(draft: ReplicationDraft, kind: 'preVote' | 'vote', transfer: boolean): void {
   const {lastIndex, lastTerm} = draft.log;
-  for (const voter of othersOf(draft)) {
-    // A vote request speaks for the candidate's own recorded vote.
+  for (const voter of otherVoters(draft)) {
+    // A vote request implies the candidate's vote for itself, which must be durable first.
     $send(draft, voter, {kind, lastIndex, lastTerm, transfer}, kind === 'vote');
   }
 }
@@ -56,16 +56,16 @@
   }
   const since = draft.now;
   draft.role = {
+    commitAdvancedAt: since,
     countedUntil: since,
     kind: 'leader',
-    lateTicks: [],
     lastTickAt: since,
+    lateTicks: [],
     progress,
-    commitAdvancedAt: since,
     since,
     termStart: next,
   };
-  $appendOwn(draft, [{kind: 'noop'}]);
+  $appendToLog(draft, [{kind: 'noop'}]);
   $broadcast(draft);
 }
 
@@ -82,7 +82,7 @@
 }
 
 /**
- * Asks the others whether an election could be won; changes no term yet.
+ * Starts a pre-vote: asks the other voters whether an election could be won, without changing the term.
  *
  * @param draft draft of the running step
  */
@@ -100,7 +100,7 @@
 }
 
 /**
- * Stands for election at once because the leader asked for it.
+ * Starts an election without a pre-vote, at the request of the current leader.
  *
  * @param draft draft of the running step
  */
@@ -111,7 +111,7 @@
 }
 
 /**
- * Answers a request for a pre-vote; nothing is recorded.
+ * Replies to a pre-vote request; nothing is persisted.
  *
  * @param draft draft of the running step
  * @param message the request
@@ -123,8 +123,8 @@
 }
 
 /**
- * Answers a request for a vote. Without a transfer, no vote is given and no term is entered while a
- * leader was heard within the election timeout: the lease rests on this.
+ * Replies to a vote request. Except for a leadership transfer, a replica neither votes nor enters a new term while it
+ * has had contact with a leader within the election timeout: the lease depends on this.
  *
  * @param draft draft of the running step
  * @param message the request
@@ -137,8 +137,8 @@
   if (message.term > draft.term) {
     $enterTerm(draft, message.term, null);
   }
-  const free = draft.votedFor === null || draft.votedFor === message.from;
-  const granted = message.term === draft.term && free && isUpToDate(draft, request);
+  const canVote = draft.votedFor === null || draft.votedFor === message.from;
+  const granted = message.term === draft.term && canVote && isUpToDate(draft, request);
   if (granted) {
     draft.votedFor = message.from;
     $persist(draft, []);
@@ -148,7 +148,7 @@
 }
 
 /**
- * Counts a reply to a pre-vote or vote.
+ * Counts a reply to a pre-vote or vote request.
  *
  * @param draft draft of the running step
  * @param message the reply
@@ -176,8 +176,8 @@
 }
 
 /**
- * Gives up leadership in favour of the replica that is furthest ahead. The lease ends here, before
- * the successor is asked to stand.
+ * Transfers leadership to the voter with the longest replicated log. The lease ends here, before the successor is asked
+ * to start an election.
  *
  * @param draft draft of the running step
  */
@@ -187,9 +187,10 @@
     return;
   }
   const {voters} = draft.log.members;
-  const after = voters.indexOf(draft.self) + 1;
-  // The next one among equals: were it always the first, two that both lack something would pass leadership to and fro.
-  const successor = [...voters.slice(after), ...voters.slice(0, after)]
+  const nextPosition = voters.indexOf(draft.self) + 1;
+  // Ties go to the next voter in order. If they went to the first one, two replicas that both lack bulk data would pass
+  // leadership back and forth and never reach a third one.
+  const successor = [...voters.slice(nextPosition), ...voters.slice(0, nextPosition)]
     .filter((voter) => voter !== draft.self)
     .map((voter) => ({match: role.progress.get(voter)?.match ?? 0, voter}))
     .sort((a, b) => b.match - a.match)[0];
--- a/packages/stallpaddle-replication/src/ReplicationFollower.ts
+++ b/packages/stallpaddle-replication/src/ReplicationFollower.ts
@@ -1,5 +1,5 @@
 /**
- * The follower's side of log replication.
+ * Log replication on a follower.
  */
 import type {MonotonicMs} from 'stallpaddle';
 
@@ -21,10 +21,13 @@
 
 type Append = Extract<MessageBody, {kind: 'append'}>;
 
-/** Most answers that are remembered: those of a second of a busy leader's appends. Without them the leader is asked. */
-const MOST_ANSWERED = 256;
+/**
+ * Maximum number of remembered acknowledgements. A follower that has none to refer to can't bound its staleness, and
+ * reads go to the leader.
+ */
+const MAX_ACKED_APPENDS = 256;
 
-function $heedLeader(draft: ReplicationDraft, message: Message): void {
+function $acceptLeader(draft: ReplicationDraft, message: Message): void {
   if (message.term > draft.term) {
     $enterTerm(draft, message.term, message.from);
   } else {
@@ -34,7 +37,7 @@
   $resetElection(draft);
 }
 
-/** Entries that this log lacks, after any that conflict were cut off. */
+/** Appends the entries that the log lacks and returns them; conflicting entries are truncated first. */
 function $mergeEntries(draft: ReplicationDraft, entries: readonly LogEntry[]): readonly LogEntry[] {
   const {log} = draft;
   const firstNew = entries.findIndex(
@@ -45,7 +48,7 @@
   }
   const added = entries.slice(firstNew);
   const from = added[0]!.index;
-  invariant(from > draft.commit, 'entry %s would replace a committed one', from);
+  invariant(from > draft.commit, 'entry %s conflicts with a committed entry', from);
   draft.log = log.truncateFrom(from).append(added);
   draft.persisted = Math.min(draft.persisted, from - 1);
   $persist(draft, added);
@@ -53,21 +56,21 @@
 }
 
 /**
- * Takes in a leader's word that it lives. The answer speaks for nothing that was written, so it waits for no disk.
+ * Handles an `alive` message. The reply depends on no write, so it is sent at once.
  *
  * @param draft draft of the running step
- * @param message the word
+ * @param message the message
  * @param sentAt when it was sent
  */
 export function $onAlive(draft: ReplicationDraft, message: Message, sentAt: MonotonicMs): void {
   if (message.term >= draft.term) {
-    $heedLeader(draft, message);
+    $acceptLeader(draft, message);
   }
   $send(draft, message.from, {kind: 'aliveReply', sentAt}, false);
 }
 
 /**
- * Takes in entries or a heartbeat from the leader.
+ * Handles an append or heartbeat of the leader.
  *
  * @param draft draft of the running step
  * @param message the append
@@ -79,11 +82,11 @@
     $send(draft, message.from, {kind: 'appendReply', lastIndex: 0, ok: false, sentAt}, false);
     return;
   }
-  $heedLeader(draft, message);
+  $acceptLeader(draft, message);
   const {log} = draft;
   const covered = append.prevIndex < log.snapshot.index;
   if (!covered && log.termAt(append.prevIndex) !== append.prevTerm) {
-    // Committed entries match every leader's: nothing before them needs to be tried.
+    // Committed entries match those of every leader, so the leader need not probe below the commit index.
     const lastIndex = Math.max(draft.commit, Math.min(append.prevIndex - 1, log.lastIndex));
     $send(draft, message.from, {kind: 'appendReply', lastIndex, ok: false, sentAt}, true);
     return;
@@ -97,30 +100,31 @@
     draft.commit = commit;
     $applyCommitted(draft);
   }
-  $noteComplete(draft, message.term, append);
-  $noteAnswered(draft, message.term, sentAt);
+  $updateCaughtUp(draft, message.term, append);
+  $recordAck(draft, message.term, sentAt);
 }
 
-/** Notes that an append is answered. */
-function $noteAnswered(draft: ReplicationDraft, term: Term, sentAt: MonotonicMs): void {
+/** Records that an append was acknowledged. */
+function $recordAck(draft: ReplicationDraft, term: Term, sentAt: MonotonicMs): void {
   const appends = draft.ackedAppends?.term === term ? draft.ackedAppends.appends : [];
-  const added = [...appends, {at: draft.now, sentAt}].slice(-MOST_ANSWERED);
-  draft.ackedAppends = {appends: added, term};
+  const extended = [...appends, {at: draft.now, sentAt}].slice(-MAX_ACKED_APPENDS);
+  draft.ackedAppends = {appends: extended, term};
 }
 
 /**
- * Notes as of when this replica holds all that its leader has committed. An append tells what was committed when it was
- * sent, and may have been on its way for long; but it was sent after this replica had given the answer that it names. An
- * answer of this process's earlier life isn't among those that it remembers.
+ * Updates the time at which this replica is known to hold everything its leader had committed. An append may have been
+ * in transit for long, but it was sent after the leader received the acknowledgement that it refers to, so its commit
+ * index is current as of that acknowledgement. Acknowledgements sent before a restart are not remembered and don't
+ * count.
  */
-function $noteComplete(
+function $updateCaughtUp(
   draft: ReplicationDraft,
   term: Term,
   {answeredSentAt, commit}: Append,
 ): void {
   const appends = draft.ackedAppends?.term === term ? draft.ackedAppends.appends : [];
   const position = appends.findIndex(({sentAt}) => sentAt === answeredSentAt);
-  // To a replica that lacks a snapshot, and without a lease, the leader names no commit at all.
+  // The leader sends commit 0 to a replica that needs a snapshot, and while it has no lease.
   if (position >= 0 && commit > 0 && commit <= draft.commit) {
     draft.caughtUpAt = Math.max(draft.caughtUpAt, appends[position]!.at);
     draft.ackedAppends = {appends: appends.slice(position), term};
@@ -128,11 +132,11 @@
 }
 
 /**
- * Whether a snapshot would bring this replica anything. One whose place the log already holds must
- * not replace it: entries after that place may count towards a majority.
+ * Whether a replica needs a snapshot. It must not replace the log if the log already contains its position: later
+ * entries may count towards a majority.
  *
- * @param state a replica's state
- * @param meta the snapshot's place
+ * @param state state of the replica
+ * @param meta position of the snapshot
  */
 export function wantsSnapshot(state: ReplicationState, meta: SnapshotMeta): boolean {
   const isNew = state.log.members.voters.length === 0;
@@ -140,10 +144,10 @@
 }
 
 /**
- * Takes over a snapshot that the driver has received, checked and synced.
+ * Resets the log to a snapshot that the driver has received, verified and synced.
  *
  * @param draft draft of the running step
- * @param meta its place
+ * @param meta position of the snapshot
  * @param term term of the leader that sent it
  */
 export function $onSnapshotInstalled(
--- a/packages/stallpaddle-replication/src/ReplicationLeader.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLeader.ts
@@ -1,5 +1,5 @@
 /**
- * The leader's side of log replication.
+ * Log replication on the leader.
  */
 import type {MonotonicMs, ReplicaId} from 'stallpaddle';
 
@@ -16,6 +16,7 @@
   Role,
 } from './ReplicationTypes';
 
+import {isQuorumLost, recordTick} from './ReplicationCheckQuorum';
 import {
   ALIVE_AFTER_HEARTBEATS,
   MAX_APPEND_BYTES,
@@ -26,7 +27,6 @@
 import {$becomeFollower, $emit, $persist, $send} from './ReplicationDraft';
 import {holdsLease, majorityValue, quorumAckedAt} from './ReplicationLease';
 import {entryBytes} from './ReplicationLog';
-import {recordTick, isQuorumLost} from './ReplicationSilence';
 
 type AppendReply = Extract<MessageBody, {kind: 'appendReply'}>;
 type LeaderRole = Extract<Role, {kind: 'leader'}>;
@@ -37,23 +37,23 @@
   replica: ReplicaId,
   change: Partial<Progress>,
 ): LeaderRole {
-  const known = role.progress.get(replica)!;
+  const current = role.progress.get(replica)!;
   const next: LeaderRole = {
     ...role,
-    progress: new Map(role.progress).set(replica, {...known, ...change}),
+    progress: new Map(role.progress).set(replica, {...current, ...change}),
   };
   draft.role = next;
   return next;
 }
 
 /**
- * Adds entries of the current term to the leader's own log.
+ * Appends entries of the current term to the leader's own log.
  *
  * @param draft draft of the running step
- * @param payloads what to add
- * @returns index of the first entry added
+ * @param payloads contents of the entries
+ * @returns index of the first appended entry
  */
-export function $appendOwn(draft: ReplicationDraft, payloads: readonly EntryPayload[]): LogIndex {
+export function $appendToLog(draft: ReplicationDraft, payloads: readonly EntryPayload[]): LogIndex {
   const first = draft.log.lastIndex + 1;
   const entries: readonly LogEntry[] = payloads.map((payload, offset) => ({
     index: first + offset,
@@ -66,7 +66,7 @@
 }
 
 /**
- * Sends one replica what it lacks, or a heartbeat when it lacks nothing.
+ * Sends a replica the entries it lacks, or a heartbeat if there are none.
  *
  * @param draft draft of the running step
  * @param replica receiver
@@ -95,23 +95,30 @@
   const next = progress.mode === 'replicate' ? progress.next + entries.length : progress.next;
   $setProgress(draft, role, replica, {lastSentAt: draft.now, next});
   const {now} = draft;
-  // A follower takes the commit for all that there is as of now. Without its lease a leader can't say so: another may have
-  // committed more by then, or the one before it, until an entry of its own term is recorded.
+  // The follower treats the commit index as complete at the time of sending. A leader without a lease must not report
+  // it: another leader may have committed more since, or the previous leader before an entry of this term is committed.
   const commit = holdsLease(draft, now) ? draft.commit : 0;
   const answeredSentAt = progress.appendAckedSentAt;
-  const place = {prevIndex, prevTerm};
-  const append = {answeredSentAt, commit, entries, kind: 'append', sentAt: now, ...place} as const;
+  const previous = {prevIndex, prevTerm};
+  const append = {
+    answeredSentAt,
+    commit,
+    entries,
+    kind: 'append',
+    sentAt: now,
+    ...previous,
+  } as const;
   $send(draft, replica, append, false);
 }
 
-/** A probe is repeated with each heartbeat until it is answered, so it carries only what is small. */
+/** Entries for a probe. It is repeated with each heartbeat until it is answered, so it only carries small entries. */
 function probeEntries(log: ReplicationLog, from: LogIndex): readonly LogEntry[] {
   const entries = log.entriesFrom(from, MAX_PROBE_BYTES);
   const bytes = entries.reduce((sum, entry) => sum + entryBytes(entry), 0);
   return bytes > MAX_PROBE_BYTES ? [] : entries;
 }
 
-/** Keeps a replica that is receiving a snapshot from standing for election. */
+/** Sends a heartbeat that keeps a replica from starting an election while it receives a snapshot. */
 function $sendHeartbeat(
   draft: ReplicationDraft,
   role: LeaderRole,
@@ -136,7 +143,7 @@
 }
 
 /**
- * Sends every other replica what it lacks.
+ * Sends every other replica the entries it lacks, or a heartbeat.
  *
  * @param draft draft of the running step
  */
@@ -149,8 +156,8 @@
 }
 
 /**
- * Sends entries just added to the replicas that keep pace; the others get them with their next
- * reply or heartbeat.
+ * Sends newly appended entries to the replicas that are in replicate mode; the others get them after their next reply
+ * or heartbeat.
  *
  * @param draft draft of the running step
  */
@@ -166,7 +173,7 @@
 }
 
 /**
- * Sends due heartbeats and gives up leadership when no majority answers.
+ * Sends due heartbeats. Steps down when no majority responds, or when entries stay uncommitted for too long.
  *
  * @param draft draft of the running step
  */
@@ -185,9 +192,9 @@
   if (draft.commit >= draft.log.lastIndex) {
     draft.role = {...role, commitAdvancedAt: now};
   } else if (now - role.commitAdvancedAt > timing.electionTimeoutMs * STALLED_COMMIT_TIMEOUTS) {
-    // Commands wait though a majority answers that it lives.
+    // A majority responds, but the log does not get through.
     $becomeFollower(draft, null);
-    // Whoever the log reaches may lead; this replica stands again only once the others have had their turns.
+    // A replica that the log reaches may lead; this one starts an election only after the others had the chance.
     draft.electionAt += timing.electionTimeoutMs * STEP_DOWN_BACKOFF_TIMEOUTS;
     return;
   }
@@ -199,7 +206,10 @@
   }
 }
 
-/** A replica that has answered nothing for longer than a heartbeat takes may have much under way to it. */
+/**
+ * Appends may be queued up to a replica that has acknowledged nothing for more than a heartbeat, so the leader sends an
+ * `alive` message, which overtakes them.
+ */
 function $sendAliveWhenDue(draft: ReplicationDraft, replica: ReplicaId, progress: Progress): void {
   const {now, role, timing} = draft;
   const silentMs = now - Math.max(progress.ackedSentAt, progress.aliveSentAt);
@@ -210,11 +220,11 @@
 }
 
 /**
- * Takes in a replica's answer to the word that this leader lives.
+ * Handles the reply to an `alive` message.
  *
  * @param draft draft of the running step
- * @param message the answer
- * @param sentAt when that word was sent
+ * @param message the reply
+ * @param sentAt when the `alive` message was sent
  */
 export function $onAliveReply(
   draft: ReplicationDraft,
@@ -230,8 +240,8 @@
 }
 
 /**
- * Moves the commit index to what a majority has synced, and applies up to there. Entries of earlier
- * terms count only together with one of this term (Raft, section 3.6.2).
+ * Advances the commit index to what a majority has synced, and applies the entries up to it. Entries of earlier terms
+ * are committed only together with one of this term (Raft, section 3.6.2).
  *
  * @param draft draft of the running step
  */
@@ -240,11 +250,11 @@
   if (role.kind !== 'leader') {
     return;
   }
-  const reached = majorityValue(log.members, (voter) =>
+  const majorityIndex = majorityValue(log.members, (voter) =>
     voter === draft.self ? draft.persisted : (role.progress.get(voter)?.match ?? 0),
   );
-  if (reached > draft.commit && log.termAt(reached) === draft.term) {
-    draft.commit = reached;
+  if (majorityIndex > draft.commit && log.termAt(majorityIndex) === draft.term) {
+    draft.commit = majorityIndex;
     draft.role = {...role, commitAdvancedAt: draft.now};
     $applyCommitted(draft);
     $stepDownWhenRemoved(draft);
@@ -252,7 +262,7 @@
 }
 
 /**
- * Hands committed entries to the state machine.
+ * Passes committed entries to the state machine.
  *
  * @param draft draft of the running step
  */
@@ -276,7 +286,7 @@
 }
 
 /**
- * Takes in a replica's answer to an append.
+ * Handles the reply to an append.
  *
  * @param draft draft of the running step
  * @param message the reply
@@ -301,7 +311,7 @@
     return;
   }
   if (!reply.ok) {
-    // Never below what is known to match: such a reply is late.
+    // A reply that points below the known match index is outdated.
     const next = Math.max(
       progress.match + 1,
       Math.min(reply.lastIndex + 1, draft.log.lastIndex + 1),
@@ -322,11 +332,11 @@
 }
 
 /**
- * Takes in the end of a snapshot's transfer.
+ * Handles the end of a snapshot transfer.
  *
  * @param draft draft of the running step
  * @param replica receiver
- * @param index the snapshot's place
+ * @param index index that the snapshot covers
  * @param ok whether the receiver installed it
  */
 export function $onSnapshotSent(
@@ -349,8 +359,8 @@
 }
 
 /**
- * Brings the progress table in line with new members. A new replica begins with a snapshot, for
- * only that tells it the members before the log's first entry.
+ * Updates the progress table after a membership change. A new replica starts with a snapshot, because only a snapshot
+ * contains the members before the first entry of the log.
  *
  * @param draft draft of the running step
  * @param members the new members
@@ -368,7 +378,7 @@
       progress.set(replica, known);
     } else if (replica !== draft.self) {
       added.push(replica);
-      const start = {
+      const initial = {
         ackedSentAt: -Infinity,
         addedAt: draft.now,
         aliveSentAt: -Infinity,
@@ -377,7 +387,7 @@
         match: 0,
         next: 1,
       };
-      progress.set(replica, {...start, mode: 'snapshot'});
+      progress.set(replica, {...initial, mode: 'snapshot'});
     }
   }
   draft.role = {...role, progress};
--- a/packages/stallpaddle-replication/src/ReplicationLease.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLease.ts
@@ -1,15 +1,15 @@
 /**
- * Majorities, and the leader lease that rests on them.
+ * Quorum arithmetic and the leader lease.
  */
 import type {MonotonicMs, ReplicaId} from 'stallpaddle';
 
 import type {GroupMembers, Leadership, LogIndex, ReplicationState} from './ReplicationTypes';
 
 /**
- * Whether a set of replicas holds a majority of the voters.
+ * Whether a set of replicas contains a majority of the voters.
  *
- * @param members who votes
- * @param has tells whether a voter is in the set
+ * @param members members of the group
+ * @param has whether a voter is in the set
  */
 export function isMajority(members: GroupMembers, has: (voter: ReplicaId) => boolean): boolean {
   return members.voters.filter(has).length * 2 > members.voters.length;
@@ -18,8 +18,8 @@
 /**
  * The largest value that a majority of the voters has reached.
  *
- * @param members who votes
- * @param valueOf each voter's value
+ * @param members members of the group
+ * @param valueOf value of a voter
  */
 export function majorityValue(
   members: GroupMembers,
@@ -30,10 +30,10 @@
 }
 
 /**
- * Voters that hold a log up to a place on their disks, as a leader knows.
+ * Voters known to hold the log up to an index on disk.
  *
  * @param state a leader's state
- * @param index the place
+ * @param index index of the entry
  */
 export function votersWithEntry(state: ReplicationState, index: LogIndex): readonly ReplicaId[] {
   const {log, persisted, role, self} = state;
@@ -45,10 +45,10 @@
 }
 
 /**
- * When a leader last sent something that a majority has since answered.
+ * Send time of the newest message that a majority of the voters has acknowledged.
  *
  * @param state a leader's state
- * @param now monotonic time, which stands for the leader's own answer
+ * @param now monotonic time, used as the leader's own acknowledgement
  */
 export function quorumAckedAt(state: ReplicationState, now: MonotonicMs): MonotonicMs {
   const {role} = state;
@@ -61,8 +61,8 @@
 }
 
 /**
- * Until when no other replica can be elected: every voter that answered withholds its vote for
- * one election timeout after the send it answered. A fraction is given up for clock drift.
+ * End of the lease. Each voter that acknowledged a message withholds its vote for an election timeout after receiving
+ * it, so no other replica can be elected before. A fraction is given up for clock drift.
  *
  * @param state a replica's state
  * @param now monotonic time
@@ -73,8 +73,8 @@
 }
 
 /**
- * Whether this replica may answer from its own state, and issue orders, at this moment: it leads,
- * its lease runs, and it has committed an entry of its own term.
+ * Whether this replica may serve reads and make decisions: it is the leader, its lease is valid, and it has committed
+ * an entry of its own term.
  *
  * @param state a replica's state
  * @param now monotonic time
@@ -88,7 +88,7 @@
 }
 
 /**
- * What a replica may do for its group.
+ * Whether a replica leads its group, with or without a valid lease.
  *
  * @param state a replica's state
  * @param now monotonic time
--- a/packages/stallpaddle-replication/src/ReplicationLog.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLog.ts
@@ -1,8 +1,8 @@
 /**
- * The part of the log that a replica holds in memory, as an immutable view.
+ * In-memory part of the log, as an immutable view.
  *
- * Views share one backing array: appending to the newest view adds in place, and older views never
- * look past their own length. Appending is thus O(1) without changing what an older view shows.
+ * Views share one backing array: the newest view appends in place, and older views never read past their own length.
+ * Appending is O(1) and does not change what an older view contains.
  */
 import {invariant} from 'stallpaddle';
 
@@ -10,17 +10,17 @@
 
 const NO_MEMBERS: GroupMembers = {learners: [], voters: []};
 
-/** Place of a log that holds nothing and knows no members. */
+/** Position of an empty log without members. */
 export const EMPTY_SNAPSHOT: SnapshotMeta = {index: 0, members: NO_MEMBERS, term: 0};
 
-/** Index and content of a membership entry. */
+/** A membership entry and its index. */
 interface MembersAt {
   readonly index: LogIndex;
   readonly members: GroupMembers;
 }
 
 /**
- * Size of an entry's command, in bytes; 0 for other entries.
+ * Size of the command of an entry, in bytes; 0 for other entries.
  *
  * @param entry the entry
  */
@@ -28,7 +28,7 @@
   return entry.payload.kind === 'command' ? entry.payload.data.length : 0;
 }
 
-/** Immutable view of a log; see the module's comment. */
+/** Immutable view of the entries after a position, with the members in force at each index. */
 export class ReplicationLog {
   private constructor(
     readonly snapshot: SnapshotMeta,
@@ -40,10 +40,10 @@
   ) {}
 
   /**
-   * Makes a log from what the disk held.
+   * Creates a log from stored data.
    *
-   * @param snapshot place of the latest snapshot
-   * @param entries consecutive entries; those the snapshot covers may be among them
+   * @param snapshot position of the latest snapshot
+   * @param entries consecutive entries; may include some that the snapshot covers
    */
   static restore(snapshot: SnapshotMeta, entries: readonly LogEntry[]): ReplicationLog {
     const held = entries.filter((entry) => entry.index > snapshot.index);
@@ -53,30 +53,30 @@
     return base.append(held);
   }
 
-  /** Index of the last entry; `firstIndex - 1` when none is held. */
+  /** Index of the last entry; `firstIndex - 1` if there is none. */
   get lastIndex(): LogIndex {
     return this.firstIndex + this.length - 1;
   }
 
-  /** Term of the last entry, or of the place before the first. */
+  /** Term of the last entry, or of the position before the first entry. */
   get lastTerm(): Term {
     return this.length > 0 ? this.backing[this.length - 1]!.term : this.prevTerm;
   }
 
-  /** Members after the last entry, committed or not. */
+  /** Members in force after the last entry, committed or not. */
   get members(): GroupMembers {
     return this.membersHistory.at(-1)!.members;
   }
 
-  /** Index of the entry that set the members, or the snapshot's. */
+  /** Index of the entry or snapshot that set the current members. */
   get membersIndex(): LogIndex {
     return this.membersHistory.at(-1)!.index;
   }
 
   /**
-   * Term at a place, or undefined when it is not held.
+   * Term at an index, or undefined if the log does not contain it.
    *
-   * @param index a place in the log
+   * @param index index in the log
    */
   termAt(index: LogIndex): Term | undefined {
     if (index === this.firstIndex - 1) {
@@ -90,10 +90,10 @@
   }
 
   /**
-   * Entries from a place on, at most so many bytes of commands, but one entry at least.
+   * Entries starting at an index. Stops once the size limit is reached, but returns at least one entry if there is one.
    *
    * @param from first index
-   * @param maxBytes bound on the commands' bytes
+   * @param maxBytes limit on the size of the commands, in bytes
    */
   entriesFrom(from: LogIndex, maxBytes: number): readonly LogEntry[] {
     const start = from - this.firstIndex;
@@ -110,16 +110,16 @@
   }
 
   /**
-   * Members in force at an index that the log still covers.
+   * Members in force at an index that the log or its snapshot covers.
    *
-   * @param index a committed place
+   * @param index a committed index
    */
   membersAt(index: LogIndex): GroupMembers {
-    return this.membersHistory.findLast((known) => known.index <= index)!.members;
+    return this.membersHistory.findLast((entry) => entry.index <= index)!.members;
   }
 
   /**
-   * Adds entries after the last one.
+   * Appends entries.
    *
    * @param entries consecutive entries that start at `lastIndex + 1`
    */
@@ -133,8 +133,8 @@
       entries[0]!.index,
       this.lastIndex,
     );
-    const shares = this.backing.length === this.length;
-    const backing = shares ? this.backing : this.backing.slice(0, this.length);
+    const isNewest = this.backing.length === this.length;
+    const backing = isNewest ? this.backing : this.backing.slice(0, this.length);
     const history: MembersAt[] = [];
     for (const entry of entries) {
       backing.push(entry);
@@ -153,9 +153,9 @@
   }
 
   /**
-   * Drops all entries from an index on.
+   * Removes all entries from an index on.
    *
-   * @param from first index to drop; never one that a snapshot covers
+   * @param from first index to remove; must not be covered by the snapshot
    */
   truncateFrom(from: LogIndex): ReplicationLog {
     invariant(from > this.snapshot.index, 'truncation at %s cuts into a snapshot', from);
@@ -168,21 +168,21 @@
       this.prevTerm,
       this.backing.slice(0, from - this.firstIndex),
       from - this.firstIndex,
-      this.membersHistory.filter((known) => known.index < from),
+      this.membersHistory.filter((entry) => entry.index < from),
     );
   }
 
   /**
-   * Records a snapshot and forgets entries before a place.
+   * Records a snapshot and removes entries before an index.
    *
-   * @param meta the snapshot's place
-   * @param keepFrom first entry to keep for replicas that lag a little
+   * @param meta position of the snapshot
+   * @param keepFrom index of the first entry to keep for replicas that lag slightly
    */
   compact(meta: SnapshotMeta, keepFrom: LogIndex): ReplicationLog {
     const first = Math.max(this.firstIndex, Math.min(keepFrom, meta.index + 1));
     const prevTerm = this.termAt(first - 1);
     invariant(prevTerm !== undefined, 'no term at %s', first - 1);
-    const history = this.membersHistory.filter((known) => known.index > meta.index);
+    const history = this.membersHistory.filter((entry) => entry.index > meta.index);
     return new ReplicationLog(
       meta,
       first,
--- a/packages/stallpaddle-replication/src/ReplicationStep.ts
+++ b/packages/stallpaddle-replication/src/ReplicationStep.ts
@@ -1,5 +1,5 @@
 /**
- * The replica as a pure state machine: one event in, the next state and typed effects out.
+ * Replica as a pure state machine: maps an event to the next state and a list of effects.
  */
 import type {GroupId, MonotonicMs, ReplicaId} from 'stallpaddle';
 
@@ -31,7 +31,7 @@
 import {$onAlive, $onAppend, $onSnapshotInstalled} from './ReplicationFollower';
 import {
   $advanceCommit,
-  $appendOwn,
+  $appendToLog,
   $applyCommitted,
   $leaderTick,
   $onAliveReply,
@@ -44,7 +44,7 @@
 
 type LeaderRole = Extract<Role, {kind: 'leader'}>;
 
-/** What a replica starts from. */
+/** Identity, timing and stored data that a replica starts with. */
 export interface ReplicaStart {
   readonly group: GroupId;
   readonly hardState: HardState;
@@ -54,10 +54,10 @@
 }
 
 /**
- * State of a replica after a start. The start counts as having heard a leader: before its restart
- * the replica may have confirmed a lease that still runs.
+ * Initial state of a replica. The start counts as contact with a leader: before the restart, the replica may have
+ * acknowledged a message that extended a lease which is still valid.
  *
- * @param start what the disk held
+ * @param start identity, timing and stored data
  * @param now monotonic time
  */
 export function startReplica(start: ReplicaStart, now: MonotonicMs): ReplicationState {
@@ -67,8 +67,8 @@
     {
       ackedAppends: null,
       applied: index,
-      commit,
       caughtUpAt: -Infinity,
+      commit,
       electionAt: now,
       electionCount: 0,
       group: start.group,
@@ -88,7 +88,7 @@
 }
 
 /**
- * Whether a message is small and may overtake others on its way, so that no bulk can hold it up.
+ * Whether a message is small and may overtake others in transit, so that large messages never delay it.
  *
  * @param message any message
  */
@@ -97,7 +97,7 @@
 }
 
 /**
- * The leader this replica knows of.
+ * The leader that this replica knows, if any.
  *
  * @param state a replica's state
  */
@@ -113,14 +113,14 @@
   }
 }
 
-/** Time that no command of this term has counted yet, in milliseconds; from now on it is counted. */
+/** Returns the time not yet counted by any command of this term, in milliseconds, and marks it as counted. */
 function $countTime(draft: ReplicationDraft, role: LeaderRole): number {
   draft.role = {...role, countedUntil: draft.now};
   return draft.now - role.countedUntil;
 }
 
 function $propose(draft: ReplicationDraft, commands: readonly ProposedCommand[]): void {
-  // Without its lease a leader takes nothing on: a majority may already follow another.
+  // A leader without a lease accepts nothing: a majority may already follow another leader.
   if (draft.role.kind !== 'leader' || !holdsLease(draft, draft.now)) {
     const leader = draft.role.kind === 'leader' ? null : knownLeader(draft);
     for (const {requestId} of commands) {
@@ -129,9 +129,9 @@
     return;
   }
   const elapsedMs = $countTime(draft, draft.role);
-  const first = $appendOwn(
+  const first = $appendToLog(
     draft,
-    // All were proposed at the same moment: the first of them tells the time.
+    // All commands were proposed at the same time, so only the first one carries the elapsed time.
     commands.map(({data}, at) => ({data, elapsedMs: at === 0 ? elapsedMs : 0, kind: 'command'})),
   );
   commands.forEach(({requestId}, offset) => {
@@ -147,13 +147,13 @@
 }
 
 function $changeMembers(draft: ReplicationDraft, members: GroupMembers, requestId: number): void {
-  const settled = draft.log.membersIndex <= draft.commit;
-  const allowed = settled && isSingleChange(draft.log.members, members);
+  const isPreviousCommitted = draft.log.membersIndex <= draft.commit;
+  const allowed = isPreviousCommitted && isSingleChange(draft.log.members, members);
   if (!allowed || !holdsLease(draft, draft.now)) {
     $emit(draft, {kind: 'rejected', leader: knownLeader(draft), requestId});
     return;
   }
-  const index = $appendOwn(draft, [{kind: 'members', members}]);
+  const index = $appendToLog(draft, [{kind: 'members', members}]);
   $trackMembers(draft, members);
   $emit(draft, {index, kind: 'proposed', requestId, term: draft.term});
   $sendNewEntries(draft);
@@ -205,7 +205,7 @@
 }
 
 function $onPersisted(draft: ReplicationDraft, index: number, term: number): void {
-  // A write that was overtaken by a conflicting entry says nothing about this log.
+  // If the entry was replaced meanwhile, the completed write says nothing about the current log.
   if (index > draft.persisted && draft.log.termAt(index) === term) {
     draft.persisted = index;
     $advanceCommit(draft);
@@ -258,12 +258,12 @@
 }
 
 /**
- * Takes in one event.
+ * Processes one event.
  *
  * @param state current state
- * @param event what happened
+ * @param event the event
  * @param now monotonic time of the event, in milliseconds
- * @returns the next state and what the driver must do, in order
+ * @returns the next state and the effects for the driver, in order
  */
 export function stepReplica(
   state: ReplicationState,
@@ -276,7 +276,7 @@
 }
 
 /**
- * Time that a leader's commands have not counted yet, in milliseconds: its next command will. 0 for others.
+ * Time that the next command of a leader will count, in milliseconds; 0 for other replicas.
  *
  * @param state a replica's state
  * @param now monotonic time
@@ -286,7 +286,7 @@
 }
 
 /**
- * Whether a learner holds all that the leader has committed.
+ * Whether a learner holds everything that the leader has committed.
  *
  * @param state a leader's state
  * @param learner the learner
--- a/packages/stallpaddle-replication/src/ReplicationTypes.ts
+++ b/packages/stallpaddle-replication/src/ReplicationTypes.ts
@@ -1,34 +1,34 @@
 /**
- * Data that replicas of a group exchange and keep.
+ * Messages, stored records and in-memory state of a replica.
  *
- * The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with pre-vote,
- * check-quorum, a leader lease and membership changes of one replica at a time.
+ * The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with pre-vote, check-quorum, a leader
+ * lease and single-server membership changes.
  */
 import type {GroupId, MonotonicMs, ReplicaId} from 'stallpaddle';
 
 import type {ReplicationLog} from './ReplicationLog';
 
-/** Election period; rises by one with each election. */
+/** Raft term; increases with each election. */
 export type Term = number;
 /** Position in the log, from 1. */
 export type LogIndex = number;
 
-/** Who holds copies of the log. */
+/** Voters and learners of a group. */
 export interface GroupMembers {
-  /** Receive the log without a vote. */
+  /** Replicas that receive the log but have no vote. */
   readonly learners: readonly ReplicaId[];
-  /** A majority of these decides. */
+  /** Replicas whose majority commits entries and elects the leader. */
   readonly voters: readonly ReplicaId[];
 }
 
-/** What a log entry carries. */
+/** Content of a log entry. */
 export type EntryPayload =
   | {
       readonly data: Uint8Array;
       /**
-       * Time that the proposing leader counted since its last command, or since it was elected, by its steady clock,
-       * in milliseconds. Sums of it never run ahead of time: no two leaders count the same time. Entries of releases
-       * before it have none.
+       * Time that the proposing leader measured on its monotonic clock since its previous command, or since its
+       * election, in milliseconds. No two leaders count the same interval, so the sum never runs ahead of real time.
+       * Absent in entries written by older releases.
        */
       readonly elapsedMs?: number;
       readonly kind: 'command';
@@ -36,25 +36,25 @@
   | {readonly kind: 'members'; readonly members: GroupMembers}
   | {readonly kind: 'noop'};
 
-/** One place in the log. */
+/** Entry of the log. */
 export interface LogEntry {
   readonly index: LogIndex;
   readonly payload: EntryPayload;
   readonly term: Term;
 }
 
-/** What a replica must never forget between restarts, besides its log. */
+/** Raft state that survives restarts, besides the log. */
 export interface HardState {
   /**
-   * Index known to be committed when this was written. It may lag, and then a restart knows less; without
-   * it a restarted replica could show nothing until a leader was elected.
+   * Commit index at the time of the write. It may lag behind, but without it a restarted replica could apply nothing
+   * until a leader is elected.
    */
   readonly commit?: LogIndex;
   readonly term: Term;
   readonly votedFor: ReplicaId | null;
 }
 
-/** The place in the log that a snapshot stands for. */
+/** Log position that a snapshot covers, and the members at that position. */
 export interface SnapshotMeta {
   readonly index: LogIndex;
   readonly members: GroupMembers;
@@ -64,24 +64,26 @@
 /** Body of a message between replicas. */
 export type MessageBody =
   /**
-   * A leader's word that it lives, and the answer. They say nothing of the log, so they may overtake other messages:
-   * what is under way to a replica may take longer than a lease.
+   * Keepalive of the leader and its reply. They carry no log position, so they may overtake other messages: an append
+   * may be in transit for longer than a lease.
    */
   | {readonly kind: 'alive' | 'aliveReply'; readonly sentAt: MonotonicMs}
   | {
-      /** When the leader sent the newest append that the receiver has answered; earlier releases don't tell. */
+      /** `sentAt` of the newest append whose reply the leader has received; older releases omit it. */
       readonly answeredSentAt?: MonotonicMs;
       readonly commit: LogIndex;
       readonly entries: readonly LogEntry[];
       readonly kind: 'append';
       readonly prevIndex: LogIndex;
       readonly prevTerm: Term;
-      /** Leader's monotonic time at sending; comes back in the reply and dates the lease. */
+      /**
+       * Monotonic time of the leader when it sent the append; echoed in the reply, from which the lease is computed.
+       */
       readonly sentAt: MonotonicMs;
     }
   | {
       readonly kind: 'appendReply';
-      /** Last index known to match when `ok`; else the place to try next. */
+      /** Last matching index if `ok`, otherwise the last index that may match. */
       readonly lastIndex: LogIndex;
       readonly ok: boolean;
       readonly sentAt: MonotonicMs;
@@ -90,7 +92,7 @@
       readonly kind: 'preVote' | 'vote';
       readonly lastIndex: LogIndex;
       readonly lastTerm: Term;
-      /** The leader of the last term asked for this election and gave up its lease. */
+      /** Whether the leader of the previous term released its lease and requested this election. */
       readonly transfer: boolean;
     }
   | {readonly granted: boolean; readonly kind: 'preVoteReply' | 'voteReply'}
@@ -105,25 +107,25 @@
   readonly to: ReplicaId;
 }
 
-/** Times that every replica of a group shares. */
+/** Timing parameters shared by all replicas of a group. */
 export interface ReplicationTiming {
-  /** Shortest silence after which a replica stands for election, in milliseconds. */
+  /** Shortest time without contact from a leader after which a replica starts an election, in milliseconds. */
   readonly electionTimeoutMs: number;
-  /** Time between heartbeats, in milliseconds. */
+  /** Interval between heartbeats, in milliseconds. */
   readonly heartbeatMs: number;
-  /** Part of the lease given up for clocks that run at different speeds. */
+  /** Fraction of the lease given up to tolerate clocks that run at different rates. */
   readonly leaseDriftFraction: number;
 }
 
-/** What the leader knows of another replica. */
+/** Replication progress of another replica, as tracked by the leader. */
 export interface Progress {
-  /** When this leader began to send to the replica: it may have answered nothing yet. */
+  /** When this leader started to replicate to the replica, which may not have replied yet. */
   readonly addedAt: MonotonicMs;
-  /** `sentAt` of the newest message of any kind that the replica answered: its process lives, and hears this leader. */
+  /** `sentAt` of the newest message of any kind that the replica acknowledged: its process is alive and reachable. */
   readonly ackedSentAt: MonotonicMs;
-  /** `sentAt` of the newest append that the replica answered: its disk takes what comes, and the log gets through. */
+  /** `sentAt` of the newest append that the replica acknowledged: its disk accepts writes and the log gets through. */
   readonly appendAckedSentAt: MonotonicMs;
-  /** When it was last told that the leader lives, apart from appends. */
+  /** When the last `alive` message was sent to it. */
   readonly aliveSentAt: MonotonicMs;
   readonly lastSentAt: MonotonicMs;
   readonly match: LogIndex;
@@ -131,13 +133,13 @@
   readonly next: LogIndex;
 }
 
-/** A leader's look at its clock that came late: it sent nothing meanwhile, so nobody could answer. */
+/** A late clock tick of the leader. Nothing was sent since the previous tick, so no acknowledgement could arrive. */
 export interface LateTick {
   readonly at: MonotonicMs;
   readonly lateMs: number;
 }
 
-/** What a replica does at present. */
+/** Raft role of a replica, with the state that belongs to the role. */
 export type Role =
   | {
       readonly kind: 'candidate' | 'preCandidate';
@@ -146,36 +148,39 @@
     }
   | {readonly kind: 'follower'; readonly leader: ReplicaId | null}
   | {
-      /** Up to when this leader's commands have counted the time. It ends with the role, so no other term's is in it. */
+      /**
+       * Time up to which the commands of this leader have counted. It is part of the role, so that no time of another
+       * term is counted.
+       */
       readonly countedUntil: MonotonicMs;
       readonly kind: 'leader';
-      /** Its late looks since the last send that a majority has answered. */
+      /** Late ticks since the newest send that a majority has acknowledged. */
       readonly lateTicks: readonly LateTick[];
-      /** When it last looked at its clock. */
+      /** Time of the last clock tick. */
       readonly lastTickAt: MonotonicMs;
-      /** When a command was last recorded, or none waited for it. */
+      /** When the commit index last advanced, or when a tick last found every entry committed. */
       readonly commitAdvancedAt: MonotonicMs;
       readonly progress: ReadonlyMap<ReplicaId, Progress>;
       readonly since: MonotonicMs;
-      /** Index of this term's first entry; until it is committed nothing may be read. */
+      /** Index of the first entry of this term; nothing may be read before it is committed. */
       readonly termStart: LogIndex;
     };
 
-/** What a replica may do for its group at a moment. */
+/** Whether a replica may read and decide for its group at a given time. */
 export type Leadership =
-  /** Another replica leads, or nobody. */
+  /** Another replica leads, or there is no leader. */
   | {readonly kind: 'follows'}
-  /** It may answer from its own state and decide; in its term nobody else does. */
+  /** It may serve reads from its own state and make decisions; no other replica may in its term. */
   | {readonly kind: 'leads'; readonly term: Term}
   /**
-   * It was elected in the term and knows of no later one, but its lease doesn't run: it decides nothing until the lease
-   * runs again, or it is known that another leads.
+   * It was elected in this term and knows of no later one, but its lease has lapsed. It makes no decisions until the
+   * lease is renewed or another leader becomes known.
    */
   | {readonly kind: 'unsure'; readonly term: Term};
 
-/** What happens to a replica. */
+/** Input of the replica state machine. */
 export type ReplicationEvent =
-  /** A restart: what was known to be committed before goes to the state machine. */
+  /** After a restart: applies the entries that are known to be committed. */
   | {readonly kind: 'applyKnown'}
   | {readonly kind: 'changeMembers'; readonly members: GroupMembers; readonly requestId: number}
   | {readonly commands: readonly ProposedCommand[]; readonly kind: 'propose'}
@@ -192,23 +197,23 @@
   | {readonly kind: 'tick'}
   | {readonly kind: 'transferLeadership'};
 
-/** A command that waits for its place in the log. */
+/** A command to append to the log. */
 export interface ProposedCommand {
   readonly data: Uint8Array;
   readonly requestId: number;
 }
 
-/** What the driver must do after a step. */
+/** Output of a step, executed by the driver. */
 export type ReplicationEffect =
   | {readonly entries: readonly LogEntry[]; readonly kind: 'apply'}
   | {
       readonly entries: readonly LogEntry[];
       readonly hardState: HardState;
-      /** Write and sync as one record; entries replace any at the same or a later index. */
+      /** Written and synced as one record; the entries replace any at the same or a later index. */
       readonly kind: 'persist';
     }
   | {
-      /** The message speaks for what was written: send it only once all earlier writes are synced. */
+      /** The message depends on earlier writes: it is sent only once all of them are synced. */
       readonly afterPersist: boolean;
       readonly kind: 'send';
       readonly message: Message;
@@ -222,39 +227,48 @@
   | {readonly kind: 'rejected'; readonly leader: ReplicaId | null; readonly requestId: number}
   | {readonly kind: 'sendSnapshot'; readonly to: ReplicaId};
 
-/** State after a step and what must be done for it. */
+/** State after a step and the effects to execute, in order. */
 export interface ReplicationStepResult {
   readonly effects: readonly ReplicationEffect[];
   readonly state: ReplicationState;
 }
 
-/** A leader's append that a follower answered. */
+/** An append of the leader that a follower acknowledged. */
 export interface AckedAppend {
-  /** When, by the follower's clock. */
+  /** Time of the acknowledgement, on the clock of the follower. */
   readonly at: MonotonicMs;
-  /** When it was sent, by the leader's clock. */
+  /** Time of sending, on the clock of the leader. */
   readonly sentAt: MonotonicMs;
 }
 
-/** Appends of a term's leader that a follower answered, from the last whose answer surely came to the latest. */
+/**
+ * Appends of one term that a follower acknowledged, starting with the newest one whose acknowledgement the leader is
+ * known to have received.
+ */
 export interface AckedAppends {
   readonly appends: readonly AckedAppend[];
   readonly term: Term;
 }
 
-/** Everything that a replica of a group knows. */
+/** State of one replica of a group. */
 export interface ReplicationState {
-  /** What this replica answered as a follower of its term's leader; null before the first answer. */
+  /** Appends acknowledged as a follower of the current term's leader; null before the first one. */
   readonly ackedAppends: AckedAppends | null;
   readonly applied: LogIndex;
   readonly commit: LogIndex;
-  /** When this replica last held all that its leader had committed, as a follower; -Infinity before it ever did. */
+  /**
+   * Latest time at which this replica, as a follower, is known to have held everything its leader had committed;
+   * -Infinity if never.
+   */
   readonly caughtUpAt: MonotonicMs;
   readonly electionAt: MonotonicMs;
-  /** Number of timeouts drawn so far; spreads elections of different replicas. */
+  /** Number of election timeouts drawn; input of the next draw, so that replicas time out at different moments. */
   readonly electionCount: number;
   readonly group: GroupId;
-  /** When a current leader was last heard, or the start: until the timeout no vote is given. */
+  /**
+   * When a message of the current leader last arrived, or the replica started; no vote is granted for an election
+   * timeout after that.
+   */
   readonly leaderContactAt: MonotonicMs;
   readonly log: ReplicationLog;
   /** Last index known to be synced on this replica's disk. */
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
@@ -7,10 +7,10 @@
 
 import type {ReplicationState} from '../../ReplicationTypes';
 
+import {ReplicaMonitor} from '../../ReplicaMonitor';
+import {isVoter, msUntilElection, ReplicaTicker, tickPeriodMs} from '../../ReplicaTicker';
 import {EMPTY_SNAPSHOT, ReplicationLog} from '../../ReplicationLog';
 import {startReplica, stepReplica} from '../../ReplicationStep';
-import {isVoter, ReplicaTicker, tickPeriodMs, msUntilElection} from '../../ReplicaTicker';
-import {ReplicaMonitor} from '../../ReplicaMonitor';
 
 const TIMING = {electionTimeoutMs: 500, heartbeatMs: 125, leaseDriftFraction: 0.2};
 const SELF = 'a/1';
--- a/packages/stallpaddle-replication/src/index.ts
+++ b/packages/stallpaddle-replication/src/index.ts
@@ -14,12 +14,12 @@
 export {DEFAULT_TIMING} from './ReplicationConstants';
 export {wantsSnapshot} from './ReplicationFollower';
 export {
-  votersWithEntry,
   holdsLease,
   isMajority,
   leadershipOf,
   leaseUntil,
   majorityValue,
+  votersWithEntry,
 } from './ReplicationLease';
 export {EMPTY_SNAPSHOT, ReplicationLog} from './ReplicationLog';
 export {
