--- a/packages/stallpaddle-replication/src/ReplicaBlobs.ts
+++ b/packages/stallpaddle-replication/src/ReplicaBlobs.ts
@@ -1,8 +1,5 @@
 /**
- * A replica's bulk data: one task at a time, in the order in which they were given, so that a snapshot finds all that was
- * applied before it. Pieces that come while a task runs are written together, and a read waits for no task: what is not
- * written yet is in memory. A read that waited for all writes before it took up to 8 s at a leader that gets more pieces in
- * a turn of its process than it can write one by one.
+ * Bulk data of a replica.
  */
 import type {BlobRef, StorageBlobs} from 'stallpaddle-storage';
 
@@ -10,75 +7,79 @@
 
 import type {PlacedBlob} from './ReplicaMachine';
 
-/** Pieces that are written together. */
+/** Blobs that are written together. */
 interface Batch {
   readonly placed: PlacedBlob[];
-  /** Where the data ended before the first of them. */
+  /** End of the bulk data before the first blob of the batch. */
   readonly start: number;
 }
 
-/** See the module's comment. */
+/**
+ * Writes and reads bulk data. Writes run one at a time and in order, so that a snapshot finds everything that was
+ * applied before it. Blobs added during a write are written together afterwards, and reads never wait for writes: a
+ * blob that is not written yet is served from memory.
+ */
 export class ReplicaBlobs {
   private failure: Error | undefined;
-  /** The batch that waits for its turn and takes more pieces in. */
-  private gathering: Batch | undefined;
-  /** Pieces that are not written yet, by their places. */
+  /** The batch that is still queued and accepts more blobs. */
+  private openBatch: Batch | undefined;
+  /** Blobs that are not written yet, by offset. */
   private readonly unwritten = new Map<number, Uint8Array>();
   private work: Promise<void> = Promise.resolve();
 
   /**
-   * @param blobs the bulk data on the disk
-   * @param onFailure called when the disk fails
+   * @param blobs bulk data on the disk
+   * @param onFailure called when a write fails
    */
   constructor(
     private readonly blobs: StorageBlobs,
     private readonly onFailure: (err: unknown) => void,
   ) {}
 
-  /** Where the bulk data ends now; tasks that wait may move it. */
+  /** Current end of the bulk data, in bytes; queued tasks may move it. */
   get end(): number {
     return this.blobs.end;
   }
 
-  /** Resolves once all tasks given so far have ended. */
+  /** Resolves once all tasks queued so far have ended. */
   settle(): Promise<void> {
     return this.work;
   }
 
   /**
-   * Adds bulk data that a command brought.
+   * Adds the bulk data of an applied command.
    *
-   * @param end where the data ended before the command
-   * @param placed the data with its places
+   * @param end end of the bulk data before the command
+   * @param placed blobs with their locations
    */
   add(end: number, placed: readonly PlacedBlob[]): void {
     placed.forEach(({payload, ref}) => this.unwritten.set(ref.offset, payload));
-    if (this.gathering !== undefined) {
-      this.gathering.placed.push(...placed);
+    if (this.openBatch !== undefined) {
+      this.openBatch.placed.push(...placed);
       return;
     }
     const batch: Batch = {placed: [...placed], start: end};
-    this.gathering = batch;
+    this.openBatch = batch;
     void this.run(() => this.write(batch));
   }
 
   /**
-   * Cuts off what was written without being applied, before a crash.
+   * Truncates bulk data that was written but whose commands were not applied before a crash.
    *
-   * @param end where the applied data ends
+   * @param end end of the applied bulk data
    */
-  cutTo(end: number): Promise<void> {
-    return this.runApart(() => this.cut(end));
+  truncateTo(end: number): Promise<void> {
+    return this.runExclusive(() => this.truncate(end));
   }
 
   /**
-   * Takes bulk data that comes before a snapshot.
+   * Appends bulk data that is transferred ahead of a snapshot.
    *
-   * @param offset where it goes; anywhere but after the present end it is ignored
-   * @param bytes content
+   * @param offset offset of the data; ignored unless it continues the present data
+   * @param bytes raw content
    */
   install(offset: number, bytes: Uint8Array): Promise<void> {
-    return this.runApart(async () => {
+    return this.runExclusive(async () => {
       if (this.blobs.continuesAt(offset)) {
         await this.blobs.appendRaw(offset, bytes);
       }
@@ -86,41 +87,41 @@
   }
 
   /**
-   * Reads one piece.
+   * Reads one blob.
    *
-   * @param ref its place, from the state
+   * @param ref location of the blob
    */
   async read(ref: BlobRef): Promise<Uint8Array> {
     return this.unwritten.get(ref.offset) ?? this.blobs.read(ref);
   }
 
   /**
-   * Reads bytes as they lie, for a snapshot.
+   * Reads raw bytes for a snapshot transfer.
    *
-   * @param offset where they begin
-   * @param most most bytes
+   * @param offset offset of the first byte
+   * @param maxBytes maximum number of bytes
    */
-  readRaw(offset: number, most: number): ReturnType<StorageBlobs['readRaw']> {
-    return this.blobs.readRaw(offset, most);
+  readRaw(offset: number, maxBytes: number): ReturnType<StorageBlobs['readRaw']> {
+    return this.blobs.readRaw(offset, maxBytes);
   }
 
-  /** Makes all that was added so far last; fails once any of it could not be written. */
+  /** Syncs everything added so far; fails if any earlier write has failed. */
   async sync(): Promise<void> {
     await this.work;
     if (this.failure !== undefined) {
-      // A snapshot saved now would name bytes that aren't there.
+      // A snapshot saved now would refer to missing bytes.
       throw this.failure;
     }
     await this.blobs.sync();
   }
 
-  /** Ends all tasks and closes the files. */
+  /** Waits for all tasks and closes the files. */
   async close(): Promise<void> {
     await this.work;
     await this.blobs.close();
   }
 
-  private async cut(end: number): Promise<void> {
+  private async truncate(end: number): Promise<void> {
     if (this.blobs.end !== end) {
       await this.blobs.cutTo(end);
     }
@@ -128,22 +129,22 @@
 
   private async write(batch: Batch): Promise<void> {
     const {placed, start} = batch;
-    if (this.gathering === batch) {
-      this.gathering = undefined;
+    if (this.openBatch === batch) {
+      this.openBatch = undefined;
     }
-    await this.cut(start);
+    await this.truncate(start);
     await this.blobs.appendAll(placed);
     for (const {payload, ref} of placed) {
-      // After a cut the place may belong to another piece by now.
+      // After a truncation, the offset may belong to another blob.
       if (this.unwritten.get(ref.offset) === payload) {
         this.unwritten.delete(ref.offset);
       }
     }
   }
 
-  /** Runs a task after what has come so far; pieces that come later are written after it. */
-  private runApart(task: () => Promise<void>): Promise<void> {
-    this.gathering = undefined;
+  /** Runs a task after everything queued so far; blobs added later are written after it. */
+  private runExclusive(task: () => Promise<void>): Promise<void> {
+    this.openBatch = undefined;
     return this.run(task);
   }
 
--- a/packages/stallpaddle-replication/src/ReplicaCorruption.ts
+++ b/packages/stallpaddle-replication/src/ReplicaCorruption.ts
@@ -1,25 +1,29 @@
 /**
- * What comes of bulk data that can't be read: a line in the log, and leadership for a replica that may hold it whole.
- *
- * The replica stays a voter: its log is sound, and one more lost disk could cost the group its majority.
+ * Handling of bulk data that is corrupt on this disk.
  */
 import type {Clock, GroupId, Logger, MonotonicMs} from 'stallpaddle';
 import type {BlobRef, CorruptionError} from 'stallpaddle-storage';
 
-/** Time between two lines on the same data, and two times that this replica makes way, in milliseconds: all replicas may lack it. */
-const AGAIN_MS = 30_000;
-/** Most places that are remembered as told. */
-const MOST_TOLD = 1_000;
+/**
+ * Interval between log lines about the same data, and between leadership transfers, in milliseconds; limits transfers
+ * when every replica lacks the data.
+ */
+const REPEAT_INTERVAL_MS = 30_000;
+/** Maximum number of offsets for which the time of the last log line is kept. */
+const MAX_LOGGED_OFFSETS = 1_000;
 
-/** See the module's comment. */
+/**
+ * Logs corrupt bulk data and decides when to transfer leadership to a replica that may hold an intact copy. This
+ * replica stays a voter: its log is intact, and removing it could cost the group its majority if another disk is lost.
+ */
 export class ReplicaCorruption {
-  private madeWayAt: MonotonicMs = -Infinity;
-  private readonly toldAt = new Map<number, MonotonicMs>();
+  private transferredAt: MonotonicMs = -Infinity;
+  private readonly loggedAt = new Map<number, MonotonicMs>();
 
   /**
-   * @param clock this process's clock
-   * @param logger writes the lines
-   * @param group the replica's group
+   * @param clock clock of the process
+   * @param logger logger of the process
+   * @param group group of the replica
    */
   constructor(
     private readonly clock: Clock,
@@ -28,31 +32,37 @@
   ) {}
 
   /**
-   * Notes a read that failed.
+   * Reports a failed read.
    *
-   * @param ref what was read
+   * @param ref location of the data
    * @param err why it failed
    * @param leads whether this replica leads
-   * @returns whether another replica should lead
+   * @returns whether leadership should be transferred
    */
-  note({length, offset}: BlobRef, err: CorruptionError, leads: boolean): boolean {
+  report({length, offset}: BlobRef, err: CorruptionError, leads: boolean): boolean {
     const now = this.clock.monotonicMs();
-    const makesWay = leads && now - this.madeWayAt > AGAIN_MS;
-    if (makesWay) {
-      this.madeWayAt = now;
+    const mustTransfer = leads && now - this.transferredAt > REPEAT_INTERVAL_MS;
+    if (mustTransfer) {
+      this.transferredAt = now;
     }
-    if (makesWay || now - (this.toldAt.get(offset) ?? -Infinity) > AGAIN_MS) {
-      const fields = {group: this.group, length, makesWay, offset, reason: err.message};
-      this.logger.error('Bulk data can’t be read here.', fields);
+    if (mustTransfer || now - (this.loggedAt.get(offset) ?? -Infinity) > REPEAT_INTERVAL_MS) {
+      const fields = {
+        group: this.group,
+        length,
+        makesWay: mustTransfer,
+        offset,
+        reason: err.message,
+      };
+      this.logger.error('Bulk data of this replica is corrupt.', fields);
       this.remember(offset, now);
     }
-    return makesWay;
+    return mustTransfer;
   }
 
   private remember(offset: number, now: MonotonicMs): void {
-    if (this.toldAt.size >= MOST_TOLD) {
-      this.toldAt.clear();
+    if (this.loggedAt.size >= MAX_LOGGED_OFFSETS) {
+      this.loggedAt.clear();
     }
-    this.toldAt.set(offset, now);
+    this.loggedAt.set(offset, now);
   }
 }
--- a/packages/stallpaddle-replication/src/ReplicaDriver.ts
+++ b/packages/stallpaddle-replication/src/ReplicaDriver.ts
@@ -1,6 +1,5 @@
 /**
- * Runs one replica: feeds events to the state machine and carries out its effects on the disk, the
- * network and the replicated state.
+ * Driver of a replica.
  */
 
 import type {ReplicaId} from 'stallpaddle';
@@ -36,24 +35,27 @@
 import {isCaughtUp, knownLeader, startReplica, stepReplica, uncountedMs} from './ReplicationStep';
 import {ReplicaWriter} from './ReplicaWriter';
 
-/** An append that only tells that its leader lives. */
+/** Strips an append of its entries and commit index, which leaves a heartbeat. */
 function withoutEntries(message: Message): Message {
   const {body} = message;
   return body.kind === 'append' ? {...message, body: {...body, commit: 0, entries: []}} : message;
 }
 
-/** One replica of one group; see the module's comment. */
+/**
+ * Runs one replica of a group: feeds events to the state machine and executes its effects on the disk, the network and
+ * the replicated state.
+ */
 export class ReplicaDriver<State> {
   private readonly blobs: ReplicaBlobs;
   private commits = 0;
-  private readonly damage: ReplicaCorruption;
+  private readonly corruption: ReplicaCorruption;
   private readonly listeners = new Set<(state: State) => void>();
   private readonly requests = new ReplicaRequests();
   private readonly snapshots: ReplicaSnapshots<State>;
   private stopped = false;
   private commitTimer: NodeJS.Timeout | undefined;
-  private readonly turns = new ReplicaTicker(() => this.tick());
-  private readonly watch: ReplicaMonitor;
+  private readonly ticker = new ReplicaTicker(() => this.tick());
+  private readonly monitor: ReplicaMonitor;
   private readonly writer: ReplicaWriter;
 
   private constructor(
@@ -62,12 +64,12 @@
     blobs: StorageBlobs,
     private replication: ReplicationState,
     private machineState: State,
-    /** Log entries found at the start that the snapshot doesn't cover. */
+    /** Number of stored log entries at the start that the snapshot does not cover. */
     readonly replayed: number,
   ) {
     this.blobs = new ReplicaBlobs(blobs, (err) => this.fail(err));
-    this.damage = new ReplicaCorruption(options.clock, options.logger, options.group);
-    this.watch = new ReplicaMonitor(options.clock, options.logger, options.timing);
+    this.corruption = new ReplicaCorruption(options.clock, options.logger, options.group);
+    this.monitor = new ReplicaMonitor(options.clock, options.logger, options.timing);
     this.writer = new ReplicaWriter({
       onFailure: (err) => this.fail(err),
       onPersisted: (index, term) => this.dispatch({index, kind: 'persisted', term}),
@@ -75,7 +77,7 @@
       storage,
     });
     this.snapshots = new ReplicaSnapshots({
-      assertRunning: () => this.checkRuns(),
+      assertRunning: () => this.assertRunning(),
       blobs: this.blobs,
       dispatch: (event) => this.dispatch(event),
       fail: (err) => this.fail(err),
@@ -92,9 +94,9 @@
   }
 
   /**
-   * Opens a replica from its disk and starts it.
+   * Opens a replica from its stored data and starts it.
    *
-   * @param options what it is made of
+   * @param options dependencies and settings
    */
   static async open<State>(options: ReplicaOptions<State>): Promise<ReplicaDriver<State>> {
     const {clock, disk, group, machine, self, timing} = options;
@@ -104,59 +106,59 @@
     const start = startReplica({group, hardState, log, self, timing}, clock.monotonicMs());
     const driver = new ReplicaDriver(options, storage, blobs, start, state, replay);
     driver.dispatch({kind: 'applyKnown'});
-    driver.watch.noteOpened(driver.replication, driver.blobs.end, replay);
-    driver.followVote();
+    driver.monitor.logOpened(driver.replication, driver.blobs.end, replay);
+    driver.scheduleTick();
     driver.commitTimer = setInterval(() => driver.recordCommit(), COMMIT_RECORD_MS);
     return driver;
   }
 
-  /** Counts since the start. */
+  /** Counters since the start. */
   get counters(): ReplicaCounters {
     return {commits: this.commits, syncs: this.writer.syncs};
   }
 
-  /** Delay of the latest late turn of the last two seconds, in milliseconds. */
+  /** Delay of the latest late clock tick of the last two seconds, in milliseconds. */
   get tickDelayMs(): number {
-    return this.watch.tickDelayMs;
+    return this.monitor.tickDelayMs;
   }
 
-  /** Time that this leader's next command will count, in milliseconds; 0 without leadership. */
+  /** Time that the next command of this leader will count, in milliseconds; 0 for other replicas. */
   get uncountedMs(): number {
     return uncountedMs(this.replication, this.options.clock.monotonicMs());
   }
 
-  /** Replication state, for views and tests. */
+  /** Replication state, for status pages and tests. */
   get status(): ReplicationState {
     return this.replication;
   }
 
-  /** The state as applied here; it may lag behind the leader's. */
+  /** Locally applied state; may lag behind the leader. */
   get localState(): State {
     return this.machineState;
   }
 
-  /** What this replica may do for its group now. */
+  /** Whether this replica leads its group, with or without a valid lease. */
   get leadership(): Leadership {
     return this.stopped
       ? {kind: 'follows'}
       : leadershipOf(this.replication, this.options.clock.monotonicMs());
   }
 
-  /** Whether this replica leads and its lease runs. */
+  /** Whether this replica is the leader and holds the lease. */
   get leads(): boolean {
     return this.leadership.kind === 'leads';
   }
 
-  /** Age of what this replica surely holds of what is committed, in milliseconds; Infinity when it can't tell. */
+  /** Upper bound on the staleness of the local state, in milliseconds; Infinity if unknown. */
   get stalenessMs(): number {
     const now = this.options.clock.monotonicMs();
     return this.leads ? 0 : now - this.replication.caughtUpAt;
   }
 
   /**
-   * The state with all that was committed before this call.
+   * State that includes everything committed before the call.
    *
-   * @throws {NotLeaderError} without leadership or lease
+   * @throws {NotLeaderError} if this replica is not the leader or has no lease
    */
   read(): State {
     if (!this.leads) {
@@ -169,16 +171,16 @@
    * Proposes a command.
    *
    * @param data encoded command
-   * @returns the state machine's result, once a majority has the command on disk
-   * @throws {NotLeaderError} when nothing was taken on
-   * @throws {OutcomeUnknownError} when it may still be committed
+   * @returns the result of the state machine, once a majority has synced the command
+   * @throws {NotLeaderError} if the command was not accepted
+   * @throws {OutcomeUnknownError} if the command may still be committed
    */
   propose(data: Uint8Array): Promise<unknown> {
     return this.request((requestId) => ({commands: [{data, requestId}], kind: 'propose'}));
   }
 
   /**
-   * Changes the members by one replica.
+   * Adds or removes one voter, and sets the learners.
    *
    * @param members the new members
    */
@@ -187,7 +189,7 @@
   }
 
   /**
-   * Whether a learner holds all that this leader has committed.
+   * Whether a learner holds everything that this leader has committed.
    *
    * @param learner the learner
    */
@@ -195,30 +197,30 @@
     return isCaughtUp(this.replication, learner);
   }
 
-  /** Hands leadership to another replica, for a planned stop. */
+  /** Transfers leadership to another voter, before a planned stop for example. */
   transferLeadership(): void {
     this.dispatch({kind: 'transferLeadership'});
   }
 
   /**
-   * Takes in a message of another replica.
+   * Processes a message from another replica.
    *
    * @param message addressed to this replica
    */
   receive(message: Message): void {
     if (message.to === this.options.self) {
-      // Entries that are applied while a snapshot is saved would cut off the bulk data that it names, and be forgotten with
-      // the state that it replaces. The leader sends them again.
-      const taken = this.snapshots.isInstalling ? withoutEntries(message) : message;
-      this.dispatch({kind: 'message', message: taken});
+      // Entries applied while a snapshot is being saved would truncate bulk data that it refers to, and would be lost
+      // when it replaces the state. The leader sends them again.
+      const accepted = this.snapshots.isInstalling ? withoutEntries(message) : message;
+      this.dispatch({kind: 'message', message: accepted});
     }
   }
 
   /**
-   * Calls back after each change of the state.
+   * Calls a listener after each change of the state.
    *
-   * @param listener gets the new state
-   * @returns ends the calls
+   * @param listener receives the new state
+   * @returns removes the listener
    */
   registerListener(listener: (state: State) => void): () => void {
     this.listeners.add(listener);
@@ -228,50 +230,50 @@
   /**
    * Reads bulk data.
    *
-   * @param ref its place, from the state
+   * @param ref location of the data, from the state
    */
   async readBlob(ref: BlobRef): Promise<Uint8Array> {
     try {
       return await this.blobs.read(ref);
     } catch (err) {
-      if (err instanceof CorruptionError && this.damage.note(ref, err, this.leads)) {
-        // The others may hold it whole, and callers ask whoever leads.
-        this.makeWay();
+      if (err instanceof CorruptionError && this.corruption.report(ref, err, this.leads)) {
+        // Other replicas may hold an intact copy, and clients read from the leader.
+        this.handOverLeadership();
       }
       throw err;
     }
   }
 
   /**
-   * Prepares to take a snapshot from a leader.
+   * Prepares to receive a snapshot from a leader.
    *
-   * @param meta its place
-   * @param term the leader's term
-   * @returns where the bulk data goes on, or undefined when the snapshot isn't wanted
+   * @param meta position of the snapshot
+   * @param term term of the leader
+   * @returns the offset at which the bulk data continues, or undefined if the snapshot is not needed
    */
   beginInstall(meta: SnapshotMeta, term: Term): Promise<number | undefined> {
     return this.snapshots.beginInstall(meta, term);
   }
 
   /**
-   * Takes bulk data that comes before a snapshot.
+   * Appends bulk data that is transferred ahead of a snapshot.
    *
-   * @param offset where it goes; anywhere but after the present end it is ignored
-   * @param bytes content
-   * @returns where the bulk data goes on
+   * @param offset offset of the data; ignored unless it continues the present data
+   * @param bytes raw content
+   * @returns the offset at which the bulk data continues
    */
   async installBlobs(offset: number, bytes: Uint8Array): Promise<number> {
-    this.checkRuns();
+    this.assertRunning();
     await this.blobs.install(offset, bytes);
     return this.blobs.end;
   }
 
   /**
-   * Takes over a snapshot whose bulk data has arrived.
+   * Installs a snapshot whose bulk data has arrived.
    *
-   * @param snapshot content
-   * @param term the leader's term
-   * @returns whether it was taken over
+   * @param snapshot the snapshot
+   * @param term term of the leader
+   * @returns whether it was installed
    */
   async finishInstall(snapshot: MachineSnapshot, term: Term): Promise<boolean> {
     const installed = await this.snapshots.finishInstall(snapshot, term);
@@ -279,7 +281,7 @@
     return installed;
   }
 
-  /** Ends the replica without any further write. */
+  /** Stops the replica without any further write, and closes its files. */
   async close(): Promise<void> {
     this.stop();
     await this.snapshots.settle();
@@ -287,14 +289,14 @@
     await this.blobs.close();
   }
 
-  private makeWay(): void {
+  private handOverLeadership(): void {
     if (this.replication.log.members.voters.length > 1) {
       this.transferLeadership();
     }
   }
 
-  /** A replica that has ended writes nothing: its successor may have opened the same files. */
-  private checkRuns(): void {
+  /** A stopped replica must not write: another instance may have opened the same files. */
+  private assertRunning(): void {
     if (this.stopped) {
       throw new ReplicaStoppedError();
     }
@@ -326,42 +328,44 @@
       const {effects, state} = stepReplica(before, event, this.options.clock.monotonicMs());
       this.replication = state;
       for (const effect of effects) {
-        this.carryOut(effect);
+        this.execute(effect);
       }
-      if (this.watch.noteRole(before, state)) {
-        this.requests.abandonPlaced();
+      if (this.monitor.recordRole(before, state)) {
+        this.requests.abandonAppended();
       }
     } catch (err) {
       this.fail(err);
       return;
     }
-    this.followVote();
+    this.scheduleTick();
     this.writer.flush();
     this.snapshots.startWhenDue();
   }
 
-  /** Only a leader has to look at its clock often. */
-  private followVote(): void {
+  /**
+   * Schedules the next tick: at regular intervals, or only at the election timeout where nothing else depends on ticks.
+   */
+  private scheduleTick(): void {
     if (this.stopped) {
       return;
     }
     const now = this.options.clock.monotonicMs();
     const electionMs = msUntilElection(this.replication, now);
     const waitMs = electionMs ?? tickPeriodMs(this.options.timing, isVoter(this.replication));
-    const isNew =
-      electionMs === undefined ? this.turns.follow(waitMs) : this.turns.followOnce(waitMs, now);
-    if (isNew) {
-      this.watch.expectTurn(waitMs);
+    const isChanged =
+      electionMs === undefined ? this.ticker.tickEvery(waitMs) : this.ticker.tickAfter(waitMs, now);
+    if (isChanged) {
+      this.monitor.expectTick(waitMs);
     }
   }
 
   private tick(): void {
-    this.watch.noteTurn(this.replication);
+    this.monitor.recordTick(this.replication);
     this.dispatch({kind: 'tick'});
-    this.watch.noteLease(this.replication);
+    this.monitor.recordLease(this.replication);
   }
 
-  private carryOut(effect: ReturnType<typeof stepReplica>['effects'][number]): void {
+  private execute(effect: ReturnType<typeof stepReplica>['effects'][number]): void {
     switch (effect.kind) {
       case 'apply':
         this.apply(effect.entries);
@@ -370,10 +374,10 @@
         this.writer.add(effect.hardState, effect.entries);
         return;
       case 'proposed':
-        this.requests.place(effect.requestId, effect.index, effect.term);
+        this.requests.markAppended(effect.requestId, effect.index, effect.term);
         return;
       case 'rejected':
-        this.requests.refuse(effect.requestId, effect.leader);
+        this.requests.reject(effect.requestId, effect.leader);
         return;
       case 'send':
         this.writer.send(effect.message, effect.afterPersist);
@@ -396,12 +400,12 @@
   private apply(entries: readonly LogEntry[]): void {
     for (const entry of entries) {
       this.commits++;
-      this.requests.finish(entry, this.applyOne(entry), this.leaderHint());
+      this.requests.complete(entry, this.applyEntry(entry), this.leaderHint());
     }
     this.notify();
   }
 
-  private applyOne(entry: LogEntry): unknown {
+  private applyEntry(entry: LogEntry): unknown {
     if (entry.payload.kind !== 'command') {
       return undefined;
     }
@@ -428,7 +432,7 @@
     if (this.stopped) {
       return;
     }
-    this.options.logger.error('The replica ends after a failure.', {
+    this.options.logger.error('The replica stops after a failure.', {
       group: this.options.group,
       reason: errorMessage(err),
     });
@@ -439,7 +443,7 @@
   private stop(): void {
     this.stopped = true;
     clearInterval(this.commitTimer);
-    this.turns.stop();
+    this.ticker.stop();
     this.requests.stop();
     this.writer.stop();
   }
--- a/packages/stallpaddle-replication/src/ReplicaErrors.ts
+++ b/packages/stallpaddle-replication/src/ReplicaErrors.ts
@@ -1,21 +1,21 @@
 /**
- * Errors of a replica's driver.
+ * Errors reported to callers of a replica.
  */
 import type {ReplicaId} from 'stallpaddle';
 
-/** The replica does not lead, or may not answer without its lease. Nothing was taken on. */
+/** The replica is not the leader or has no lease. The request was not accepted. */
 export class NotLeaderError extends Error {
   override readonly name = 'NotLeaderError';
 
   /**
-   * @param leader who leads, as far as this replica knows
+   * @param leader leader known to this replica, if any
    */
   constructor(readonly leader: ReplicaId | null) {
     super(leader === null ? 'no leader is known' : `replica ${leader} leads`);
   }
 }
 
-/** The command's outcome is unknown: it may still be committed. */
+/** The outcome of the command is unknown: it may still be committed. */
 export class OutcomeUnknownError extends Error {
   override readonly name = 'OutcomeUnknownError';
 
@@ -24,11 +24,11 @@
   }
 }
 
-/** The replica has ended after a failure of its disk or of an invariant. */
+/** The replica has stopped, because it was closed or after a failure of its disk or of an invariant. */
 export class ReplicaStoppedError extends Error {
   override readonly name = 'ReplicaStoppedError';
 
   constructor() {
-    super('the replica has ended');
+    super('the replica has stopped');
   }
 }
--- a/packages/stallpaddle-replication/src/ReplicaIdentity.ts
+++ b/packages/stallpaddle-replication/src/ReplicaIdentity.ts
@@ -1,5 +1,5 @@
 /**
- * The name of this VM's disk as a replica, drawn when the disk was first used.
+ * Replica id of this VM's disk, generated when the disk is first used.
  */
 import type {ReplicaId, VmId} from 'stallpaddle';
 import type {Disk} from 'stallpaddle-storage';
@@ -14,12 +14,12 @@
 const identitySchema = z.strictObject({incarnation: z.string(), vm: z.string()});
 
 /**
- * Reads the disk's name, or draws one for an empty disk. A disk that was lost comes back under
- * another name, so that it never votes with the old one.
+ * Reads the replica id of a disk, or generates one for an empty disk. A replaced disk gets a new id, so that it never
+ * votes under the id of the lost one.
  *
  * @param disk data folder
- * @param vm this VM
- * @param first the name that an empty disk gets, where others must know it beforehand
+ * @param vm id of this VM
+ * @param first incarnation for an empty disk, if the other replicas must know the id in advance
  */
 export async function loadIdentity(disk: Disk, vm: VmId, first?: string): Promise<ReplicaId> {
   const bytes = await disk.read(FILE_NAME);
--- a/packages/stallpaddle-replication/src/ReplicaMachine.ts
+++ b/packages/stallpaddle-replication/src/ReplicaMachine.ts
@@ -1,28 +1,31 @@
 /**
- * What a group replicates: a deterministic state machine with bulk data beside it.
+ * Replicated state machine of a group, with bulk data stored beside the log.
  */
 import type {BlobRef} from 'stallpaddle-storage';
 
-/** Time of a group's own clock, in milliseconds: the sum of what its leaders counted, never ahead of time. */
+/**
+ * Time on the logical clock of a group, in milliseconds: the sum of the elapsed times recorded by its leaders, never
+ * ahead of real time.
+ */
 export type GroupMs = number;
 
-/** Bulk data that an applied command puts into the segment files. */
+/** Bulk data of an applied command, with its location in the segment files. */
 export interface PlacedBlob {
   readonly payload: Uint8Array;
   readonly ref: BlobRef;
 }
 
-/** Outcome of one command. */
+/** Result of applying one command. */
 export interface MachineResult<State> {
   readonly blobs: readonly PlacedBlob[];
-  /** Answer to whoever proposed the command. */
+  /** Returned to the proposer of the command. */
   readonly result: unknown;
   readonly state: State;
 }
 
-/** Pure and deterministic: all replicas reach the same state from the same commands. */
+/** Deterministic state machine without side effects: all replicas reach the same state from the same commands. */
 export interface ReplicaMachine<State> {
-  /** Applies a command; `elapsedMs` is the time since the command before it, counted by the group's leaders. */
+  /** Applies a command; `elapsedMs` is the time since the previous command, as recorded by the leader. */
   readonly apply: (state: State, command: Uint8Array, elapsedMs: number) => MachineResult<State>;
   /** End of the bulk data that the state refers to, in bytes. */
   readonly blobEnd: (state: State) => number;
--- a/packages/stallpaddle-replication/src/ReplicaMonitor.ts
+++ b/packages/stallpaddle-replication/src/ReplicaMonitor.ts
@@ -1,7 +1,5 @@
 /**
- * What a replica's log says of its role, its lease and its turns. A process that is held up, by its own work or by a VM
- * short of processor time, sends no heartbeats and hears none: whoever reads the log has to tell that from a silent
- * network.
+ * Log lines about the role, the lease and the clock ticks of a replica.
  */
 import type {Clock, Logger, MonotonicMs} from 'stallpaddle';
 
@@ -11,58 +9,66 @@
 import {STALLED_COMMIT_TIMEOUTS} from './ReplicationConstants';
 import {leadershipOf, quorumAckedAt} from './ReplicationLease';
 
-/** Time for which the latest late turn is told, in milliseconds: some election timeouts, so a change of leaders shows it. */
-const TOLD_MS = 2_000;
+/**
+ * Time for which the delay of a late tick is reported, in milliseconds; spans several election timeouts, so that log
+ * lines of a leader change include it.
+ */
+const TICK_DELAY_REPORT_MS = 2_000;
 
-/** Time between lines that no majority answers, in milliseconds: some elections. */
-const MISSING_AGAIN_MS = 5_000;
+/** Minimum interval between log lines about failed elections, in milliseconds. */
+const FAILED_ELECTION_LOG_MS = 5_000;
 
-/** Why a replica leads no more. */
+/** Why leadership ended. */
 type EndOfLeadership = 'handedOver' | 'laterTerm' | 'nothingRecorded' | 'quorumSilent';
 
-/** See the module's comment. */
+/**
+ * Logs role changes, lease changes and late clock ticks. A process that is held up, by its own work or by a lack of CPU
+ * time, neither sends nor receives heartbeats; the delay of its ticks distinguishes this from a network failure.
+ */
 export class ReplicaMonitor {
-  private dueAt: MonotonicMs;
-  private latestLate: {readonly at: MonotonicMs; readonly ms: number} = {at: -Infinity, ms: 0};
-  private missingToldAt: MonotonicMs = -Infinity;
-  /** As the latest turn found it. */
+  private nextTickAt: MonotonicMs;
+  private latestDelay: {readonly at: MonotonicMs; readonly ms: number} = {at: -Infinity, ms: 0};
+  private failedElectionLoggedAt: MonotonicMs = -Infinity;
+  /** Leadership at the latest tick. */
   private leadership: Leadership = {kind: 'follows'};
 
   /**
-   * @param clock this process's clock
-   * @param logger writes the lines
-   * @param timing times of the group
+   * @param clock clock of the process
+   * @param logger logger of the process
+   * @param timing timing of the group
    */
   constructor(
     private readonly clock: Clock,
     private readonly logger: Logger,
     private readonly timing: ReplicationTiming,
   ) {
-    this.dueAt = clock.monotonicMs() + tickPeriodMs(timing);
+    this.nextTickAt = clock.monotonicMs() + tickPeriodMs(timing);
   }
 
   /**
-   * Notes that the next turn is due after another time than before.
+   * Sets when the next tick is due, after the schedule has changed.
    *
-   * @param periodMs the time, in milliseconds
+   * @param delayMs time until the tick, in milliseconds
    */
-  expectTurn(periodMs: number): void {
-    this.dueAt = this.clock.monotonicMs() + periodMs;
+  expectTick(delayMs: number): void {
+    this.nextTickAt = this.clock.monotonicMs() + delayMs;
   }
 
-  /** Delay of the latest late turn of the last two seconds, in milliseconds. */
+  /** Delay of the latest late tick of the last two seconds, in milliseconds; 0 if there was none. */
   get tickDelayMs(): number {
-    return this.clock.monotonicMs() - this.latestLate.at < TOLD_MS ? this.latestLate.ms : 0;
+    return this.clock.monotonicMs() - this.latestDelay.at < TICK_DELAY_REPORT_MS
+      ? this.latestDelay.ms
+      : 0;
   }
 
   /**
-   * Notes what the replica holds at its start.
+   * Logs the state of the replica at its start.
    *
-   * @param state its state
-   * @param blobEnd where its bulk data ends, in bytes
-   * @param replayed log entries found that its snapshot doesn't cover
+   * @param state state of the replica
+   * @param blobEnd end of its bulk data, in bytes
+   * @param replayed number of log entries that its snapshot does not cover
    */
-  noteOpened(state: ReplicationState, blobEnd: number, replayed: number): void {
+  logOpened(state: ReplicationState, blobEnd: number, replayed: number): void {
     const {commit, group, log, self, term} = state;
     const {learners, voters} = log.members;
     this.logger.info('This replica has opened.', {
@@ -81,31 +87,31 @@
   }
 
   /**
-   * Notes a turn, before it is taken.
+   * Records a tick, before it is processed.
    *
-   * @param state the replica's state
+   * @param state state of the replica
    */
-  noteTurn(state: ReplicationState): void {
+  recordTick(state: ReplicationState): void {
     const {group, role} = state;
     const now = this.clock.monotonicMs();
-    const lateMs = Math.max(0, now - this.dueAt);
-    this.dueAt = now + tickPeriodMs(this.timing, isVoter(state));
+    const lateMs = Math.max(0, now - this.nextTickAt);
+    this.nextTickAt = now + tickPeriodMs(this.timing, isVoter(state));
     if (lateMs >= this.tickDelayMs) {
-      this.latestLate = {at: now, ms: lateMs};
+      this.latestDelay = {at: now, ms: lateMs};
     }
     if (lateMs > this.timing.heartbeatMs) {
       const fields = {group, lateMs: Math.round(lateMs), role: role.kind};
-      this.logger.warn('A turn of this replica came late.', fields);
+      this.logger.warn('A clock tick of this replica was late.', fields);
     }
   }
 
   /**
-   * Notes the lease, after a turn: one that lapses and runs again within a term changes no role, but what others may
-   * ask of this replica.
+   * Logs a change of the lease, after a tick. A lease that lapses and is renewed within a term changes no role, but
+   * whether the replica may decide.
    *
-   * @param state the replica's state
+   * @param state state of the replica
    */
-  noteLease(state: ReplicationState): void {
+  recordLease(state: ReplicationState): void {
     const before = this.leadership;
     this.leadership = leadershipOf(state, this.clock.monotonicMs());
     const {group, term} = state;
@@ -113,54 +119,68 @@
       this.logger.info('The lease of this replica has lapsed.', {
         group,
         term,
-        ...this.silence(state),
+        ...this.quorumFields(state),
       });
     }
     if (before.kind === 'unsure' && this.leadership.kind === 'leads') {
-      this.logger.info('The lease of this replica runs.', {group, term});
+      this.logger.info('The lease of this replica was renewed.', {group, term});
     }
   }
 
   /**
-   * Notes a change of role.
+   * Logs a change of role.
    *
    * @param before state before a step
-   * @param after state after it
+   * @param after state after the step
    * @returns whether leadership ended
    */
-  noteRole(before: ReplicationState, after: ReplicationState): boolean {
+  recordRole(before: ReplicationState, after: ReplicationState): boolean {
     const {group, term} = after;
     if (before.role.kind !== 'leader' && after.role.kind === 'leader') {
       const {commit, log} = after;
       const fields = {commit, lastIndex: log.lastIndex, voters: log.members.voters.join(',')};
-      this.logger.info('This replica leads.', {group, term, ...fields});
+      this.logger.info('This replica is the leader.', {group, term, ...fields});
     }
-    this.noteMajority(before, after);
+    this.logFailedElection(before, after);
     if (before.role.kind === 'follower' && after.role.kind === 'preCandidate') {
       const silentMs = Math.round(this.clock.monotonicMs() - before.leaderContactAt);
       const turnLateMs = Math.round(this.tickDelayMs);
-      this.logger.info('This replica hears no leader.', {group, silentMs, term, turnLateMs});
+      this.logger.info('This replica has no contact with a leader.', {
+        group,
+        silentMs,
+        term,
+        turnLateMs,
+      });
     }
     const isEnd = before.role.kind === 'leader' && after.role.kind !== 'leader';
     if (isEnd) {
       const fields = {cause: this.causeOf(before, after), newTerm: term, term: before.term};
-      this.logger.info('This replica leads no more.', {group, ...fields, ...this.silence(before)});
+      this.logger.info('This replica is no longer the leader.', {
+        group,
+        ...fields,
+        ...this.quorumFields(before),
+      });
     }
     return isEnd;
   }
 
-  /** An election that nobody won: who answered, of whom. Told now and then while it lasts. */
-  private noteMajority(before: ReplicationState, after: ReplicationState): void {
+  /** Logs which voters did not answer in a failed election, at most once per interval. */
+  private logFailedElection(before: ReplicationState, after: ReplicationState): void {
     const {role} = before;
-    const isNext = after.role.kind === 'preCandidate' && after.electionCount > before.electionCount;
+    const isNewElection =
+      after.role.kind === 'preCandidate' && after.electionCount > before.electionCount;
     const now = this.clock.monotonicMs();
-    if (!isNext || !('votes' in role) || now - this.missingToldAt < MISSING_AGAIN_MS) {
+    if (
+      !isNewElection ||
+      !('votes' in role) ||
+      now - this.failedElectionLoggedAt < FAILED_ELECTION_LOG_MS
+    ) {
       return;
     }
-    this.missingToldAt = now;
+    this.failedElectionLoggedAt = now;
     const {group, log, term} = before;
     const {voters} = log.members;
-    this.logger.info('No majority answers this replica.', {
+    this.logger.info('No majority answered in an election.', {
       answered: voters.filter((voter) => role.votes.has(voter)).join(','),
       group,
       lastIndex: log.lastIndex,
@@ -169,7 +189,7 @@
     });
   }
 
-  private silence(state: ReplicationState): {
+  private quorumFields(state: ReplicationState): {
     readonly quorumSilentMs: number;
     readonly turnLateMs: number;
   } {
@@ -187,8 +207,8 @@
     if (now - quorumAckedAt(before, now) > electionTimeoutMs) {
       return 'quorumSilent';
     }
-    const waitsSince = before.role.kind === 'leader' ? before.role.commitAdvancedAt : now;
-    const isStuck = now - waitsSince > electionTimeoutMs * STALLED_COMMIT_TIMEOUTS;
-    return isStuck ? 'nothingRecorded' : 'handedOver';
+    const stalledSince = before.role.kind === 'leader' ? before.role.commitAdvancedAt : now;
+    const isStalled = now - stalledSince > electionTimeoutMs * STALLED_COMMIT_TIMEOUTS;
+    return isStalled ? 'nothingRecorded' : 'handedOver';
   }
 }
--- a/packages/stallpaddle-replication/src/ReplicaOptions.ts
+++ b/packages/stallpaddle-replication/src/ReplicaOptions.ts
@@ -1,5 +1,5 @@
 /**
- * What a replica is made of, how it reaches the others, and what it counts.
+ * Options, transport and counters of a replica.
  */
 import type {Clock, GroupId, Logger, ReplicaId} from 'stallpaddle';
 import type {Disk} from 'stallpaddle-storage';
@@ -8,49 +8,49 @@
 import type {MachineSnapshot} from './ReplicaStorage';
 import type {Message, ReplicationTiming, Term} from './ReplicationTypes';
 
-/** How a replica reaches the others. */
+/** Transport to the other replicas of the group. */
 export interface ReplicaTransport {
-  /** Sends without waiting; loss is allowed. */
+  /** Sends a message without waiting; it may be lost. */
   readonly send: (message: Message) => void;
-  /** Brings a snapshot to another replica; false when it did not take it. */
+  /** Transfers a snapshot to another replica; resolves to false if it was not installed. */
   readonly sendSnapshot: (to: ReplicaId, source: SnapshotSource) => Promise<boolean>;
 }
 
-/** A snapshot to be brought to another replica. */
+/** A snapshot to transfer to another replica. */
 export interface SnapshotSource {
-  /** Where the bulk data ends that the snapshot needs, in bytes. */
+  /** End of the bulk data that the snapshot refers to, in bytes. */
   readonly blobEnd: number;
   readonly group: GroupId;
-  /** Reads bulk data as it lies, at most as much as asked for. */
+  /** Reads raw bulk data, at most the requested number of bytes. */
   readonly readBlobs: (
     offset: number,
-    most: number,
+    maxBytes: number,
   ) => Promise<{readonly bytes: Uint8Array; readonly offset: number}>;
   readonly snapshot: MachineSnapshot;
-  /** Term of the leader that brings it. */
+  /** Term of the sending leader. */
   readonly term: Term;
 }
 
-/** What a replica is made of. */
+/** Dependencies and settings of a replica. */
 export interface ReplicaOptions<State> {
   readonly clock: Clock;
   readonly disk: Disk;
   readonly group: GroupId;
   readonly logger: Logger;
   readonly machine: ReplicaMachine<State>;
-  /** Called once when the replica ends after a failure. */
+  /** Called once if the replica stops after a failure. */
   readonly onFailure: (err: unknown) => void;
   readonly self: ReplicaId;
-  /** Size of the log file at which a snapshot replaces it, in bytes. */
+  /** Size of the log file above which a snapshot is taken, in bytes. */
   readonly snapshotLogBytes?: number;
   readonly timing: ReplicationTiming;
   readonly transport: ReplicaTransport;
 }
 
-/** Counts since the start. */
+/** Counters since the start of the process. */
 export interface ReplicaCounters {
   /** Log entries applied. */
   readonly commits: number;
-  /** Writes of the log that were made to last. */
+  /** Synced writes of the log. */
   readonly syncs: number;
 }
--- a/packages/stallpaddle-replication/src/ReplicaRequests.ts
+++ b/packages/stallpaddle-replication/src/ReplicaRequests.ts
@@ -1,5 +1,5 @@
 /**
- * Callers that wait for their command's place in the log, and then for its result.
+ * Requests that wait for their command to be committed and applied.
  */
 import type {ReplicaId} from 'stallpaddle';
 
@@ -12,87 +12,90 @@
   readonly resolve: (result: unknown) => void;
 }
 
-interface PlacedCaller extends Caller {
+interface AppendedCaller extends Caller {
   readonly term: Term;
 }
 
-/** See the module's comment. */
+/** Matches proposed commands with applied entries, and settles the promises of their callers. */
 export class ReplicaRequests {
   private nextId = 0;
-  private readonly placed = new Map<LogIndex, PlacedCaller>();
-  private readonly waiting = new Map<number, Caller>();
+  private readonly appended = new Map<LogIndex, AppendedCaller>();
+  private readonly pending = new Map<number, Caller>();
 
   /**
-   * Adds a caller.
+   * Starts a request.
    *
-   * @param start hands the request to the state machine
-   * @returns the result, once the command was applied
+   * @param start passes the request to the state machine
+   * @returns the result, once the command is applied
    */
   add(start: (requestId: number) => void): Promise<unknown> {
     return new Promise((resolve, reject) => {
       const requestId = ++this.nextId;
-      this.waiting.set(requestId, {reject, resolve});
+      this.pending.set(requestId, {reject, resolve});
       start(requestId);
     });
   }
 
   /**
-   * Notes where a request's command stands.
+   * Records the log position of the command of a request.
    *
-   * @param requestId the request
-   * @param index its place
-   * @param term its term
+   * @param requestId id of the request
+   * @param index index of its entry
+   * @param term term of its entry
    */
-  place(requestId: number, index: LogIndex, term: Term): void {
-    const caller = this.waiting.get(requestId)!;
-    this.waiting.delete(requestId);
-    this.placed.get(index)?.reject(new OutcomeUnknownError());
-    this.placed.set(index, {...caller, term});
+  markAppended(requestId: number, index: LogIndex, term: Term): void {
+    const caller = this.pending.get(requestId)!;
+    this.pending.delete(requestId);
+    this.appended.get(index)?.reject(new OutcomeUnknownError());
+    this.appended.set(index, {...caller, term});
   }
 
   /**
-   * Ends a request that was not taken on.
+   * Rejects a request that was not accepted.
    *
-   * @param requestId the request
-   * @param leader who leads, where known
+   * @param requestId id of the request
+   * @param leader the leader, if known
    */
-  refuse(requestId: number, leader: ReplicaId | null): void {
-    this.waiting.get(requestId)?.reject(new NotLeaderError(leader));
-    this.waiting.delete(requestId);
+  reject(requestId: number, leader: ReplicaId | null): void {
+    this.pending.get(requestId)?.reject(new NotLeaderError(leader));
+    this.pending.delete(requestId);
   }
 
   /**
-   * Ends the request whose place was applied.
+   * Settles the request at the index of an applied entry.
    *
-   * @param entry the entry that was applied
-   * @param result the state machine's answer
-   * @param leader who leads, where known
+   * @param entry the applied entry
+   * @param result result of the state machine
+   * @param leader the leader, if known
    */
-  finish(entry: LogEntry, result: unknown, leader: ReplicaId | null): void {
-    const caller = this.placed.get(entry.index);
-    this.placed.delete(entry.index);
+  complete(entry: LogEntry, result: unknown, leader: ReplicaId | null): void {
+    const caller = this.appended.get(entry.index);
+    this.appended.delete(entry.index);
     if (caller?.term === entry.term) {
       caller.resolve(result);
     } else {
-      // Another leader's entry took the place: the waiting command was never committed.
+      // The entry at this index is another leader's, so the command of the request was not committed.
       caller?.reject(new NotLeaderError(leader));
     }
   }
 
-  /** Ends requests that the next leader may still commit: nobody should wait for that. */
-  abandonPlaced(): void {
-    for (const caller of this.placed.values()) {
+  /**
+   * Rejects requests whose command is in the log: the next leader may or may not commit it, and callers should not wait
+   * for that.
+   */
+  abandonAppended(): void {
+    for (const caller of this.appended.values()) {
       caller.reject(new OutcomeUnknownError());
     }
-    this.placed.clear();
+    this.appended.clear();
   }
 
-  /** Ends all requests because the replica has ended. */
+  /** Rejects all requests because the replica has stopped. */
   stop(): void {
-    this.abandonPlaced();
-    for (const caller of this.waiting.values()) {
+    this.abandonAppended();
+    for (const caller of this.pending.values()) {
       caller.reject(new ReplicaStoppedError());
     }
-    this.waiting.clear();
+    this.pending.clear();
   }
 }
--- a/packages/stallpaddle-replication/src/ReplicaSnapshots.ts
+++ b/packages/stallpaddle-replication/src/ReplicaSnapshots.ts
@@ -1,5 +1,5 @@
 /**
- * A replica's snapshots: taken, sent to replicas that lag, and taken over from a leader; one at a time.
+ * Snapshot operations of a replica.
  */
 import type {MonotonicMs, ReplicaId} from 'stallpaddle';
 
@@ -21,15 +21,15 @@
 import {wantsSnapshot} from './ReplicationFollower';
 
 /**
- * Time for which a snapshot that was taken for a replica is sent again in place of a new one, in milliseconds: some tries at
- * a replica that is dark, each of which would write the whole state and sync all bulk data at a leader that has other work.
+ * Time for which a sent snapshot is reused, in milliseconds. Without it, each attempt to reach an unreachable replica
+ * would make the leader write its whole state and sync all bulk data.
  */
-const SEND_AGAIN_MS = 5_000;
+const SNAPSHOT_REUSE_MS = 5_000;
 
-/** What snapshots need of their replica. */
+/** State and operations of the replica that snapshots use. */
 export interface ReplicaSnapshotsHost<State> {
   readonly blobs: ReplicaBlobs;
-  /** Throws once the replica has ended: its successor may have opened the same files. */
+  /** Throws once the replica has stopped: another instance may have opened the same files. */
   readonly assertRunning: () => void;
   readonly dispatch: (event: ReplicationEvent) => void;
   readonly fail: (err: unknown) => void;
@@ -42,13 +42,13 @@
   readonly writer: ReplicaWriter;
 }
 
-/** A snapshot with when it was taken. */
+/** A snapshot and the time it was taken. */
 interface TakenSnapshot {
   readonly at: MonotonicMs;
   readonly snapshot: MachineSnapshot;
 }
 
-/** See the module's comment. */
+/** Takes snapshots, sends them to replicas that lag behind, and installs those of a leader; one at a time. */
 export class ReplicaSnapshots<State> {
   private installing = false;
   /** The snapshot that was sent last. */
@@ -57,53 +57,53 @@
   private work: Promise<unknown> = Promise.resolve();
 
   /**
-   * @param host the replica
+   * @param host state and operations of the replica
    */
   constructor(private readonly host: ReplicaSnapshotsHost<State>) {}
 
-  /** A snapshot of another replica is being saved: no entry may be applied meanwhile. */
+  /** Whether a received snapshot is being saved; no entry may be applied meanwhile. */
   get isInstalling(): boolean {
     return this.installing;
   }
 
-  /** Resolves once all that was begun has ended. */
+  /** Resolves once all operations started so far have ended. */
   async settle(): Promise<void> {
     await this.work;
   }
 
   /**
-   * Prepares to take a snapshot from a leader.
+   * Prepares to receive a snapshot from a leader.
    *
-   * @param meta its place
-   * @param term the leader's term
-   * @returns where the bulk data goes on, or undefined when the snapshot isn't wanted
+   * @param meta position of the snapshot
+   * @param term term of the leader
+   * @returns the offset at which the bulk data continues, or undefined if the snapshot is not needed
    */
   beginInstall(meta: SnapshotMeta, term: Term): Promise<number | undefined> {
     const {blobs, machineState, options, replication} = this.host;
-    // Alone: a cut while another snapshot is saved would take the bulk data that it names.
-    return this.alone(async () => {
+    // Exclusive: truncating while another snapshot is saved would remove bulk data that it refers to.
+    return this.runExclusive(async () => {
       if (term < replication().term || !wantsSnapshot(replication(), meta)) {
         return undefined;
       }
-      await blobs.cutTo(options.machine.blobEnd(machineState()));
+      await blobs.truncateTo(options.machine.blobEnd(machineState()));
       return blobs.end;
     });
   }
 
   /**
-   * Takes over a snapshot whose bulk data has arrived.
+   * Installs a snapshot whose bulk data has arrived.
    *
-   * @param snapshot content
-   * @param term the leader's term
-   * @returns whether it was taken over
+   * @param snapshot the snapshot
+   * @param term term of the leader
+   * @returns whether it was installed
    */
   finishInstall(snapshot: MachineSnapshot, term: Term): Promise<boolean> {
     const state = this.host.options.machine.decode(snapshot.machine);
-    // Alone: an own snapshot must not replace the newer one.
-    return this.alone(() => this.install(snapshot, state, term));
+    // Exclusive: a snapshot taken here must not replace the newer one.
+    return this.runExclusive(() => this.install(snapshot, state, term));
   }
 
-  /** Takes a snapshot once the log has grown enough. */
+  /** Takes a snapshot if the log file exceeds its size limit. */
   startWhenDue(): void {
     const {options, replication, writer} = this.host;
     const {applied, log} = replication();
@@ -120,24 +120,24 @@
   }
 
   /**
-   * Brings a snapshot to another replica, and tells the state machine what came of it.
+   * Sends a snapshot to another replica and reports the outcome to the state machine.
    *
-   * @param to the replica
+   * @param to receiver
    */
   async send(to: ReplicaId): Promise<void> {
     const {dispatch, options} = this.host;
     let index = 0;
     let ok = false;
     try {
-      const source = await this.source();
+      const source = await this.openSource();
       index = source.snapshot.meta.index;
       ok = await options.transport.sendSnapshot(to, source);
       const {blobEnd, group} = source;
       options.logger.info('A snapshot was sent.', {blobEnd, group, index, taken: ok, to});
     } catch (err) {
-      options.logger.warn('A snapshot was not taken over.', {reason: errorMessage(err), to});
+      options.logger.warn('A snapshot could not be sent.', {reason: errorMessage(err), to});
     }
-    // A receiver that didn't want it gets entries again, or the next try after a heartbeat.
+    // A receiver that did not install it is probed again after an election timeout.
     setTimeout(
       () => dispatch({index, kind: 'snapshotSent', ok, to}),
       ok ? 0 : options.timing.electionTimeoutMs,
@@ -171,7 +171,7 @@
     const {index} = snapshot.meta;
     const fields = {blobEnd, group: options.group, hasBlobsTo: blobs.end, index};
     if (!complete || !wanted) {
-      options.logger.info('A snapshot was not taken over here.', {...fields, wanted});
+      options.logger.info('A received snapshot was not installed.', {...fields, wanted});
       return false;
     }
     await blobs.sync();
@@ -179,12 +179,12 @@
     setMachineState(state);
     dispatch({kind: 'snapshotInstalled', meta: snapshot.meta, term});
     await writer.restartLog(hardState(), []);
-    options.logger.info('A snapshot was taken over here.', {...fields, term});
+    options.logger.info('A received snapshot was installed.', {...fields, term});
     return true;
   }
 
-  /** Runs a task while no snapshot is taken, begun or taken over. */
-  private alone<Result>(task: () => Promise<Result>): Promise<Result> {
+  /** Runs a task while no other snapshot operation runs. */
+  private runExclusive<Result>(task: () => Promise<Result>): Promise<Result> {
     const run = this.work.then(() => {
       this.host.assertRunning();
       return task();
@@ -193,9 +193,12 @@
     return run;
   }
 
-  /** Whoever a snapshot is for, a disk that failed at it is in doubt, and the replica ends. */
+  /**
+   * Takes a snapshot. Stops the replica on failure: the state of the disk is unknown then, whether or not the snapshot
+   * was meant for another replica.
+   */
   private take(): Promise<MachineSnapshot> {
-    const taken = this.alone(() => this.write());
+    const taken = this.runExclusive(() => this.write());
     return taken.catch((err: unknown) => {
       this.host.fail(err);
       throw err;
@@ -203,37 +206,30 @@
   }
 
   /**
-   * Syncing bulk data takes long, so it goes on beside the log's writes: were they to wait, no
-   * majority would answer the leader in time. Only the log's restart goes between two writes.
+   * Saves a snapshot. Bulk data is synced while the log continues to be written; blocking log writes would keep the
+   * leader from a quorum for too long. Only the restart of the log runs between two writes.
    */
   private async write(): Promise<MachineSnapshot> {
-    const {
-      assertRunning: checkRuns,
-      blobs,
-      dispatch,
-      hardState,
-      machineState,
-      options,
-      replication,
-    } = this.host;
+    const {assertRunning, blobs, dispatch, hardState, machineState, options, replication} =
+      this.host;
     const {storage, writer} = this.host;
     const {applied, log} = replication();
     const meta = {index: applied, members: log.membersAt(applied), term: log.termAt(applied)!};
     const snapshot = {machine: options.machine.encode(machineState()), meta};
     await blobs.sync();
-    checkRuns();
+    assertRunning();
     await storage.saveSnapshot(snapshot);
     await writer.runBetweenWrites(async () => {
-      checkRuns();
-      dispatch({keepFrom: this.keepFrom(applied), kind: 'snapshotTaken', meta});
+      assertRunning();
+      dispatch({keepFrom: this.firstIndexToKeep(applied), kind: 'snapshotTaken', meta});
       const kept = replication().log;
       await writer.restartLog(hardState(), kept.entriesFrom(kept.firstIndex, Infinity));
     });
     return snapshot;
   }
 
-  /** First entry to keep so that a replica that lags a little needs no snapshot. */
-  private keepFrom(applied: number): number {
+  /** Index of the first entry to keep, so that a replica that lags slightly needs no snapshot. */
+  private firstIndexToKeep(applied: number): number {
     const {log} = this.host.replication();
     let from = applied + 1;
     let bytes = 0;
@@ -245,24 +241,24 @@
     return from;
   }
 
-  private async source(): Promise<SnapshotSource> {
-    const {assertRunning: checkRuns, blobs, options, replication} = this.host;
+  private async openSource(): Promise<SnapshotSource> {
+    const {assertRunning, blobs, options, replication} = this.host;
     const {group, machine} = options;
-    const snapshot = await this.toSend();
-    checkRuns();
+    const snapshot = await this.snapshotToSend();
+    assertRunning();
     const blobEnd = machine.blobEnd(machine.decode(snapshot.machine));
-    const readBlobs: SnapshotSource['readBlobs'] = (offset, most) =>
-      blobs.readRaw(offset, Math.min(most, blobEnd - offset));
+    const readBlobs: SnapshotSource['readBlobs'] = (offset, maxBytes) =>
+      blobs.readRaw(offset, Math.min(maxBytes, blobEnd - offset));
     return {blobEnd, group, readBlobs, snapshot, term: replication().term};
   }
 
-  /** The snapshot that was sent last, while it is young and the log still goes on from it; else a new one. */
-  private async toSend(): Promise<MachineSnapshot> {
+  /** The snapshot that was sent last, if it is recent and the log still continues from it; otherwise a new one. */
+  private async snapshotToSend(): Promise<MachineSnapshot> {
     const {options, replication} = this.host;
     const now = options.clock.monotonicMs();
     const {sent} = this;
-    const follows = (sent?.snapshot.meta.index ?? -1) >= replication().log.firstIndex - 1;
-    if (sent !== undefined && follows && now - sent.at < SEND_AGAIN_MS) {
+    const isContinued = (sent?.snapshot.meta.index ?? -1) >= replication().log.firstIndex - 1;
+    if (sent !== undefined && isContinued && now - sent.at < SNAPSHOT_REUSE_MS) {
       return sent.snapshot;
     }
     this.sent = undefined;
--- a/packages/stallpaddle-replication/src/ReplicaStorage.ts
+++ b/packages/stallpaddle-replication/src/ReplicaStorage.ts
@@ -1,5 +1,5 @@
 /**
- * A replica's disk: log records and snapshots, decoded.
+ * Stored log records and snapshots of a replica.
  */
 import type {Disk} from 'stallpaddle-storage';
 
@@ -16,23 +16,23 @@
 
 import {EMPTY_SNAPSHOT, ReplicationLog} from './ReplicationLog';
 
-/** One synced write. */
+/** Content of one synced write. */
 export interface LogRecord {
   readonly entries: readonly LogEntry[];
   readonly hardState: HardState;
 }
 
-/** State of the machine at a place in the log. */
+/** Encoded state of the state machine at a log position. */
 export interface MachineSnapshot {
   readonly machine: Uint8Array;
   readonly meta: SnapshotMeta;
 }
 
-/** What a restart finds. */
+/** Stored data of a replica, read at its start. */
 export interface LoadedReplica {
   readonly hardState: HardState;
   readonly log: ReplicationLog;
-  /** Number of log entries to apply again, at most. */
+  /** Maximum number of log entries to apply again. */
   readonly replay: number;
   readonly snapshot: MachineSnapshot | undefined;
   readonly storage: ReplicaStorage;
@@ -51,7 +51,7 @@
   known.push(...added);
 }
 
-/** Entries that continue the snapshot; none when the log belongs to another history. */
+/** Entries that follow the snapshot; none if the log diverges from it. */
 function entriesAfter(meta: SnapshotMeta, entries: readonly LogEntry[]): readonly LogEntry[] {
   const atSnapshot = entries.find((entry) => entry.index === meta.index);
   if (atSnapshot !== undefined && atSnapshot.term !== meta.term) {
@@ -61,22 +61,22 @@
   return after[0]?.index === meta.index + 1 ? after : [];
 }
 
-/** Writes of one replica; calls must come one after another. */
+/** Reads and writes the files of one replica. Writes must not overlap. */
 export class ReplicaStorage {
   private constructor(
     private readonly disk: Disk,
     private readonly log: StorageLog,
   ) {}
 
-  /** Bytes of the present log file. */
+  /** Size of the current log file, in bytes. */
   get logBytes(): number {
     return this.log.bytes;
   }
 
   /**
-   * Reads what the disk holds.
+   * Reads the stored data of a replica.
    *
-   * @param disk folder of the replica
+   * @param disk data folder of the replica
    */
   static async load(disk: Disk): Promise<LoadedReplica> {
     const bytes = await readSnapshot(disk);
@@ -101,11 +101,11 @@
   }
 
   /**
-   * Makes an empty disk a member of a new group.
+   * Writes the initial snapshot of a new group to an empty disk.
    *
-   * @param disk folder of the replica; holds none yet
-   * @param machine the state machine's encoded first state
-   * @param members the group's first members
+   * @param disk data folder without a replica
+   * @param machine encoded initial state of the state machine
+   * @param members initial members of the group
    */
   static async initialize(disk: Disk, machine: Uint8Array, members: GroupMembers): Promise<void> {
     const snapshot: MachineSnapshot = {machine, meta: {index: 0, members, term: 0}};
@@ -113,9 +113,9 @@
   }
 
   /**
-   * Members that the disk's snapshot names, or undefined when the disk belongs to no group yet.
+   * Members in the stored snapshot, or undefined if the disk belongs to no group yet.
    *
-   * @param disk folder of the replica
+   * @param disk data folder of the replica
    */
   static async storedMembers(disk: Disk): Promise<GroupMembers | undefined> {
     const bytes = await readSnapshot(disk);
@@ -123,9 +123,10 @@
   }
 
   /**
-   * Whether the disk has ever held a replica; files of a founding that a crash cut short don't count.
+   * Whether the disk has ever held a replica. Temporary files of an initialization that a crash interrupted do not
+   * count.
    *
-   * @param disk folder of the replica
+   * @param disk data folder of the replica
    */
   static async isUsed(disk: Disk): Promise<boolean> {
     const names = await disk.list();
@@ -135,25 +136,25 @@
   /**
    * Writes and syncs one record.
    *
-   * @param record term, vote and entries
+   * @param record hard state and entries
    */
   async append(record: LogRecord): Promise<void> {
     await this.log.append(encodeValue(record));
   }
 
   /**
-   * Replaces the snapshot. The log still holds what it held.
+   * Replaces the snapshot; the log is left unchanged.
    *
-   * @param snapshot new snapshot; bulk data it refers to must be synced
+   * @param snapshot new snapshot; the bulk data it refers to must be synced
    */
   async saveSnapshot(snapshot: MachineSnapshot): Promise<void> {
     await writeSnapshot(this.disk, encodeValue(snapshot));
   }
 
   /**
-   * Replaces the log by what a snapshot doesn't cover.
+   * Replaces the log by one record.
    *
-   * @param record term, vote and remaining entries
+   * @param record hard state, and the entries that the snapshot does not cover
    */
   async restartLog(record: LogRecord): Promise<void> {
     await this.log.restart(encodeValue(record));
@@ -166,10 +167,10 @@
 }
 
 /**
- * Adds to a batch that is not written yet.
+ * Adds entries to a batch that is not written yet.
  *
- * @param batch entries gathered so far; changed in place
- * @param added consecutive entries that may replace the batch's last ones
+ * @param batch entries of the batch; changed in place
+ * @param added consecutive entries; replace those of the batch at the same or a later index
  */
 export function addToBatch(batch: LogEntry[], added: readonly LogEntry[]): void {
   mergeEntries(batch, added);
--- a/packages/stallpaddle-replication/src/ReplicaTicker.ts
+++ b/packages/stallpaddle-replication/src/ReplicaTicker.ts
@@ -1,44 +1,44 @@
 /**
- * A replica's looks at its clock: often where leases hang on them, at its time for an election where it may stand, seldom
- * elsewhere. A fleet of 200 VMs has 24 stores that hold no vote, and each look costs a turn of its process.
+ * Clock ticks of a replica: frequent where elections and leases depend on them, rare elsewhere, since each tick costs a
+ * turn of the event loop.
  */
 import type {MonotonicMs} from 'stallpaddle';
 
 import type {ReplicationState, ReplicationTiming} from './ReplicationTypes';
 
-/** Looks of a voter for each heartbeat. */
-const LOOKS_A_HEARTBEAT = 4;
+/** Ticks of a leader per heartbeat interval. */
+const TICKS_PER_HEARTBEAT = 4;
 
 /**
- * Time between a replica's looks at its clock, in milliseconds: four for each heartbeat of a voter, one for each election
- * timeout of any other replica, which stands for no election and holds no lease. Whole milliseconds: a timer with a
- * fraction wakes its process up twice.
+ * Interval between clock ticks, in milliseconds: a fraction of the heartbeat interval for a voter, an election timeout
+ * for a replica that neither starts elections nor holds a lease. Whole milliseconds, because a timer with a fraction
+ * wakes the process twice.
  *
- * @param timing times of the group
+ * @param timing timing of the group
  * @param isVoter whether the replica has a vote
  */
 export function tickPeriodMs(
   {electionTimeoutMs, heartbeatMs}: ReplicationTiming,
   isVoter = true,
 ): number {
-  return isVoter ? Math.max(1, Math.floor(heartbeatMs / LOOKS_A_HEARTBEAT)) : electionTimeoutMs;
+  return isVoter ? Math.max(1, Math.floor(heartbeatMs / TICKS_PER_HEARTBEAT)) : electionTimeoutMs;
 }
 
 /**
- * Whether a replica has a vote, or leads: elections and leases hang on its looks.
+ * Whether a replica is a voter or leads, so that elections or leases depend on its ticks.
  *
- * @param state its state
+ * @param state state of the replica
  */
 export function isVoter({log, role, self}: ReplicationState): boolean {
   return role.kind === 'leader' || log.members.voters.includes(self);
 }
 
 /**
- * Time until a replica that may stand for election but doesn't lead has to look at its clock; undefined for any other,
- * which looks regularly. All that its clock tells it is when to stand.
+ * Time until the election timeout of a voter that does not lead, which needs no other tick; undefined for replicas that
+ * tick at regular intervals.
  *
- * @param state its state
- * @param now the steady clock, in milliseconds
+ * @param state state of the replica
+ * @param now monotonic time, in milliseconds
  */
 export function msUntilElection(state: ReplicationState, now: MonotonicMs): number | undefined {
   const {electionAt, role} = state;
@@ -48,43 +48,43 @@
   return Math.max(1, Math.ceil(electionAt - now));
 }
 
-/** See the module's comment. */
+/** Calls back at regular intervals or once after a delay, whichever was requested last. */
 export class ReplicaTicker {
-  /** When the single look is due, by the steady clock; undefined while there is none. */
+  /** When the one-time tick is due, on the monotonic clock; undefined if none is scheduled. */
   private dueAt: MonotonicMs | undefined;
   private periodMs = 0;
   private timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param turn one look
+   * @param onTick called at each tick
    */
-  constructor(private readonly turn: () => void) {}
+  constructor(private readonly onTick: () => void) {}
 
   /**
-   * Sets the time between looks.
+   * Ticks at regular intervals.
    *
-   * @param periodMs the time, in milliseconds
-   * @returns whether it has changed
+   * @param periodMs interval, in milliseconds
+   * @returns whether the interval has changed
    */
-  follow(periodMs: number): boolean {
+  tickEvery(periodMs: number): boolean {
     if (periodMs === this.periodMs) {
       return false;
     }
     this.stop();
     this.periodMs = periodMs;
-    this.timer = setInterval(this.turn, periodMs);
+    this.timer = setInterval(this.onTick, periodMs);
     return true;
   }
 
   /**
-   * Looks once after a time, in place of regular looks. A look that is due before stays: a heartbeat puts an election off
-   * eight times a second, and the timer need not follow each time.
+   * Ticks once after a delay, instead of at intervals. An earlier pending tick stays scheduled: each heartbeat
+   * postpones the election, and the timer is not reset every time.
    *
-   * @param waitMs the time, in milliseconds
-   * @param now the steady clock, in milliseconds
-   * @returns whether the time of the next look has changed
+   * @param waitMs delay, in milliseconds
+   * @param now monotonic time, in milliseconds
+   * @returns whether the time of the next tick has changed
    */
-  followOnce(waitMs: number, now: MonotonicMs): boolean {
+  tickAfter(waitMs: number, now: MonotonicMs): boolean {
     if (this.dueAt !== undefined && this.dueAt <= now + waitMs) {
       return false;
     }
@@ -92,12 +92,12 @@
     this.dueAt = now + waitMs;
     this.timer = setTimeout(() => {
       this.dueAt = undefined;
-      this.turn();
+      this.onTick();
     }, waitMs);
     return true;
   }
 
-  /** Looks no more. */
+  /** Stops all ticks. */
   stop(): void {
     clearTimeout(this.timer);
     this.dueAt = undefined;
--- a/packages/stallpaddle-replication/src/ReplicaWriter.ts
+++ b/packages/stallpaddle-replication/src/ReplicaWriter.ts
@@ -1,16 +1,15 @@
 /**
- * Writes a replica's log in groups: while one sync runs, everything that arrives gathers for the next.
- * Messages that speak for what was written leave only after its sync.
+ * Group commit for the log of a replica.
  */
 import type {ReplicaStorage} from './ReplicaStorage';
 import type {HardState, LogEntry, LogIndex, Message, Term} from './ReplicationTypes';
 
 import {addToBatch} from './ReplicaStorage';
 
-/** What the writer tells and uses. */
+/** Dependencies and callbacks of the writer. */
 export interface ReplicaWriterOptions {
   readonly onFailure: (err: unknown) => void;
-  /** Everything up to an entry is on the disk. */
+  /** Called when all entries up to an index are synced. */
   readonly onPersisted: (index: LogIndex, term: Term) => void;
   readonly send: (message: Message) => void;
   readonly storage: ReplicaStorage;
@@ -26,7 +25,10 @@
   return {entries: [], hardState: undefined, sends: []};
 }
 
-/** See the module's comment. */
+/**
+ * Writes log entries with group commit: everything that arrives during a sync is written with the next one. Messages
+ * that depend on a write are sent after its sync.
+ */
 export class ReplicaWriter {
   private batch = emptyBatch();
   private stopped = false;
@@ -36,26 +38,26 @@
   private writing = false;
 
   /**
-   * @param options what the writer tells and uses
+   * @param options dependencies and callbacks
    */
   constructor(private readonly options: ReplicaWriterOptions) {}
 
-  /** Whether nothing more is written. */
+  /** Whether the writer has been stopped. */
   get isStopped(): boolean {
     return this.stopped;
   }
 
-  /** Bytes of the present log file. */
+  /** Size of the current log file, in bytes. */
   get logBytes(): number {
     return this.options.storage.logBytes;
   }
 
-  /** Syncs so far. */
+  /** Number of completed syncs. */
   get syncs(): number {
     return this.syncCount;
   }
 
-  /** Commit index that the newest write holds, or will. */
+  /** Commit index in the newest write, completed or not. */
   get recordedCommit(): LogIndex {
     return this.lastCommit;
   }
@@ -64,7 +66,7 @@
    * Adds to the next write.
    *
    * @param hardState term and vote
-   * @param entries entries, may be none; they replace any at the same or a later index
+   * @param entries entries, if any; they replace any at the same or a later index
    */
   add(hardState: HardState, entries: readonly LogEntry[]): void {
     this.lastCommit = hardState.commit ?? this.lastCommit;
@@ -73,10 +75,10 @@
   }
 
   /**
-   * Sends a message now, or after the writes that it speaks for.
+   * Sends a message at once, or after the pending writes if it depends on them.
    *
    * @param message the message
-   * @param afterPersist whether it speaks for writes
+   * @param afterPersist whether it depends on earlier writes
    */
   send(message: Message, afterPersist: boolean): void {
     const mustWait = afterPersist && (this.writing || this.batch.hardState !== undefined);
@@ -87,7 +89,7 @@
     }
   }
 
-  /** Begins to write what has gathered, unless a write is under way. */
+  /** Starts writing the current batch, unless a write is in progress. */
   flush(): void {
     const hasWork = this.batch.hardState !== undefined || this.batch.sends.length > 0;
     if (hasWork && !this.writing && !this.stopped) {
@@ -96,9 +98,9 @@
   }
 
   /**
-   * Runs a task between two writes, then writes what has gathered.
+   * Runs a task between two writes, then writes the current batch.
    *
-   * @param task must end the replica by rejecting when the disk is in doubt
+   * @param task the task; if it rejects, the replica stops
    */
   runBetweenWrites(task: () => Promise<void>): Promise<void> {
     this.writing = true;
@@ -117,22 +119,22 @@
   }
 
   /**
-   * Replaces the log; only between writes.
+   * Replaces the log. May only be called between writes.
    *
    * @param hardState term and vote
-   * @param entries what a snapshot doesn't cover
+   * @param entries entries that the snapshot does not cover
    */
   async restartLog(hardState: HardState, entries: readonly LogEntry[]): Promise<void> {
     await this.options.storage.restartLog({entries, hardState});
     this.syncCount++;
   }
 
-  /** Writes nothing more. */
+  /** Starts no further write. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Waits for the write under way and closes the files. */
+  /** Waits for the write in progress and closes the files. */
   async close(): Promise<void> {
     this.stop();
     await this.work;
--- a/packages/stallpaddle-replication/src/ReplicationLog.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLog.ts
@@ -1,8 +1,5 @@
 /**
- * In-memory part of the log, as an immutable view.
- *
- * Views share one backing array: the newest view appends in place, and older views never read past their own length.
- * Appending is O(1) and does not change what an older view contains.
+ * In-memory part of a replicated log.
  */
 import {invariant} from 'stallpaddle';
 
@@ -28,7 +25,12 @@
   return entry.payload.kind === 'command' ? entry.payload.data.length : 0;
 }
 
-/** Immutable view of the entries after a position, with the members in force at each index. */
+/**
+ * Immutable view of a log.
+ *
+ * Views share one backing array: the newest view appends in place, and older views never read past their own length.
+ * Appending is thus O(1) and does not change what an older view contains.
+ */
 export class ReplicationLog {
   private constructor(
     readonly snapshot: SnapshotMeta,
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaBlobs.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaBlobs.test.ts
@@ -94,7 +94,7 @@
     blobs.add(0, first.placed);
     const lost = place(first.end, texts(2, 'lost'));
     blobs.add(first.end, lost.placed);
-    void blobs.cutTo(first.end);
+    void blobs.truncateTo(first.end);
     const next = place(first.end, texts(1, 'next'));
     blobs.add(first.end, next.placed);
     await blobs.settle();
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDiskFaults.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDiskFaults.test.ts
@@ -294,9 +294,9 @@
     const offset = await driver.beginInstall(meta, 1);
     await driver.close();
     await expect(driver.installBlobs(offset!, Buffer.from('piece'))).rejects.toThrow(
-      'the replica has ended',
+      'the replica has stopped',
     );
-    await expect(driver.beginInstall(meta, 1)).rejects.toThrow('the replica has ended');
+    await expect(driver.beginInstall(meta, 1)).rejects.toThrow('the replica has stopped');
     expect(await disk.list()).not.toContain('blobs-0000000000000000');
   });
 
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDriver.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDriver.test.ts
@@ -180,7 +180,7 @@
     disk.failSyncs = true;
     await expect(driver.propose(Buffer.from('lost'))).rejects.toThrow();
     expect(failure).toMatchObject({message: 'the sync failed'});
-    await expect(driver.propose(Buffer.from('more'))).rejects.toThrow('the replica has ended');
+    await expect(driver.propose(Buffer.from('more'))).rejects.toThrow('the replica has stopped');
     expect(driver.leads).toBe(false);
   });
 
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
@@ -39,14 +39,14 @@
   step(event: Parameters<typeof stepReplica>[1]): void {
     const before = this.state;
     this.state = stepReplica(before, event, this.now).state;
-    this.watch.noteRole(before, this.state);
+    this.watch.recordRole(before, this.state);
   }
 
   turn(afterMs = tickPeriodMs(TIMING)): void {
     this.now += afterMs;
-    this.watch.noteTurn(this.state);
+    this.watch.recordTick(this.state);
     this.step({kind: 'tick'});
-    this.watch.noteLease(this.state);
+    this.watch.recordLease(this.state);
   }
 
   /** The other replica answers all that was sent so far. */
@@ -90,7 +90,10 @@
     expect(watched.lines[0]!.turnLateMs).toBe(0);
     watched.answer();
     watched.turn();
-    expect(watched.lines[1]).toMatchObject({message: 'The lease of this replica runs.', term: 1});
+    expect(watched.lines[1]).toMatchObject({
+      message: 'The lease of this replica was renewed.',
+      term: 1,
+    });
   });
 
   test('tells a turn that came late, and why leadership ended', () => {
@@ -99,15 +102,18 @@
     // Within two election timeouts it may still lead, once it is answered again.
     watched.turn(600);
     expect(watched.lines.map(({message}) => message)).toEqual([
-      'A turn of this replica came late.',
+      'A clock tick of this replica was late.',
       'The lease of this replica has lapsed.',
     ]);
     watched.lines.length = 0;
     watched.turn(600);
     const [late, end] = watched.lines;
-    expect(late).toMatchObject({message: 'A turn of this replica came late.', role: 'leader'});
+    expect(late).toMatchObject({message: 'A clock tick of this replica was late.', role: 'leader'});
     expect(late!.lateMs).toBeGreaterThan(500);
-    expect(end).toMatchObject({cause: 'quorumSilent', message: 'This replica leads no more.'});
+    expect(end).toMatchObject({
+      cause: 'quorumSilent',
+      message: 'This replica is no longer the leader.',
+    });
     expect(end!.turnLateMs).toBeGreaterThan(500);
   });
 
@@ -137,10 +143,14 @@
   test('looks as often as was set last', async () => {
     let looks = 0;
     const turns = new ReplicaTicker(() => looks++);
-    expect([turns.follow(5), turns.follow(5), turns.follow(1_000)]).toEqual([true, false, true]);
+    expect([turns.tickEvery(5), turns.tickEvery(5), turns.tickEvery(1_000)]).toEqual([
+      true,
+      false,
+      true,
+    ]);
     await new Promise((resolve) => setTimeout(resolve, 60));
     expect(looks).toBe(0);
-    turns.follow(5);
+    turns.tickEvery(5);
     await new Promise((resolve) => setTimeout(resolve, 100));
     turns.stop();
     expect(looks).toBeGreaterThan(3);
@@ -167,14 +177,14 @@
     const startedAt = performance.now();
     const looks: number[] = [];
     const turns = new ReplicaTicker(() => looks.push(performance.now() - startedAt));
-    expect(turns.followOnce(300, 0)).toBe(true);
-    expect(turns.followOnce(400, 50)).toBe(false);
-    expect(turns.followOnce(40, 100)).toBe(true);
+    expect(turns.tickAfter(300, 0)).toBe(true);
+    expect(turns.tickAfter(400, 50)).toBe(false);
+    expect(turns.tickAfter(40, 100)).toBe(true);
     await new Promise((resolve) => setTimeout(resolve, 450));
     expect(looks).toHaveLength(1);
     expect(looks[0]).toBeGreaterThanOrEqual(39);
     expect(looks[0]).toBeLessThan(300);
-    expect([turns.followOnce(30, 500), turns.follow(1_000)]).toEqual([true, true]);
+    expect([turns.tickAfter(30, 500), turns.tickEvery(1_000)]).toEqual([true, true]);
     await new Promise((resolve) => setTimeout(resolve, 80));
     turns.stop();
     expect(looks).toHaveLength(1);
--- a/packages/stallpaddle-replication/src/index.ts
+++ b/packages/stallpaddle-replication/src/index.ts
@@ -1,4 +1,6 @@
-/** Replicated logs: pure state machine and the driver that runs it. */
+/**
+ * Replicated log: the Raft state machine and the driver that runs it.
+ */
 export {LOG_BYTES_BEFORE_SNAPSHOT, SNAPSHOT_CHUNK_BYTES} from './ReplicaConstants';
 export {ReplicaDriver} from './ReplicaDriver';
 export {NotLeaderError, OutcomeUnknownError, ReplicaStoppedError} from './ReplicaErrors';
