--- a/packages/stallpaddle-replication/src/ReplicationCheckQuorum.ts
+++ b/packages/stallpaddle-replication/src/ReplicationCheckQuorum.ts
@@ -1,6 +1,5 @@
 /**
- * Check-quorum: a leader steps down when no majority has acknowledged it for an election timeout. Time in which its own
- * process was held up is not held against the followers.
+ * Check-quorum: a leader steps down when a majority has stopped acknowledging its messages.
  */
 import type {MonotonicMs} from 'stallpaddle';
 
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaBlobs.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaBlobs.test.ts
@@ -1,11 +1,6 @@
 /**
- * Bulk data of a busy replica.
- *
- * Seen: batch jobs that had been accepted could not be read at the end of a day, though their group had a leader with all
- * their data; on such days items also began seconds late. Each piece of bulk data was written by itself, one after the
- * other, and a read waited for all writes that had been asked for before it. A leader whose turns take 20 to 200 ms gets
- * more pieces in a turn than it writes: the queue grew, and reads took up to 8 s, of which callers wait 1.5 s. Plays with a
- * line for each read proved it: p50 of reads of one body 3.8 to 7.6 s, while reads without bulk data took a millisecond.
+ * Reads and writes of bulk data on a busy replica. Guards against reads that wait for queued writes, and against a
+ * write per blob, which lets the queue grow without bound.
  */
 import {placeBlob, StorageBlobs} from 'stallpaddle-storage';
 import {FakeDisk} from 'stallpaddle-testing';
@@ -15,7 +10,7 @@
 
 import {ReplicaBlobs} from '../../ReplicaBlobs';
 
-/** Pieces with their places, from an offset on. */
+/** Blobs with their locations, starting at an offset. */
 function place(from: number, texts: readonly string[]): {end: number; placed: PlacedBlob[]} {
   let at = from;
   const placed = texts.map((text) => {
@@ -47,18 +42,18 @@
 }
 
 describe('ReplicaBlobs', () => {
-  test('what is written can be read while the disk takes its time for what came later', async () => {
+  test('reads written blobs while later writes are pending', async () => {
     const {blobs, disk} = await open();
     const early = place(0, texts(3));
     blobs.add(0, early.placed);
     await blobs.settle();
-    // From here on the disk takes nothing.
+    // From here on, no write completes.
     disk.onAppend = () => new Promise(() => {});
     blobs.add(early.end, place(early.end, texts(5, 'late')).placed);
     expect(await textAt(blobs, early.placed[1]!)).toBe('piece 1');
   });
 
-  test('what is not written yet can be read at once', async () => {
+  test('reads blobs that are not written yet', async () => {
     const {blobs, disk} = await open();
     disk.onAppend = () => new Promise(() => {});
     const {end, placed} = place(0, texts(3));
@@ -69,7 +64,7 @@
     expect(await textAt(blobs, more.placed[2]!)).toBe('more 2');
   });
 
-  test('all that comes while one write is under way takes one more', async () => {
+  test('writes all blobs added during a write with one more write', async () => {
     const {blobs, counts, failures} = await open();
     let end = 0;
     const all: PlacedBlob[] = [];
@@ -88,7 +83,7 @@
     expect(failures).toEqual([]);
   });
 
-  test('a cut between two commands stays between them', async () => {
+  test('keeps a truncation between two commands in order', async () => {
     const {blobs, failures} = await open();
     const first = place(0, texts(2));
     blobs.add(0, first.placed);
@@ -104,7 +99,7 @@
     expect(failures).toEqual([]);
   });
 
-  test('pieces that fill a segment go on in the next', async () => {
+  test('continues in the next segment when blobs fill a segment', async () => {
     const {blobs, failures} = await open();
     const large = 'x'.repeat(30_000_000);
     const {end, placed} = place(0, [large, large, large, 'small']);
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDiskFaults.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDiskFaults.test.ts
@@ -1,9 +1,6 @@
 /**
- * What a replica's disk holds after writes that fail, syncs that fail or are slow, transfers that are overtaken, and a
- * loss of power.
- *
- * What was seen: of many accepted jobs one couldn't be read after a loss of power. Each of these faults leaves just that:
- * a snapshot that names bytes which never reached the disk, or a state that lacks commands which others hold.
+ * Failed and slow writes and syncs, overlapping snapshot transfers, and power loss. Guards against a snapshot that
+ * refers to bytes that never reached the disk, and against a state that lacks committed commands.
  */
 import type {ReplicaId} from 'stallpaddle';
 
@@ -32,9 +29,9 @@
 const WITH_LEARNER: GroupMembers = {learners: ['vm/9'], voters: [SELF]};
 const TIMING = {electionTimeoutMs: 20, heartbeatMs: 4, leaseDriftFraction: 0.2};
 const SNAPSHOT_LOG_BYTES = 2_000;
-const NO_ROOM = new Error('no room');
+const DISK_FULL = new Error('no space left on device');
 
-/** Holds operations up until it is opened. */
+/** Blocks operations until it is opened. */
 function gate(): {readonly open: () => void; readonly opened: Promise<void>} {
   let open = (): void => {};
   const opened = new Promise<void>((resolve) => {
@@ -55,7 +52,7 @@
   return disk;
 }
 
-/** Texts whose bulk data can't be read as it was written. */
+/** Texts whose bulk data is missing or differs from what was written. */
 async function unreadable(driver: Driver): Promise<readonly string[]> {
   const bad: string[] = [];
   for (const {ref, text} of driver.localState.items) {
@@ -78,7 +75,7 @@
   return {body, from: LEADER, group: 'g', term, to: SELF};
 }
 
-/** An append of texts from a place on; all of them are committed. */
+/** An append of texts after an index, all of them committed. */
 function append(term: number, prevIndex: number, prevTerm: number, added: readonly string[]) {
   const entries = added.map((text, at) => ({
     index: prevIndex + 1 + at,
@@ -131,14 +128,14 @@
     }
   }
 
-  /** Adds a learner: a snapshot is taken for it. */
+  /** Adds learners and waits until a snapshot is taken for them. */
   async function join(driver: Driver, learners: readonly ReplicaId[]): Promise<void> {
     const {length} = sources;
     await driver.changeMembers({learners, voters: [SELF]});
     await until(() => sources.length > length);
   }
 
-  /** All unsynced content and names are gone, and the replica starts again. */
+  /** Restarts the replica after losing all unsynced content and file names. */
   async function losePower(driver: Driver, disk: FakeDisk): Promise<Driver> {
     disk.endProcess();
     await driver.close().catch(() => {});
@@ -152,8 +149,8 @@
     sources = [];
   });
 
-  test('a job accepted before a transfer broke off lasts with the next snapshot', async () => {
-    // The note that the job's bytes had never been synced was dropped with the rest of the transfer.
+  test('an accepted job survives in the next snapshot after an aborted transfer', async () => {
+    // An aborted transfer must not clear the record that the bytes of the job are unsynced.
     const disk = await formed(ALONE);
     const driver = await lead(disk, Infinity);
     await fill(driver, 'early ', 20);
@@ -164,14 +161,13 @@
     await driver.installBlobs(end!, Buffer.from('half of a transfer'));
     await driver.beginInstall(meta, 99);
     await join(driver, ['vm/8', 'vm/9']);
-    const again = await losePower(driver, disk);
-    expect(texts(again)).toContain('job');
-    expect(await unreadable(again)).toEqual([]);
+    const restarted = await losePower(driver, disk);
+    expect(texts(restarted)).toContain('job');
+    expect(await unreadable(restarted)).toEqual([]);
   });
 
-  test('a snapshot never names bulk data whose write failed', async () => {
-    // The disk was full for a moment: the replica ended, its snapshot was written all the same, and the log that held the
-    // bytes was dropped for it.
+  test('a snapshot never refers to bulk data whose write failed', async () => {
+    // After a failed write, no snapshot may be saved, because it would replace the log that still holds the bytes.
     const disk = await formed(ALONE);
     const driver = await lead(disk);
     await fill(driver, 'early ', 5);
@@ -179,7 +175,7 @@
     disk.onAppend = async (name) => {
       if (name.startsWith('blobs-')) {
         await slow.opened;
-        throw NO_ROOM;
+        throw DISK_FULL;
       }
     };
     const job = driver.propose(Buffer.from('job'));
@@ -188,15 +184,15 @@
     slow.open();
     await until(() => failure !== undefined);
     await driver.close();
-    expect(failure).toBe(NO_ROOM);
+    expect(failure).toBe(DISK_FULL);
     disk.onAppend = () => Promise.resolve();
-    const again = await start(disk);
-    expect(texts(again)).toContain('job');
-    expect(await unreadable(again)).toEqual([]);
+    const restarted = await start(disk);
+    expect(texts(restarted)).toContain('job');
+    expect(await unreadable(restarted)).toEqual([]);
   });
 
-  test('a replica ends when the sync of a snapshot for another one fails', async () => {
-    // The failure was taken for that of the transfer, and the next snapshot named what the disk had given up.
+  test('a replica stops when the sync of a snapshot for another replica fails', async () => {
+    // A failed sync must not be treated as a failed transfer: the next snapshot would refer to lost bytes.
     const disk = await formed(ALONE);
     const driver = await lead(disk, Infinity);
     await fill(driver, 'early ', 5);
@@ -210,9 +206,9 @@
     expect(driver.leads).toBe(false);
   });
 
-  test('a snapshot that entries overtake while it is saved takes nothing back', async () => {
-    // The transfer came late and its disk was slow; the next leader's entries passed it. The state went back to the
-    // snapshot's while the log stood after it: what came between was applied nowhere, and lacked here for ever.
+  test('entries received while a snapshot is saved are not lost', async () => {
+    // Otherwise the state would be reset to the snapshot while the log is ahead of it, and the entries in between would
+    // never be applied.
     const disk = await formed(TWO);
     const driver = await start(disk);
     driver.receive(append(1, 0, 0, ['one']));
@@ -235,19 +231,19 @@
     slow.open();
     await finished;
     expect(texts(driver)).toHaveLength(driver.status.applied);
-    // As a leader does that had no answer.
+    // A retransmission, as from a leader that received no reply.
     driver.receive(append(1, 3, 1, all.slice(3)));
     await delay(5);
     expect(failure).toBeUndefined();
     expect(texts(driver)).toEqual(all);
     expect(driver.status.applied).toBe(all.length);
     expect(await unreadable(driver)).toEqual([]);
-    const again = await losePower(driver, disk);
-    expect(again.status.log.lastIndex).toBe(all.length);
-    expect(await unreadable(again)).toEqual([]);
+    const restarted = await losePower(driver, disk);
+    expect(restarted.status.log.lastIndex).toBe(all.length);
+    expect(await unreadable(restarted)).toEqual([]);
   });
 
-  test('entries that are applied while a snapshot is saved cut none of its bulk data off', async () => {
+  test('entries applied while a snapshot is saved do not truncate its bulk data', async () => {
     const disk = await formed(TWO);
     const driver = await start(disk);
     const {all, meta, other} = await transferred(driver);
@@ -261,13 +257,13 @@
     expect(await finished).toBe(true);
     expect(texts(driver)).toEqual(all);
     expect(await unreadable(driver)).toEqual([]);
-    const again = await losePower(driver, disk);
-    expect(texts(again)).toEqual(all);
-    expect(await unreadable(again)).toEqual([]);
+    const restarted = await losePower(driver, disk);
+    expect(texts(restarted)).toEqual(all);
+    expect(await unreadable(restarted)).toEqual([]);
   });
 
-  test('a transfer that begins while a snapshot is saved cuts none of its bulk data off', async () => {
-    // Two transfers at once: the second one began from the state before the first, and broke off.
+  test('a transfer started while a snapshot is saved does not truncate its bulk data', async () => {
+    // The second of two concurrent transfers starts from the state before the first and is aborted.
     const disk = await formed(TWO);
     const driver = await start(disk);
     const {all, meta, other} = await transferred(driver);
@@ -282,12 +278,12 @@
     await begun;
     expect(texts(driver)).toEqual(all);
     expect(await unreadable(driver)).toEqual([]);
-    const again = await losePower(driver, disk);
-    expect(await unreadable(again)).toEqual([]);
+    const restarted = await losePower(driver, disk);
+    expect(await unreadable(restarted)).toEqual([]);
   });
 
-  test('a replica that has ended takes in nothing of a transfer', async () => {
-    // Another one may have opened the same files by then.
+  test('a stopped replica accepts no part of a transfer', async () => {
+    // Another instance may have opened the same files.
     const disk = await formed(TWO);
     const driver = await start(disk);
     const meta = {index: 4, members: TWO, term: 1};
@@ -300,7 +296,7 @@
     expect(await disk.list()).not.toContain('blobs-0000000000000000');
   });
 
-  test('an own snapshot that begins while another one is taken over never replaces it', async () => {
+  test('a local snapshot due while a received one is installed never replaces it', async () => {
     const disk = await formed(TWO);
     const driver = await start(disk, 0);
     const {all, meta, other} = await transferred(driver);
@@ -309,20 +305,20 @@
     const snapshot = {machine: listMachine.encode(other.localState), meta};
     const finished = driver.finishInstall(snapshot, 1);
     await delay(2);
-    // Its log is longer than a snapshot allows, so this one makes a snapshot due at once.
+    // The size limit of the log is 0, so this append makes a snapshot due at once.
     driver.receive(append(1, 0, 0, all.slice(0, 2)));
     await delay(2);
     slow.open();
     expect(await finished).toBe(true);
     await delay(10);
     expect(failure).toBeUndefined();
-    const again = await losePower(driver, disk);
-    expect(again.status.applied).toBe(meta.index);
-    expect(texts(again)).toEqual(all);
-    expect(await unreadable(again)).toEqual([]);
+    const restarted = await losePower(driver, disk);
+    expect(restarted.status.applied).toBe(meta.index);
+    expect(texts(restarted)).toEqual(all);
+    expect(await unreadable(restarted)).toEqual([]);
   });
 
-  /** Another replica, whose bulk data was copied to the driver; only the snapshot itself is missing. */
+  /** Another replica, whose bulk data was copied to the driver; only the snapshot itself is still to be installed. */
   async function transferred(driver: Driver): Promise<{
     readonly all: readonly string[];
     readonly meta: SnapshotMeta;
@@ -339,7 +335,7 @@
     return {all, meta, other};
   }
 
-  /** Copies bulk data as it lies, from one replica to another. */
+  /** Copies raw bulk data from one replica to another. */
   async function copyBulk(from: Driver, to: Driver, offset: number, end: number): Promise<void> {
     await from.changeMembers(WITH_LEARNER);
     await until(() => sources.length > 0);
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDriver.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaDriver.test.ts
@@ -3,9 +3,7 @@
 import {FakeDisk} from 'stallpaddle-testing';
 import {afterEach, describe, expect, test} from 'vitest';
 
-/**
- * The driver on a fake disk: restarts, snapshots, and a disk that fails or is slow.
- */
+/** The driver on a fake disk: restarts, snapshots, and slow or failing syncs. */
 import type {ReplicaMachine} from '../../ReplicaMachine';
 import type {ReplicaTransport} from '../../ReplicaOptions';
 
@@ -22,7 +20,7 @@
   readonly texts: readonly string[];
 }
 
-/** Keeps a list of texts, each with bulk data. */
+/** State machine that keeps a list of texts, each with bulk data. */
 const listMachine: ReplicaMachine<ListState> = {
   apply: (state, command) => {
     const text = Buffer.from(command).toString();
@@ -43,7 +41,7 @@
 describe('ReplicaDriver', () => {
   const opened: ReplicaDriver<ListState>[] = [];
   let failure: unknown;
-  /** Brings nothing anywhere. */
+  /** Drops all messages and snapshots. */
   const transport: {-readonly [Key in keyof ReplicaTransport]: ReplicaTransport[Key]} = {
     send: () => {},
     sendSnapshot: () => Promise.resolve(false),
@@ -88,19 +86,19 @@
     failure = undefined;
   });
 
-  test('shows after a restart, before any election, what it knew to be committed', async () => {
+  test('restores the known committed state after a restart, before any election', async () => {
     const disk = await formed();
     const driver = await open(disk);
     await driver.propose(Buffer.from('one'));
     await delay(400);
     await driver.close();
     disk.restart();
-    const again = await start(disk);
-    expect(again.status.role.kind).toBe('follower');
-    expect(again.localState.texts).toEqual(['one']);
+    const restarted = await start(disk);
+    expect(restarted.status.role.kind).toBe('follower');
+    expect(restarted.localState.texts).toEqual(['one']);
   });
 
-  test('comes back with everything acknowledged after many snapshots, and replays little', async () => {
+  test('recovers every acknowledged command after many snapshots with a short replay', async () => {
     const disk = await formed();
     const driver = await open(disk);
     const refs = [];
@@ -109,19 +107,19 @@
     }
     await driver.close();
     disk.restart();
-    const again = await open(disk);
-    expect(again.localState.texts).toHaveLength(300);
-    expect(again.replayed).toBeLessThan(100);
-    const last = await again.readBlob(refs[299] as {length: number; offset: number});
+    const restarted = await open(disk);
+    expect(restarted.localState.texts).toHaveLength(300);
+    expect(restarted.replayed).toBeLessThan(100);
+    const last = await restarted.readBlob(refs[299] as {length: number; offset: number});
     expect(Buffer.from(last).toString()).toBe('bulk of text 299');
   });
 
-  test('goes on committing while a snapshot waits for a slow disk', async () => {
+  test('keeps committing while a snapshot waits for a slow disk', async () => {
     const disk = await formed();
     let waiting = 0;
-    let letGo = (): void => {};
+    let release = (): void => {};
     const gate = new Promise<void>((resolve) => {
-      letGo = resolve;
+      release = resolve;
     });
     disk.onSync = async (name) => {
       if (name.startsWith('blobs-')) {
@@ -135,15 +133,15 @@
     }
     expect(waiting).toBe(1);
     expect(driver.status.log.snapshot.index).toBe(0);
-    letGo();
+    release();
     while (driver.status.log.snapshot.index === 0) {
       await delay(1);
     }
     expect(driver.localState.texts).toHaveLength(200);
   }, 15_000);
 
-  test('takes no snapshot over before its bulk data is whole, and has all of it on the disk when it says so', async () => {
-    // Whoever says so counts as a copy, and may soon be one of a majority.
+  test('installs a snapshot only with complete bulk data, and has synced all of it before confirming', async () => {
+    // A replica that confirms counts as a copy and may become part of a majority.
     const leader = await open(await formed());
     const refs: BlobRef[] = [];
     for (const text of TEXTS) {
@@ -164,17 +162,17 @@
     expect(await ReplicaStorage.storedMembers(disk)).toBeUndefined();
     await learner.installBlobs(20, whole.subarray(20));
     expect(await learner.finishInstall(snapshot, term)).toBe(true);
-    // A loss of power right after its word.
+    // Power loss right after the confirmation.
     disk.restart();
-    const again = await start(disk, 'vm/2');
-    expect(again.localState.texts).toEqual(TEXTS);
-    const read = await Promise.all(refs.map((ref) => again.readBlob(ref)));
+    const restarted = await start(disk, 'vm/2');
+    expect(restarted.localState.texts).toEqual(TEXTS);
+    const read = await Promise.all(refs.map((ref) => restarted.readBlob(ref)));
     expect(read.map((bytes) => Buffer.from(bytes).toString())).toEqual(
       TEXTS.map((text) => `bulk of ${text}`),
     );
   });
 
-  test('ends when a sync fails, and acknowledges nothing after it', async () => {
+  test('stops when a sync fails, and acknowledges nothing afterwards', async () => {
     const disk = await formed();
     const driver = await open(disk);
     disk.failSyncs = true;
@@ -184,10 +182,10 @@
     expect(driver.leads).toBe(false);
   });
 
-  test('writes no new snapshot for each try at a replica that is dark', async () => {
+  test('reuses the snapshot when an unreachable replica is retried', async () => {
     const disk = await formed();
     const driver = await open(disk);
-    // More than the log keeps for replicas that lag a little.
+    // More than the log keeps for replicas that lag slightly.
     for (const letter of ['a', 'b', 'c']) {
       await driver.propose(Buffer.from(letter.repeat(2_000_000)));
     }
@@ -197,13 +195,13 @@
       saved += to.includes('snapshot') ? 1 : 0;
       return rename.call(disk, from, to);
     };
-    let tries = 0;
+    let attempts = 0;
     transport.sendSnapshot = () => {
-      tries++;
+      attempts++;
       return Promise.resolve(false);
     };
     await driver.changeMembers({learners: ['vm2/1'], voters: [SELF]});
-    while (tries < 10) {
+    while (attempts < 10) {
       await delay(5);
     }
     expect(saved).toBeLessThanOrEqual(2);
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
@@ -1,5 +1,5 @@
 /**
- * What the log says of a leader: each line tells a held-up process from a silent network.
+ * Log lines of a replica, which must distinguish a held-up process from a network failure.
  */
 import type {Clock, LogFields, Logger} from 'stallpaddle';
 
@@ -16,12 +16,12 @@
 const SELF = 'a/1';
 const OTHER = 'b/1';
 
-/** A replica of two, its clock, and what its log says. */
-class Watched {
+/** One of two replicas, with a simulated clock and its log lines. */
+class MonitoredReplica {
   readonly lines: (LogFields & {readonly message: string})[] = [];
   now = 0;
   state: ReplicationState;
-  readonly watch: ReplicaMonitor;
+  readonly monitor: ReplicaMonitor;
 
   constructor() {
     const write = (message: string, fields: LogFields = {}): void => {
@@ -33,23 +33,23 @@
     const log = ReplicationLog.restore({...EMPTY_SNAPSHOT, members}, []);
     const hardState = {term: 0, votedFor: null};
     this.state = startReplica({group: 'g', hardState, log, self: SELF, timing: TIMING}, 0);
-    this.watch = new ReplicaMonitor(clock, logger, TIMING);
+    this.monitor = new ReplicaMonitor(clock, logger, TIMING);
   }
 
   step(event: Parameters<typeof stepReplica>[1]): void {
     const before = this.state;
     this.state = stepReplica(before, event, this.now).state;
-    this.watch.recordRole(before, this.state);
+    this.monitor.recordRole(before, this.state);
   }
 
-  turn(afterMs = tickPeriodMs(TIMING)): void {
+  tick(afterMs = tickPeriodMs(TIMING)): void {
     this.now += afterMs;
-    this.watch.recordTick(this.state);
+    this.monitor.recordTick(this.state);
     this.step({kind: 'tick'});
-    this.watch.recordLease(this.state);
+    this.monitor.recordLease(this.state);
   }
 
-  /** The other replica answers all that was sent so far. */
+  /** The other replica acknowledges everything sent so far. */
   answer(): void {
     const {log, role, term} = this.state;
     const lastIndex = log.lastIndex;
@@ -65,49 +65,49 @@
   }
 
   lead(): void {
-    for (let turns = 0; this.state.role.kind !== 'leader'; turns++) {
-      expect(turns).toBeLessThan(100);
-      this.turn();
+    for (let ticks = 0; this.state.role.kind !== 'leader'; ticks++) {
+      expect(ticks).toBeLessThan(100);
+      this.tick();
       this.answer();
     }
     this.answer();
-    this.turn();
+    this.tick();
     this.lines.length = 0;
   }
 }
 
-describe('ReplicaWatch', () => {
-  test('tells a lease that lapses and runs again, and how long a majority was silent', () => {
-    const watched = new Watched();
-    watched.lead();
-    for (let turns = 0; turns < 14; turns++) {
-      watched.turn();
+describe('ReplicaMonitor', () => {
+  test('logs a lease that lapses and is renewed, and how long no majority responded', () => {
+    const replica = new MonitoredReplica();
+    replica.lead();
+    for (let ticks = 0; ticks < 14; ticks++) {
+      replica.tick();
     }
-    expect(watched.lines).toMatchObject([
+    expect(replica.lines).toMatchObject([
       {message: 'The lease of this replica has lapsed.', term: 1},
     ]);
-    expect(watched.lines[0]!.quorumSilentMs).toBeGreaterThanOrEqual(400);
-    expect(watched.lines[0]!.turnLateMs).toBe(0);
-    watched.answer();
-    watched.turn();
-    expect(watched.lines[1]).toMatchObject({
+    expect(replica.lines[0]!.quorumSilentMs).toBeGreaterThanOrEqual(400);
+    expect(replica.lines[0]!.turnLateMs).toBe(0);
+    replica.answer();
+    replica.tick();
+    expect(replica.lines[1]).toMatchObject({
       message: 'The lease of this replica was renewed.',
       term: 1,
     });
   });
 
-  test('tells a turn that came late, and why leadership ended', () => {
-    const watched = new Watched();
-    watched.lead();
-    // Within two election timeouts it may still lead, once it is answered again.
-    watched.turn(600);
-    expect(watched.lines.map(({message}) => message)).toEqual([
+  test('logs a late tick, and why leadership ended', () => {
+    const replica = new MonitoredReplica();
+    replica.lead();
+    // Within two election timeouts it may resume leading once it is acknowledged again.
+    replica.tick(600);
+    expect(replica.lines.map(({message}) => message)).toEqual([
       'A clock tick of this replica was late.',
       'The lease of this replica has lapsed.',
     ]);
-    watched.lines.length = 0;
-    watched.turn(600);
-    const [late, end] = watched.lines;
+    replica.lines.length = 0;
+    replica.tick(600);
+    const [late, end] = replica.lines;
     expect(late).toMatchObject({message: 'A clock tick of this replica was late.', role: 'leader'});
     expect(late!.lateMs).toBeGreaterThan(500);
     expect(end).toMatchObject({
@@ -117,16 +117,16 @@
     expect(end!.turnLateMs).toBeGreaterThan(500);
   });
 
-  test('tells a leadership that was handed over from one that lost its majority', () => {
-    const watched = new Watched();
-    watched.lead();
-    watched.step({kind: 'transferLeadership'});
-    expect(watched.lines).toMatchObject([{cause: 'handedOver', newTerm: 1, term: 1}]);
+  test('distinguishes a leadership transfer from a lost majority', () => {
+    const replica = new MonitoredReplica();
+    replica.lead();
+    replica.step({kind: 'transferLeadership'});
+    expect(replica.lines).toMatchObject([{cause: 'handedOver', newTerm: 1, term: 1}]);
   });
 });
 
-describe('ReplicaTurns', () => {
-  test('only voters look often', () => {
+describe('ReplicaTicker', () => {
+  test('uses short intervals for voters only', () => {
     const stateOf = (voters: readonly string[]): ReplicationState => {
       const log = ReplicationLog.restore(
         {...EMPTY_SNAPSHOT, members: {learners: [SELF], voters}},
@@ -140,62 +140,62 @@
     expect(tickPeriodMs(TIMING, false)).toBe(TIMING.electionTimeoutMs);
   });
 
-  test('looks as often as was set last', async () => {
-    let looks = 0;
-    const turns = new ReplicaTicker(() => looks++);
-    expect([turns.tickEvery(5), turns.tickEvery(5), turns.tickEvery(1_000)]).toEqual([
+  test('ticks at the interval that was set last', async () => {
+    let ticks = 0;
+    const ticker = new ReplicaTicker(() => ticks++);
+    expect([ticker.tickEvery(5), ticker.tickEvery(5), ticker.tickEvery(1_000)]).toEqual([
       true,
       false,
       true,
     ]);
     await new Promise((resolve) => setTimeout(resolve, 60));
-    expect(looks).toBe(0);
-    turns.tickEvery(5);
+    expect(ticks).toBe(0);
+    ticker.tickEvery(5);
     await new Promise((resolve) => setTimeout(resolve, 100));
-    turns.stop();
-    expect(looks).toBeGreaterThan(3);
+    ticker.stop();
+    expect(ticks).toBeGreaterThan(3);
   });
 
-  test('whoever may stand looks when it is time to, and stands at that look', () => {
-    const watched = new Watched();
-    for (let looks = 0; looks < 20; looks++) {
-      const waitMs = msUntilElection(watched.state, watched.now)!;
-      watched.now += waitMs - 1;
-      const {electionCount} = watched.state;
-      watched.step({kind: 'tick'});
-      const isEarly = waitMs > 1 && watched.now < watched.state.electionAt;
-      expect(watched.state.electionCount === electionCount).toBe(isEarly);
-      watched.now += 1;
-      watched.step({kind: 'tick'});
-      expect(watched.state.electionCount).toBeGreaterThan(electionCount);
+  test('a voter ticks at its election timeout and starts an election at that tick', () => {
+    const replica = new MonitoredReplica();
+    for (let ticks = 0; ticks < 20; ticks++) {
+      const waitMs = msUntilElection(replica.state, replica.now)!;
+      replica.now += waitMs - 1;
+      const {electionCount} = replica.state;
+      replica.step({kind: 'tick'});
+      const isEarly = waitMs > 1 && replica.now < replica.state.electionAt;
+      expect(replica.state.electionCount === electionCount).toBe(isEarly);
+      replica.now += 1;
+      replica.step({kind: 'tick'});
+      expect(replica.state.electionCount).toBeGreaterThan(electionCount);
     }
-    watched.lead();
-    expect(msUntilElection(watched.state, watched.now)).toBeUndefined();
+    replica.lead();
+    expect(msUntilElection(replica.state, replica.now)).toBeUndefined();
   });
 
-  test('a single look comes when it is due, no later for what was put off, earlier when it must', async () => {
+  test('a one-time tick is neither postponed by a later request nor late for an earlier one', async () => {
     const startedAt = performance.now();
-    const looks: number[] = [];
-    const turns = new ReplicaTicker(() => looks.push(performance.now() - startedAt));
-    expect(turns.tickAfter(300, 0)).toBe(true);
-    expect(turns.tickAfter(400, 50)).toBe(false);
-    expect(turns.tickAfter(40, 100)).toBe(true);
+    const ticks: number[] = [];
+    const ticker = new ReplicaTicker(() => ticks.push(performance.now() - startedAt));
+    expect(ticker.tickAfter(300, 0)).toBe(true);
+    expect(ticker.tickAfter(400, 50)).toBe(false);
+    expect(ticker.tickAfter(40, 100)).toBe(true);
     await new Promise((resolve) => setTimeout(resolve, 450));
-    expect(looks).toHaveLength(1);
-    expect(looks[0]).toBeGreaterThanOrEqual(39);
-    expect(looks[0]).toBeLessThan(300);
-    expect([turns.tickAfter(30, 500), turns.tickEvery(1_000)]).toEqual([true, true]);
+    expect(ticks).toHaveLength(1);
+    expect(ticks[0]).toBeGreaterThanOrEqual(39);
+    expect(ticks[0]).toBeLessThan(300);
+    expect([ticker.tickAfter(30, 500), ticker.tickEvery(1_000)]).toEqual([true, true]);
     await new Promise((resolve) => setTimeout(resolve, 80));
-    turns.stop();
-    expect(looks).toHaveLength(1);
+    ticker.stop();
+    expect(ticks).toHaveLength(1);
   });
 
-  test('who is missing when no majority answers, now and then', () => {
-    const watched = new Watched();
-    for (let turn = 0; turn < 400; turn++) {
-      watched.turn();
+  test('logs the missing voters of failed elections, at a limited rate', () => {
+    const replica = new MonitoredReplica();
+    for (let count = 0; count < 400; count++) {
+      replica.tick();
     }
-    const lines = watched.lines.filter(({message}) => message.startsWith('No majority'));
+    const lines = replica.lines.filter(({message}) => message.startsWith('No majority'));
     expect(lines[0]).toMatchObject({answered: SELF, missing: OTHER});
     expect(lines.length).toBeGreaterThan(1);
     expect(lines.length).toBeLessThanOrEqual(3);
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicationCluster.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicationCluster.ts
@@ -1,9 +1,8 @@
 import type {ReplicaId} from 'stallpaddle';
 
 /**
- * A group of replicas under a test's control: messages, disks, clocks and failures are all its own.
- *
- * It stands in for the drivers only; every decision is the product's own `stepReplica`.
+ * Simulated cluster of replicas. The test controls messages, disks, clocks and failures; the cluster replaces only the
+ * drivers and runs the real `stepReplica`.
  */
 import type {
   GroupMembers,
@@ -22,7 +21,7 @@
 import {isCaughtUp, startReplica, stepReplica} from '../../ReplicationStep';
 
 const TIMING = {electionTimeoutMs: 100, heartbeatMs: 20, leaseDriftFraction: 0.2};
-/** Sums of times that aren't whole, in milliseconds. */
+/** Tolerance for rounding errors in sums of times, in milliseconds. */
 const ROUNDING_MS = 0.001;
 const NO_HARD_STATE: HardState = {term: 0, votedFor: null};
 
@@ -45,7 +44,7 @@
 
 interface Replica {
   applied: string[];
-  /** This replica's clock runs at so many times the world's. */
+  /** Rate of the clock of this replica relative to simulated time. */
   readonly clockRate: number;
   readonly disk: DurableDisk;
   frozenUntil: number;
@@ -55,8 +54,8 @@
   write: Write;
 }
 
-/** Something under way between two replicas. */
-type Parcel =
+/** A message or snapshot in transit between two replicas. */
+type Packet =
   | {
       readonly from: ReplicaId;
       readonly kind: 'message';
@@ -71,49 +70,49 @@
       readonly to: ReplicaId;
     };
 
-/** A broken promise. */
+/** A violated safety property. */
 export class SafetyError extends Error {
   override readonly name = 'SafetyError';
 }
 
-/** See the module's comment. */
+/** Runs replicas in simulated time and checks safety properties after each step. */
 export class ReplicationCluster {
-  /** Commands that a leader has acknowledged. */
+  /** Commands that a leader has acknowledged, in order. */
   readonly acknowledged: string[] = [];
-  /** When each of them was. */
+  /** Time of each acknowledgement. */
   private readonly acknowledgedAt: number[] = [];
-  /** Times that a follower has said as of when it holds all. */
-  completions = 0;
-  /** One-way cuts, as `from>to`. */
+  /** Number of times a follower advanced its `caughtUpAt`. */
+  caughtUpUpdates = 0;
+  /** Blocked one-way links, as `from>to`. */
   readonly cuts = new Set<string>();
   now = 1000;
-  readonly parcels: Parcel[] = [];
+  readonly packets: Packet[] = [];
   readonly replicas = new Map<ReplicaId, Replica>();
   private readonly committed: string[] = [];
-  /** Time that each committed command counted, by index. */
+  /** Elapsed time recorded by each committed command, by index. */
   private readonly counted: number[] = [];
   private nextRequest = 0;
   private readonly startedAt = this.now;
 
   /**
-   * @param ids first members
+   * @param ids initial voters
    */
   constructor(ids: readonly ReplicaId[]) {
     const members: GroupMembers = {learners: [], voters: ids};
     ids.forEach((id, index) => this.addReplica(id, 0.95 + 0.05 * (index % 3), members));
   }
 
-  /** Names of all replicas, in order. */
+  /** Ids of all replicas, in order. */
   get ids(): readonly ReplicaId[] {
     return [...this.replicas.keys()];
   }
 
-  /** Time that all committed commands have counted, in milliseconds. */
+  /** Sum of the elapsed times of all committed commands, in milliseconds. */
   get countedMs(): number {
     return this.counted.reduce((total, ms) => total + ms, 0);
   }
 
-  /** Adds a replica; without members its disk is empty. */
+  /** Adds a replica; its disk is empty if no members are given. */
   addReplica(id: ReplicaId, clockRate: number, members: GroupMembers | null): void {
     const meta = members === null ? EMPTY_SNAPSHOT : {index: 0, members, term: 0};
     this.replicas.set(id, {
@@ -128,7 +127,7 @@
     this.restart(id);
   }
 
-  /** Replicas that lead and whose lease runs, on their own clocks. */
+  /** Replicas that hold a lease according to their own clocks. */
   leaseHolders(): readonly ReplicaId[] {
     return this.ids.filter((id) => {
       const {state} = this.replicas.get(id)!;
@@ -136,7 +135,7 @@
     });
   }
 
-  /** Ends a process; what was not synced is gone. */
+  /** Stops a process; unsynced writes are lost. */
   crash(id: ReplicaId): void {
     const replica = this.replicas.get(id)!;
     replica.state = undefined;
@@ -144,7 +143,7 @@
     replica.write = {entries: [], hardState: undefined, sends: []};
   }
 
-  /** Starts a process from its disk. */
+  /** Starts a process from the contents of its disk. */
   restart(id: ReplicaId): void {
     const replica = this.replicas.get(id)!;
     if (replica.state !== undefined) {
@@ -159,17 +158,17 @@
     );
   }
 
-  /** Removes a replica and its disk for good. */
-  loseForGood(id: ReplicaId): void {
+  /** Removes a replica and its disk. */
+  removePermanently(id: ReplicaId): void {
     this.replicas.delete(id);
   }
 
-  /** Stops a process from doing anything for a time; its clock runs on. */
+  /** Suspends a process for some time; its clock keeps running. */
   freeze(id: ReplicaId, ms: number): void {
     this.replicas.get(id)!.frozenUntil = this.now + ms;
   }
 
-  /** Lets time pass and every running process look at its clock. */
+  /** Advances time and delivers a clock tick to every running process. */
   advance(ms: number): void {
     this.now += ms;
     this.ids.forEach((id) => this.event(id, {kind: 'tick'}));
@@ -183,12 +182,12 @@
     this.event(id, {commands: [{data, requestId}], kind: 'propose'});
   }
 
-  /** Asks a replica to change the members; it does so if it leads. */
+  /** Requests a membership change; only a leader accepts it. */
   changeMembers(id: ReplicaId, members: GroupMembers): void {
     this.event(id, {kind: 'changeMembers', members, requestId: this.nextRequest++});
   }
 
-  /** Syncs what a replica has written, and lets go of the messages that waited for it. */
+  /** Syncs the pending writes of a replica and sends the messages that waited for them. */
   sync(id: ReplicaId): void {
     const replica = this.replicas.get(id);
     if (replica?.state === undefined || this.isFrozen(id)) {
@@ -209,7 +208,7 @@
     }
   }
 
-  /** Takes and syncs a snapshot of what a replica has applied, keeping a few entries. */
+  /** Takes and syncs a snapshot of the applied state, and keeps some entries before it. */
   snapshot(id: ReplicaId, keep: number): void {
     const replica = this.replicas.get(id);
     const state = replica?.state;
@@ -229,38 +228,38 @@
     replica.disk.hardState = {commit, term, votedFor};
   }
 
-  /** Delivers a parcel, or loses it when it is cut off. */
+  /** Delivers a packet; it is lost if the receiver is frozen or the link is blocked. */
   deliver(position: number, keep: boolean): void {
-    const parcel = this.parcels[position];
-    if (parcel === undefined) {
+    const packet = this.packets[position];
+    if (packet === undefined) {
       return;
     }
     if (!keep) {
-      this.parcels.splice(position, 1);
+      this.packets.splice(position, 1);
     }
-    if (this.isFrozen(parcel.to) || this.cuts.has(`${parcel.from}>${parcel.to}`)) {
+    if (this.isFrozen(packet.to) || this.cuts.has(`${packet.from}>${packet.to}`)) {
       return;
     }
-    switch (parcel.kind) {
+    switch (packet.kind) {
       case 'message':
-        this.event(parcel.to, {kind: 'message', message: parcel.message});
+        this.event(packet.to, {kind: 'message', message: packet.message});
         return;
       case 'snapshot':
-        this.install(parcel);
+        this.install(packet);
         return;
     }
   }
 
-  /** Hands a replica a message as if it had just arrived. */
+  /** Delivers a message directly. */
   inject(message: Message): void {
     this.event(message.to, {kind: 'message', message});
   }
 
-  /** Delivers the parcels from one replica to another, in order; the others stay. */
+  /** Delivers the packets from one replica to another in order; other packets stay in transit. */
   deliverBetween(from: ReplicaId, to: ReplicaId): void {
-    for (let position = 0; position < this.parcels.length;) {
-      const parcel = this.parcels[position]!;
-      if (parcel.from === from && parcel.to === to) {
+    for (let position = 0; position < this.packets.length;) {
+      const packet = this.packets[position]!;
+      if (packet.from === from && packet.to === to) {
         this.deliver(position, false);
       } else {
         position++;
@@ -268,19 +267,19 @@
     }
   }
 
-  /** Messages under way from a replica. */
+  /** Messages in transit from a replica. */
   messagesFrom(from: ReplicaId): readonly Message[] {
-    return this.parcels.flatMap((parcel) =>
-      parcel.kind === 'message' && parcel.from === from ? [parcel.message] : [],
+    return this.packets.flatMap((packet) =>
+      packet.kind === 'message' && packet.from === from ? [packet.message] : [],
     );
   }
 
-  /** Loses a parcel. */
+  /** Drops a packet. */
   drop(position: number): void {
-    this.parcels.splice(position, 1);
+    this.packets.splice(position, 1);
   }
 
-  /** Runs everything without failures for a time. */
+  /** Runs the cluster without failures for some time. */
   settle(ms: number): void {
     this.cuts.clear();
     const until = this.now + ms;
@@ -289,20 +288,20 @@
       this.advance(5);
       for (let round = 0; round < 4; round++) {
         this.ids.forEach((id) => this.sync(id));
-        for (let left = this.parcels.length; left > 0; left--) {
+        for (let left = this.packets.length; left > 0; left--) {
           this.deliver(0, false);
         }
       }
     }
   }
 
-  /** Whether a learner has caught up, as the leader sees it. */
+  /** Whether a learner has caught up, according to the leader. */
   caughtUp(leader: ReplicaId, learner: ReplicaId): boolean {
     const state = this.replicas.get(leader)?.state;
     return state !== undefined && isCaughtUp(state, learner);
   }
 
-  /** Checks that every acknowledged command is in every replica's applied ones, once, in order. */
+  /** Checks that exactly one replica holds a lease and has applied every acknowledged command once. */
   checkConverged(): void {
     const holders = this.leaseHolders();
     if (holders.length !== 1) {
@@ -312,12 +311,12 @@
     for (const command of this.acknowledged) {
       const times = leader.applied.filter((applied) => applied === command).length;
       if (times !== 1) {
-        throw new SafetyError(`acknowledged ${command} is applied ${times} times`);
+        throw new SafetyError(`acknowledged ${command} was applied ${times} times`);
       }
     }
   }
 
-  /** A replica's own clock, in milliseconds. */
+  /** Time on the clock of a replica, in milliseconds. */
   clockOf(id: ReplicaId): number {
     return this.now * this.replicas.get(id)!.clockRate;
   }
@@ -331,7 +330,7 @@
     if (replica?.state === undefined || this.isFrozen(id)) {
       return;
     }
-    const {caughtUpAt: completeAt} = replica.state;
+    const {caughtUpAt} = replica.state;
     const {effects, state} = stepReplica(replica.state, event, this.clockOf(id));
     replica.state = state;
     for (const effect of effects) {
@@ -365,19 +364,19 @@
           break;
       }
     }
-    if (state.caughtUpAt > completeAt) {
-      this.checkComplete(id, replica, state.caughtUpAt / replica.clockRate);
+    if (state.caughtUpAt > caughtUpAt) {
+      this.checkCaughtUp(id, replica, state.caughtUpAt / replica.clockRate);
     }
   }
 
   private sendSnapshot(from: ReplicaId, replica: Replica, to: ReplicaId): void {
     this.snapshot(from, 0);
     const {snapshot} = replica.disk;
-    this.parcels.push({from, kind: 'snapshot', snapshot, term: replica.state!.term, to});
+    this.packets.push({from, kind: 'snapshot', snapshot, term: replica.state!.term, to});
   }
 
-  private install(parcel: Extract<Parcel, {kind: 'snapshot'}>): void {
-    const {from, snapshot, term, to} = parcel;
+  private install(packet: Extract<Packet, {kind: 'snapshot'}>): void {
+    const {from, snapshot, term, to} = packet;
     const replica = this.replicas.get(to);
     let ok = false;
     if (replica?.state !== undefined && term >= replica.state.term) {
@@ -394,7 +393,7 @@
   }
 
   private post(message: Message): void {
-    this.parcels.push({from: message.from, kind: 'message', message, to: message.to});
+    this.packets.push({from: message.from, kind: 'message', message, to: message.to});
   }
 
   private apply(id: ReplicaId, replica: Replica, entry: LogEntry): void {
@@ -402,14 +401,14 @@
       entry.payload.kind === 'command'
         ? Buffer.from(entry.payload.data).toString()
         : `#${entry.term}`;
-    const known = this.committed[entry.index];
-    if (known !== undefined && known !== command) {
-      throw new SafetyError(`index ${entry.index} holds ${known} and, at ${id}, ${command}`);
+    const expected = this.committed[entry.index];
+    if (expected !== undefined && expected !== command) {
+      throw new SafetyError(`index ${entry.index} holds ${expected}, but ${command} at ${id}`);
     }
     this.committed[entry.index] = command;
     if (entry.payload.kind === 'command') {
       replica.applied.push(command);
-      this.checkTime(entry.index, entry.payload.elapsedMs ?? 0);
+      this.checkElapsedTime(entry.index, entry.payload.elapsedMs ?? 0);
     }
     const waiter = replica.waiters.get(entry.index);
     replica.waiters.delete(entry.index);
@@ -419,29 +418,29 @@
     }
   }
 
-  /** A follower that holds all as of a moment has applied what was acknowledged before it. */
-  private checkComplete(id: ReplicaId, replica: Replica, at: number): void {
-    this.completions++;
+  /** A follower that has caught up as of a time must have applied every command acknowledged before it. */
+  private checkCaughtUp(id: ReplicaId, replica: Replica, at: number): void {
+    this.caughtUpUpdates++;
     this.acknowledged.forEach((command, position) => {
       const isBefore = this.acknowledgedAt[position]! < at - ROUNDING_MS;
       if (isBefore && !replica.applied.includes(command)) {
-        throw new SafetyError(`${id} holds all as of ${at}, but not ${command}`);
+        throw new SafetyError(`${id} has caught up as of ${at} without acknowledged ${command}`);
       }
     });
   }
 
-  /** The time that all committed commands count together never runs ahead, but for clocks that run fast. */
-  private checkTime(index: number, elapsedMs: number): void {
+  /** The sum of all elapsed times never exceeds the time passed, apart from fast clocks. */
+  private checkElapsedTime(index: number, elapsedMs: number): void {
     this.counted[index] = elapsedMs;
     const sum = this.countedMs;
-    const fastest = Math.max(1, ...[...this.replicas.values()].map(({clockRate}) => clockRate));
-    const passed = (this.now - this.startedAt) * fastest;
+    const fastestRate = Math.max(1, ...[...this.replicas.values()].map(({clockRate}) => clockRate));
+    const passed = (this.now - this.startedAt) * fastestRate;
     if (elapsedMs < 0 || sum > passed + ROUNDING_MS) {
-      throw new SafetyError(`commands count ${sum} ms of ${passed} ms`);
+      throw new SafetyError(`commands recorded ${sum} ms, but only ${passed} ms passed`);
     }
   }
 
-  /** A lease holder answers from its own state: it must have all that was acknowledged. */
+  /** At most one replica holds a lease, and it must have applied every acknowledged command. */
   private checkLease(): void {
     const holders = this.leaseHolders();
     if (holders.length > 1) {
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicationFaults.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicationFaults.test.ts
@@ -2,9 +2,7 @@
 
 import {describe, expect, test} from 'vitest';
 
-/**
- * One scripted failure for each rule that the safety of the log rests on.
- */
+/** Scripted failures, one for each rule that the safety of the log depends on. */
 import type {
   LogEntry,
   Message,
@@ -31,109 +29,113 @@
   return {body: {kind: 'vote', lastIndex, lastTerm, transfer: false}, from, group: 'g', term, to};
 }
 
-function votesOf(world: ReplicationCluster, voter: ReplicaId, term: number): readonly ReplicaId[] {
-  return world
+function votesOf(
+  cluster: ReplicationCluster,
+  voter: ReplicaId,
+  term: number,
+): readonly ReplicaId[] {
+  return cluster
     .messagesFrom(voter)
     .filter(({body, term: at}) => at === term && body.kind === 'voteReply' && body.granted)
     .map(({to}) => to);
 }
 
-/** A settled world: its leader and the two others. */
-function settled(): {
+/** A cluster with an elected leader and no messages in transit. */
+function settledCluster(): {
   readonly leader: ReplicaId;
   readonly others: readonly [ReplicaId, ReplicaId];
-  readonly world: ReplicationCluster;
+  readonly cluster: ReplicationCluster;
 } {
-  const world = new ReplicationCluster(IDS);
-  world.settle(600);
-  const [leader] = world.leaseHolders();
+  const cluster = new ReplicationCluster(IDS);
+  cluster.settle(600);
+  const [leader] = cluster.leaseHolders();
   const others = IDS.filter((id) => id !== leader) as [ReplicaId, ReplicaId];
-  world.parcels.length = 0;
-  return {leader: leader!, others, world};
+  cluster.packets.length = 0;
+  return {cluster, leader: leader!, others};
 }
 
 describe('a vote', () => {
-  test('leaves only once it is on the disk, so that no restart gives it twice', () => {
-    const world = new ReplicationCluster(IDS);
-    world.now += ELECTION_MS * 3;
-    world.inject(voteRequest('a/1', 'b/1', 9, 0, 0));
-    world.crash('b/1');
-    world.restart('b/1');
-    world.now += ELECTION_MS * 3;
-    world.inject(voteRequest('c/1', 'b/1', 9, 0, 0));
-    world.sync('b/1');
-    expect(votesOf(world, 'b/1', 9)).toEqual(['c/1']);
+  test('is sent only once it is synced, so that it is not granted twice after a restart', () => {
+    const cluster = new ReplicationCluster(IDS);
+    cluster.now += ELECTION_MS * 3;
+    cluster.inject(voteRequest('a/1', 'b/1', 9, 0, 0));
+    cluster.crash('b/1');
+    cluster.restart('b/1');
+    cluster.now += ELECTION_MS * 3;
+    cluster.inject(voteRequest('c/1', 'b/1', 9, 0, 0));
+    cluster.sync('b/1');
+    expect(votesOf(cluster, 'b/1', 9)).toEqual(['c/1']);
   });
 
-  test('goes to no replica whose log is behind', () => {
-    const {leader, others, world} = settled();
-    world.propose(leader, 'x');
-    world.sync(leader);
-    world.deliverBetween(leader, others[0]);
-    world.sync(others[0]);
-    const {lastIndex, lastTerm} = world.replicas.get(others[1])!.state!.log;
-    const {term} = world.replicas.get(leader)!.state!;
-    world.now += ELECTION_MS * 3;
-    world.inject(voteRequest(others[1], others[0], term + 1, lastIndex, lastTerm));
-    world.sync(others[0]);
-    expect(votesOf(world, others[0], term + 1)).toEqual([]);
+  test('is not granted to a replica with an outdated log', () => {
+    const {cluster, leader, others} = settledCluster();
+    cluster.propose(leader, 'x');
+    cluster.sync(leader);
+    cluster.deliverBetween(leader, others[0]);
+    cluster.sync(others[0]);
+    const {lastIndex, lastTerm} = cluster.replicas.get(others[1])!.state!.log;
+    const {term} = cluster.replicas.get(leader)!.state!;
+    cluster.now += ELECTION_MS * 3;
+    cluster.inject(voteRequest(others[1], others[0], term + 1, lastIndex, lastTerm));
+    cluster.sync(others[0]);
+    expect(votesOf(cluster, others[0], term + 1)).toEqual([]);
   });
 
-  test('is withheld, and the term kept, while a leader may hold its lease', () => {
-    const {leader, others, world} = settled();
-    const {log, term} = world.replicas.get(leader)!.state!;
-    world.inject(voteRequest(others[1], others[0], term + 1, log.lastIndex, log.lastTerm));
-    world.sync(others[0]);
-    expect(votesOf(world, others[0], term + 1)).toEqual([]);
-    expect(world.replicas.get(others[0])!.state!.term).toBe(term);
+  test('is withheld, without a change of term, while a leader may hold its lease', () => {
+    const {cluster, leader, others} = settledCluster();
+    const {log, term} = cluster.replicas.get(leader)!.state!;
+    cluster.inject(voteRequest(others[1], others[0], term + 1, log.lastIndex, log.lastTerm));
+    cluster.sync(others[0]);
+    expect(votesOf(cluster, others[0], term + 1)).toEqual([]);
+    expect(cluster.replicas.get(others[0])!.state!.term).toBe(term);
   });
 
   test('is withheld for an election timeout after a restart', () => {
-    const {leader, others, world} = settled();
-    const {log, term} = world.replicas.get(leader)!.state!;
-    world.crash(others[0]);
-    world.restart(others[0]);
+    const {cluster, leader, others} = settledCluster();
+    const {log, term} = cluster.replicas.get(leader)!.state!;
+    cluster.crash(others[0]);
+    cluster.restart(others[0]);
     const request = voteRequest(others[1], others[0], term + 1, log.lastIndex, log.lastTerm);
-    world.inject(request);
-    world.sync(others[0]);
-    expect(votesOf(world, others[0], term + 1)).toEqual([]);
-    world.now += ELECTION_MS * 3;
-    world.inject(request);
-    world.sync(others[0]);
-    expect(votesOf(world, others[0], term + 1)).toEqual([others[1]]);
+    cluster.inject(request);
+    cluster.sync(others[0]);
+    expect(votesOf(cluster, others[0], term + 1)).toEqual([]);
+    cluster.now += ELECTION_MS * 3;
+    cluster.inject(request);
+    cluster.sync(others[0]);
+    expect(votesOf(cluster, others[0], term + 1)).toEqual([others[1]]);
   });
 });
 
 describe('a command', () => {
-  test('is acknowledged only once a majority has it on disk, the leader counted like the others', () => {
-    const {leader, others, world} = settled();
-    world.propose(leader, 'x');
-    // The leader has not synced; one other has.
-    world.deliverBetween(leader, others[0]);
-    world.sync(others[0]);
-    world.deliverBetween(others[0], leader);
-    expect(world.acknowledged).toEqual([]);
-    world.crash(leader);
-    world.crash(others[0]);
-    world.restart(leader);
-    world.loseForGood(others[0]);
-    world.settle(900);
-    world.checkConverged();
+  test('is acknowledged only once a majority has synced it; an unsynced leader does not count', () => {
+    const {cluster, leader, others} = settledCluster();
+    cluster.propose(leader, 'x');
+    // One follower has synced, the leader has not.
+    cluster.deliverBetween(leader, others[0]);
+    cluster.sync(others[0]);
+    cluster.deliverBetween(others[0], leader);
+    expect(cluster.acknowledged).toEqual([]);
+    cluster.crash(leader);
+    cluster.crash(others[0]);
+    cluster.restart(leader);
+    cluster.removePermanently(others[0]);
+    cluster.settle(900);
+    cluster.checkConverged();
   });
 
   test('is not acknowledged by a follower that has not synced it', () => {
-    const {leader, others, world} = settled();
-    world.propose(leader, 'x');
-    world.sync(leader);
-    world.deliverBetween(leader, others[0]);
-    world.deliverBetween(others[0], leader);
-    expect(world.acknowledged).toEqual([]);
-    world.sync(others[0]);
-    world.deliverBetween(others[0], leader);
-    expect(world.acknowledged).toEqual(['x']);
+    const {cluster, leader, others} = settledCluster();
+    cluster.propose(leader, 'x');
+    cluster.sync(leader);
+    cluster.deliverBetween(leader, others[0]);
+    cluster.deliverBetween(others[0], leader);
+    expect(cluster.acknowledged).toEqual([]);
+    cluster.sync(others[0]);
+    cluster.deliverBetween(others[0], leader);
+    expect(cluster.acknowledged).toEqual(['x']);
   });
 
-  test('of an earlier term is committed only together with one of this term', () => {
+  test('of an earlier term is committed only together with an entry of the current term', () => {
     const members = {learners: [], voters: IDS};
     const old = {index: 1, payload: {data: Buffer.from('old'), kind: 'command' as const}, term: 2};
     const log = ReplicationLog.restore({index: 0, members, term: 0}, [old]);
@@ -141,29 +143,29 @@
     const hardState = {term: 2, votedFor: null};
     let now = 0;
     let state = startReplica({group: 'g', hardState, log, self: 'a/1', timing}, now);
-    const hear = (body: MessageBody, term: number): void => {
+    const receive = (body: MessageBody, term: number): void => {
       const message = {body, from: 'b/1', group: 'g', term, to: 'a/1'};
       state = stepReplica(state, {kind: 'message', message}, now).state;
     };
     now = ELECTION_MS * 3;
     state = stepReplica(state, {kind: 'tick'}, now).state;
-    hear({granted: true, kind: 'preVoteReply'}, 2);
-    hear({granted: true, kind: 'voteReply'}, 3);
+    receive({granted: true, kind: 'preVoteReply'}, 2);
+    receive({granted: true, kind: 'voteReply'}, 3);
     expect(state.role.kind).toBe('leader');
     state = stepReplica(state, {index: 1, kind: 'persisted', term: 2}, now).state;
-    hear({kind: 'appendReply', lastIndex: 1, ok: true, sentAt: now}, 3);
+    receive({kind: 'appendReply', lastIndex: 1, ok: true, sentAt: now}, 3);
     expect(state.commit).toBe(0);
     state = stepReplica(state, {index: 2, kind: 'persisted', term: 3}, now).state;
-    hear({kind: 'appendReply', lastIndex: 2, ok: true, sentAt: now}, 3);
+    receive({kind: 'appendReply', lastIndex: 2, ok: true, sentAt: now}, 3);
     expect(state.commit).toBe(2);
   });
 });
 
-describe('a change of members', () => {
+describe('a membership change', () => {
   const four = ['a/1', 'b/1', 'c/1', 'd/1'];
   const three = {learners: [], voters: ['a/1', 'b/1', 'c/1']};
 
-  /** A leader of term 3 whose log holds a change of term 2 that is not known to be recorded. */
+  /** A leader of term 3 whose log holds an entry of term 2 that is not known to be committed. */
   function newLeader(payload: LogEntry['payload']) {
     const members = {learners: [], voters: four};
     const log = ReplicationLog.restore({index: 0, members, term: 0}, [
@@ -178,26 +180,26 @@
       state = next;
       return effects.map(({kind}) => kind);
     };
-    const hear = (from: ReplicaId, body: MessageBody, term: number): void => {
+    const receive = (from: ReplicaId, body: MessageBody, term: number): void => {
       step({kind: 'message', message: {body, from, group: 'g', term, to: 'a/1'}});
     };
     const others = four.slice(1);
     step({kind: 'tick'});
-    others.forEach((from) => hear(from, {granted: true, kind: 'preVoteReply'}, 2));
-    others.forEach((from) => hear(from, {granted: true, kind: 'voteReply'}, 3));
+    others.forEach((from) => receive(from, {granted: true, kind: 'preVoteReply'}, 2));
+    others.forEach((from) => receive(from, {granted: true, kind: 'voteReply'}, 3));
     expect(state.role.kind).toBe('leader');
     const acknowledge = (lastIndex: number): void => {
       step({index: lastIndex, kind: 'persisted', term: lastIndex === 1 ? 2 : 3});
       const body = {kind: 'appendReply' as const, lastIndex, ok: true, sentAt: now};
-      others.forEach((from) => hear(from, body, 3));
+      others.forEach((from) => receive(from, body, 3));
     };
     const change = (): readonly string[] =>
       step({kind: 'changeMembers', members: three, requestId: 1});
     return {acknowledge, change, commit: () => state.commit};
   }
 
-  test('waits until an entry of the leader’s own term is recorded, also when no other change is under way', () => {
-    // Else two leaders that each know of another change could both record theirs by majorities that don't meet.
+  test('is rejected until an entry of the leader’s own term is committed, even if no other change is pending', () => {
+    // Otherwise two leaders with different pending changes could commit them by disjoint majorities.
     const {acknowledge, change, commit} = newLeader({kind: 'noop'});
     acknowledge(1);
     expect(commit()).toBe(0);
@@ -207,7 +209,7 @@
     expect(change()).toContain('proposed');
   });
 
-  test('counts one that an earlier leader began, and one of its own that isn’t recorded', () => {
+  test('is rejected while a change of an earlier leader or an own one is uncommitted', () => {
     const members = {learners: ['e/1'], voters: four};
     const {acknowledge, change} = newLeader({kind: 'members', members});
     expect(change()).toEqual(['rejected']);
@@ -218,173 +220,176 @@
 });
 
 describe('a snapshot', () => {
-  test('never takes away entries after its place that count towards a majority', () => {
-    const {leader, others, world} = settled();
+  test('never removes later entries that count towards a majority', () => {
+    const {cluster, leader, others} = settledCluster();
     for (let number = 0; number < 5; number++) {
-      world.propose(leader, `c${number}`);
+      cluster.propose(leader, `c${number}`);
     }
-    world.sync(leader);
-    world.deliverBetween(leader, others[0]);
-    world.sync(others[0]);
-    const before = world.replicas.get(others[0])!.state!;
-    const place = before.log.lastIndex - 2;
-    expect(before.commit).toBeLessThan(place);
-    const meta = {index: place, members: before.log.members, term: before.log.termAt(place)!};
+    cluster.sync(leader);
+    cluster.deliverBetween(leader, others[0]);
+    cluster.sync(others[0]);
+    const before = cluster.replicas.get(others[0])!.state!;
+    const index = before.log.lastIndex - 2;
+    expect(before.commit).toBeLessThan(index);
+    const meta = {index, members: before.log.members, term: before.log.termAt(index)!};
     const event = {kind: 'snapshotInstalled' as const, meta, term: before.term};
-    const after = stepReplica(before, event, world.now).state;
+    const after = stepReplica(before, event, cluster.now).state;
     expect(after.log.lastIndex).toBe(before.log.lastIndex);
   });
 
-  test('that is late brings nothing back', () => {
-    const {leader, world} = settled();
-    const before = world.replicas.get(leader)!.state!;
+  test('that is outdated changes nothing', () => {
+    const {cluster, leader} = settledCluster();
+    const before = cluster.replicas.get(leader)!.state!;
     const meta = {index: 0, members: before.log.members, term: 0};
-    const after = stepReplica(before, {kind: 'snapshotInstalled', meta, term: 0}, world.now).state;
+    const after = stepReplica(
+      before,
+      {kind: 'snapshotInstalled', meta, term: 0},
+      cluster.now,
+    ).state;
     expect(after.commit).toBe(before.commit);
     expect(after.log.lastIndex).toBe(before.log.lastIndex);
   });
 });
 
 describe('leadership', () => {
-  test('is handed on at once, and the old lease ends first', () => {
-    const {leader, world} = settled();
-    const replica = world.replicas.get(leader)!;
-    replica.state = stepReplica(replica.state!, {kind: 'transferLeadership'}, world.now).state;
-    expect(world.leaseHolders()).toEqual([]);
+  test('ends, with its lease, as soon as it is transferred', () => {
+    const {cluster, leader} = settledCluster();
+    const replica = cluster.replicas.get(leader)!;
+    replica.state = stepReplica(replica.state!, {kind: 'transferLeadership'}, cluster.now).state;
+    expect(cluster.leaseHolders()).toEqual([]);
   });
 
-  test('ends when no majority answers', () => {
-    const {leader, others, world} = settled();
-    others.forEach((id) => world.crash(id));
+  test('ends when no majority responds', () => {
+    const {cluster, leader, others} = settledCluster();
+    others.forEach((id) => cluster.crash(id));
     for (let waited = 0; waited < 60; waited++) {
-      world.advance(5);
-      world.sync(leader);
+      cluster.advance(5);
+      cluster.sync(leader);
     }
-    expect(world.replicas.get(leader)!.state!.role.kind).not.toBe('leader');
+    expect(cluster.replicas.get(leader)!.state!.role.kind).not.toBe('leader');
   });
 });
 
 /**
- * Seen: beside many busy processes a leader whose process was held up for a quarter of a second gave up, 507 and 573 ms
- * after the send that a majority had answered last, with commands under way whose callers were told that their outcome is
- * unknown. It had sent nothing meanwhile, so nobody could have answered it.
+ * Guards against a leader that steps down because its own process was held up for a short time: it sent nothing
+ * meanwhile, so nobody could acknowledge it.
  */
 describe('a leader whose process is held up', () => {
-  /** The leader's state after looks at its clock with nothing heard between them. */
-  function afterLooks(looks: readonly number[]): ReplicationState {
-    const {leader, world} = settled();
-    const now = world.clockOf(leader);
-    return looks.reduce(
+  /** State of the leader after clock ticks without any message in between. */
+  function afterTicks(ticks: readonly number[]): ReplicationState {
+    const {cluster, leader} = settledCluster();
+    const now = cluster.clockOf(leader);
+    return ticks.reduce(
       (state, ms) => stepReplica(state, {kind: 'tick'}, now + ms).state,
-      world.replicas.get(leader)!.state!,
+      cluster.replicas.get(leader)!.state!,
     );
   }
 
-  /** Looks in time, from one moment to another. */
-  function looksBetween(from: number, to: number): readonly number[] {
+  /** Ticks on schedule between two times. */
+  function ticksBetween(from: number, to: number): readonly number[] {
     return Array.from({length: Math.floor((to - from) / 5)}, (_, at) => from + 5 * (at + 1));
   }
 
-  test('does not take its own silence for the others’', () => {
+  test('stays leader after a short hold-up in which it sent nothing', () => {
     const heldUp = ELECTION_MS * 1.2;
-    expect(afterLooks([heldUp]).role.kind).toBe('leader');
-    expect(afterLooks([...looksBetween(0, 40), 40 + heldUp / 2]).role.kind).toBe('leader');
-    // What it sends now is answered, or it ends.
-    const looks = [heldUp, ...looksBetween(heldUp, heldUp + ELECTION_MS)];
-    expect(afterLooks(looks).role.kind).toBe('follower');
+    expect(afterTicks([heldUp]).role.kind).toBe('leader');
+    expect(afterTicks([...ticksBetween(0, 40), 40 + heldUp / 2]).role.kind).toBe('leader');
+    // It steps down if what it sends now is not acknowledged.
+    const ticks = [heldUp, ...ticksBetween(heldUp, heldUp + ELECTION_MS)];
+    expect(afterTicks(ticks).role.kind).toBe('follower');
   });
 
-  test('counts a hold-up that came after the send which is answered last', () => {
-    const {leader, others, world} = settled();
-    const now = world.clockOf(leader);
-    const before = world.replicas.get(leader)!.state!;
+  test('counts a hold-up after the newest acknowledged send', () => {
+    const {cluster, leader, others} = settledCluster();
+    const now = cluster.clockOf(leader);
+    const before = cluster.replicas.get(leader)!.state!;
     let state = stepReplica(before, {kind: 'tick'}, now + 20).state;
     state = stepReplica(state, {kind: 'tick'}, now + 20 + ELECTION_MS * 0.9).state;
-    // The answer to what it sent before comes only now.
+    // The reply to an earlier send arrives only now.
     const body = {kind: 'aliveReply' as const, sentAt: now + 20};
     const message = {body, from: others[0], group: 'g', term: state.term, to: leader};
     state = stepReplica(state, {kind: 'message', message}, now + 21 + ELECTION_MS * 0.9).state;
-    for (const ms of looksBetween(20 + ELECTION_MS * 0.9, ELECTION_MS * 1.6)) {
+    for (const ms of ticksBetween(20 + ELECTION_MS * 0.9, ELECTION_MS * 1.6)) {
       state = stepReplica(state, {kind: 'tick'}, now + ms).state;
     }
     expect(state.role.kind).toBe('leader');
   });
 
-  test('ends when it was held up for so long that another has surely been elected', () => {
-    expect(afterLooks([ELECTION_MS * 2.1]).role.kind).toBe('follower');
+  test('steps down after a hold-up so long that another leader has been elected', () => {
+    expect(afterTicks([ELECTION_MS * 2.1]).role.kind).toBe('follower');
   });
 
-  test('ends in bounded time when it is held up again and again', () => {
-    const looks = Array.from({length: 8}, (_, at) => (at + 1) * ELECTION_MS * 0.3);
-    expect(afterLooks(looks).role.kind).toBe('follower');
+  test('steps down in bounded time when it is held up repeatedly', () => {
+    const ticks = Array.from({length: 8}, (_, at) => (at + 1) * ELECTION_MS * 0.3);
+    expect(afterTicks(ticks).role.kind).toBe('follower');
   });
 });
 
-describe('the time that commands count', () => {
-  test('is counted by no leader for another, also when one leads again', () => {
-    const world = new ReplicationCluster(IDS);
+describe('the elapsed time of commands', () => {
+  test('is never counted twice across leaders, even if one is elected again', () => {
+    const cluster = new ReplicationCluster(IDS);
     for (let turn = 0; turn < 8; turn++) {
-      world.settle(600);
-      const [leader] = world.leaseHolders();
-      world.propose(leader!, `a${turn}`);
-      world.settle(100);
-      world.propose(leader!, `b${turn}`);
-      world.settle(50);
-      world.freeze(leader!, 400);
+      cluster.settle(600);
+      const [leader] = cluster.leaseHolders();
+      cluster.propose(leader!, `a${turn}`);
+      cluster.settle(100);
+      cluster.propose(leader!, `b${turn}`);
+      cluster.settle(50);
+      cluster.freeze(leader!, 400);
     }
-    world.settle(600);
-    // The world checks the sum with each command; all of it was counted but for the changes of leaders.
-    expect(world.countedMs).toBeGreaterThan(8 * 100);
+    cluster.settle(600);
+    // The cluster checks the sum with each command. Only the time of leader changes is not counted.
+    expect(cluster.countedMs).toBeGreaterThan(8 * 100);
   });
 });
 
-describe('a leader whose appends take long', () => {
-  /** Delivers all that overtakes, and the answers to it; appends stay under way. */
-  function deliverUrgent(world: ReplicationCluster): void {
-    for (let position = 0; position < world.parcels.length;) {
-      const parcel = world.parcels[position]!;
-      if (parcel.kind === 'message' && isUrgent(parcel.message)) {
-        world.deliver(position, false);
+describe('a leader with slow appends', () => {
+  /** Delivers urgent messages and their replies; appends stay in transit. */
+  function deliverUrgent(cluster: ReplicationCluster): void {
+    for (let position = 0; position < cluster.packets.length;) {
+      const packet = cluster.packets[position]!;
+      if (packet.kind === 'message' && isUrgent(packet.message)) {
+        cluster.deliver(position, false);
       } else {
         position++;
       }
     }
   }
 
-  test('keeps its lease by words that overtake them, and the command is recorded in its term', () => {
-    const {leader, world} = settled();
-    const {term} = world.replicas.get(leader)!.state!;
-    world.propose(leader, 'large');
-    // For almost as long as commands may wait.
+  test('keeps its lease through urgent messages and commits the command in its term', () => {
+    const {cluster, leader} = settledCluster();
+    const {term} = cluster.replicas.get(leader)!.state!;
+    cluster.propose(leader, 'large');
+    // Almost as long as commands may stay uncommitted.
     for (let ms = 0; ms < ELECTION_MS * (STALLED_COMMIT_TIMEOUTS - 1); ms += 5) {
-      world.advance(5);
-      deliverUrgent(world);
-      expect(world.leaseHolders()).toEqual([leader]);
+      cluster.advance(5);
+      deliverUrgent(cluster);
+      expect(cluster.leaseHolders()).toEqual([leader]);
     }
-    expect(world.acknowledged).toEqual([]);
-    world.settle(50);
-    expect(world.acknowledged).toEqual(['large']);
-    expect(world.replicas.get(leader)!.state!.term).toBe(term);
+    expect(cluster.acknowledged).toEqual([]);
+    cluster.settle(50);
+    expect(cluster.acknowledged).toEqual(['large']);
+    expect(cluster.replicas.get(leader)!.state!.term).toBe(term);
   });
 
-  /** Runs everything without failures but for messages of one replica that are lost. */
-  function runLosing(
-    world: ReplicationCluster,
+  /** Runs the cluster, dropping selected messages of one replica. */
+  function runWithLoss(
+    cluster: ReplicationCluster,
     from: ReplicaId,
     ms: number,
     isLost: (message: Message) => boolean,
   ): void {
-    for (const until = world.now + ms; world.now < until;) {
-      world.advance(5);
+    for (const until = cluster.now + ms; cluster.now < until;) {
+      cluster.advance(5);
       for (let round = 0; round < 4; round++) {
-        world.ids.forEach((id) => world.sync(id));
-        for (let left = world.parcels.length; left > 0; left--) {
-          const parcel = world.parcels[0]!;
-          const isOfOne = parcel.kind === 'message' && parcel.from === from;
-          if (isOfOne && isLost(parcel.message)) {
-            world.drop(0);
+        cluster.ids.forEach((id) => cluster.sync(id));
+        for (let left = cluster.packets.length; left > 0; left--) {
+          const packet = cluster.packets[0]!;
+          const isFromReplica = packet.kind === 'message' && packet.from === from;
+          if (isFromReplica && isLost(packet.message)) {
+            cluster.drop(0);
           } else {
-            world.deliver(0, false);
+            cluster.deliver(0, false);
           }
         }
       }
@@ -396,67 +401,72 @@
     return entries.reduce((sum, entry) => sum + entryBytes(entry), 0);
   }
 
-  test('makes way when large entries never get through, to one that they may reach', () => {
-    const {leader, world} = settled();
-    world.propose(leader, 'x'.repeat(200_000));
+  test('steps down for a replica that can commit when its large entries never get through', () => {
+    const {cluster, leader} = settledCluster();
+    cluster.propose(leader, 'x'.repeat(200_000));
     const isLarge = (message: Message): boolean => bytesOf(message) > 65_536;
-    runLosing(world, leader, ELECTION_MS * 30, isLarge);
-    const [next] = world.leaseHolders();
+    runWithLoss(cluster, leader, ELECTION_MS * 30, isLarge);
+    const [next] = cluster.leaseHolders();
     expect([next, next === leader]).toEqual([next, false]);
     expect(next).toBeDefined();
-    world.propose(next!, 'later');
-    runLosing(world, leader, ELECTION_MS, isLarge);
-    expect(world.acknowledged).toEqual(['later']);
+    cluster.propose(next!, 'later');
+    runWithLoss(cluster, leader, ELECTION_MS, isLarge);
+    expect(cluster.acknowledged).toEqual(['later']);
   });
 
-  test('makes way when nothing but words that overtake gets through', () => {
-    const {leader, world} = settled();
-    world.propose(leader, 'x');
-    runLosing(world, leader, ELECTION_MS * 30, (message) => !isUrgent(message));
-    expect(world.leaseHolders()).not.toContain(leader);
-    expect(world.leaseHolders()).toHaveLength(1);
+  test('steps down when only urgent messages get through', () => {
+    const {cluster, leader} = settledCluster();
+    cluster.propose(leader, 'x');
+    runWithLoss(cluster, leader, ELECTION_MS * 30, (message) => !isUrgent(message));
+    expect(cluster.leaseHolders()).not.toContain(leader);
+    expect(cluster.leaseHolders()).toHaveLength(1);
   });
 
-  test('is not given up by one that answers, slowly, what it was sent', () => {
-    const {leader, world} = settled();
-    const {term} = world.replicas.get(leader)!.state!;
+  test('stays leader while appends are acknowledged slowly', () => {
+    const {cluster, leader} = settledCluster();
+    const {term} = cluster.replicas.get(leader)!.state!;
     for (let turn = 0; turn < 40; turn++) {
-      world.propose(leader, `c${turn}`);
-      runLosing(world, leader, ELECTION_MS / 2, (message) => turn % 8 !== 0 && !isUrgent(message));
+      cluster.propose(leader, `c${turn}`);
+      runWithLoss(
+        cluster,
+        leader,
+        ELECTION_MS / 2,
+        (message) => turn % 8 !== 0 && !isUrgent(message),
+      );
     }
-    expect(world.replicas.get(leader)!.state!.term).toBe(term);
-    expect(world.acknowledged.length).toBeGreaterThan(20);
+    expect(cluster.replicas.get(leader)!.state!.term).toBe(term);
+    expect(cluster.acknowledged.length).toBeGreaterThan(20);
   });
 
-  test('loses it when nothing at all arrives', () => {
-    const {leader, world} = settled();
+  test('steps down when no message gets through', () => {
+    const {cluster, leader} = settledCluster();
     for (let ms = 0; ms < ELECTION_MS * 2; ms += 5) {
-      world.advance(5);
+      cluster.advance(5);
     }
-    expect(world.leaseHolders()).toEqual([]);
-    expect(world.replicas.get(leader)!.state!.role.kind).not.toBe('leader');
+    expect(cluster.leaseHolders()).toEqual([]);
+    expect(cluster.replicas.get(leader)!.state!.role.kind).not.toBe('leader');
   });
 
-  test('sends a replica of unknown log no large entry until it has answered', () => {
-    const {leader, others, world} = settled();
-    const {lastIndex} = world.replicas.get(leader)!.state!.log;
-    world.propose(leader, 'x'.repeat(100_000));
-    world.parcels.length = 0;
-    const {log, term} = world.replicas.get(leader)!.state!;
+  test('sends no large entry to a replica in probe mode before it replies', () => {
+    const {cluster, leader, others} = settledCluster();
+    const {lastIndex} = cluster.replicas.get(leader)!.state!.log;
+    cluster.propose(leader, 'x'.repeat(100_000));
+    cluster.packets.length = 0;
+    const {log, term} = cluster.replicas.get(leader)!.state!;
     const reply = {kind: 'appendReply' as const, lastIndex, ok: false, sentAt: 0};
     const from = others[0];
-    world.inject({body: reply, from, group: 'g', term, to: leader});
+    cluster.inject({body: reply, from, group: 'g', term, to: leader});
     for (let ms = 0; ms < ELECTION_MS / 2; ms += 5) {
-      world.advance(5);
+      cluster.advance(5);
     }
-    const entries = world
+    const entries = cluster
       .messagesFrom(leader)
       .flatMap(({body, to}) => (body.kind === 'append' && to === from ? body.entries : []));
     expect(entries.reduce((sum, entry) => sum + entryBytes(entry), 0)).toBe(0);
-    // Its answer to what carries nothing brings it the entry.
+    // The reply to an empty probe makes the leader send the entry.
     const again = {...reply, ok: true};
-    world.inject({body: again, from, group: 'g', term, to: leader});
-    const sent = world.messagesFrom(leader).at(-1)!.body;
+    cluster.inject({body: again, from, group: 'g', term, to: leader});
+    const sent = cluster.messagesFrom(leader).at(-1)!.body;
     expect(sent).toMatchObject({entries: [{index: log.lastIndex}], kind: 'append'});
   });
 });
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicationFollower.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicationFollower.test.ts
@@ -1,5 +1,6 @@
 /**
- * As of when a follower may say that it holds all that was committed.
+ * When a follower may consider itself caught up, which commit index a leader may send, and whom it transfers leadership
+ * to.
  */
 import type {MonotonicMs, ReplicaId} from 'stallpaddle';
 
@@ -39,7 +40,7 @@
   return stepReplica(state, {kind: 'message', message}, now).state;
 }
 
-/** An append whose only entry is the first of the term, committed or not. */
+/** An append with the first entry of the term as its only entry, committed or not. */
 function append(commit: number, sentAt: MonotonicMs, answeredSentAt = -Infinity): MessageBody {
   const entry = {index: 1, payload: {kind: 'noop'}, term: 1} as const;
   const place = {prevIndex: 0, prevTerm: 0};
@@ -47,15 +48,15 @@
 }
 
 describe('a follower', () => {
-  test('that was frozen since a term began does not take what its leader said then for new', () => {
-    // Both clocks are the same. The follower sleeps from 0 to 5000, and then finds what was sent at 1000 and 1100.
+  test('does not treat appends queued during a freeze as current', () => {
+    // Both clocks are equal. The follower is frozen from 0 to 5000, then receives appends sent at 1000 and 1100.
     let follower = take(start(SELF), append(0, 1000), 1, 5000);
     follower = take(follower, append(1, 1100), 1, 5000);
     expect(follower.commit).toBe(1);
     expect(follower.caughtUpAt).toBeLessThanOrEqual(1100);
   });
 
-  test('knows by an append that names its answer that it held all when it gave that', () => {
+  test('has caught up as of an acknowledgement that a later append refers to', () => {
     let follower = take(start(SELF), append(0, 1000), 1, 1050);
     follower = take(follower, append(1, 1100, 1000), 1, 9000);
     expect(follower.caughtUpAt).toBe(1050);
@@ -63,13 +64,13 @@
     expect(follower.caughtUpAt).toBe(9000);
   });
 
-  test('that has started again knows nothing by an answer of its earlier life', () => {
+  test('ignores references to acknowledgements sent before a restart', () => {
     let follower = take(start(SELF), append(0, 1100), 1, 50);
     follower = take(follower, append(1, 1200, 1000), 1, 51);
     expect(follower.caughtUpAt).toBe(-Infinity);
   });
 
-  test('knows nothing by an answer in an earlier term, or an append that names a commit that it lacks', () => {
+  test('ignores references to acknowledgements of an earlier term, and commit indexes beyond its log', () => {
     let follower = take(start(SELF), append(0, 1000), 1, 1050);
     follower = take(follower, append(1, 1100, 1000), 2, 1150);
     expect(follower.caughtUpAt).toBe(-Infinity);
@@ -78,8 +79,8 @@
   });
 });
 
-/** Commits that a leader's appends name. */
-function commitsNamed({effects}: ReplicationStepResult): readonly LogIndex[] {
+/** Commit indexes in the appends of a leader. */
+function sentCommits({effects}: ReplicationStepResult): readonly LogIndex[] {
   return effects.flatMap((effect) =>
     effect.kind === 'send' && effect.message.body.kind === 'append'
       ? [effect.message.body.commit]
@@ -95,7 +96,7 @@
   return from(replica, 1, {kind: 'appendReply', lastIndex, ok: true, sentAt: 301});
 }
 
-/** A leader of the first term, elected at 301, whose own first entry isn't recorded yet. */
+/** A leader of the first term, elected at 301, whose first entry is not synced yet. */
 function elected(state: ReplicationState): ReplicationState {
   let leader = stepReplica(state, {kind: 'tick'}, 300).state;
   for (const kind of ['preVoteReply', 'voteReply'] as const) {
@@ -106,33 +107,34 @@
   return leader;
 }
 
-describe('a leader without its lease names no commit', () => {
-  test('after a freeze: another may lead by then and have committed more', () => {
+describe('a leader without a lease sends no commit index', () => {
+  test('after a freeze, because a new leader may have committed more', () => {
     let leader = elected(start(LEADER));
     leader = stepReplica(leader, {index: 1, kind: 'persisted', term: 1}, 302).state;
     leader = stepReplica(leader, ack(SELF, 1), 303).state;
     expect(leader.commit).toBe(1);
-    // Awake again, it takes in an answer that it got long ago before it looks at its clock.
-    const awake = stepReplica(leader, ack(OTHER, 0), 9_000);
-    expect(commitsNamed(awake)).toEqual([0]);
+    // On resuming, it receives an outdated reply before its next clock tick.
+    const resumed = stepReplica(leader, ack(OTHER, 0), 9_000);
+    expect(sentCommits(resumed)).toEqual([0]);
   });
 
-  test('before an entry of its own term is recorded: the leader before it may have committed more', () => {
+  test('before an entry of its own term is committed, because the previous leader may have committed more', () => {
     const entries = [1, 2].map((index) => ({index, payload: {kind: 'noop'}, term: 0}) as const);
     const log = ReplicationLog.restore({index: 0, members: MEMBERS, term: 0}, entries);
     const hardState = {commit: 1, term: 0, votedFor: null};
     const before = startReplica({group: 'g', hardState, log, self: LEADER, timing: TIMING}, 0);
     const leader = elected(before);
     expect([leader.commit, leader.log.lastIndex]).toEqual([1, 3]);
-    // The second entry was committed, and read, by the leader before; nobody has told this one.
+    // The previous leader committed the second entry and served reads of it; this leader does not know.
     const beat = stepReplica(leader, {kind: 'tick'}, 301 + TIMING.heartbeatMs);
-    expect(commitsNamed(beat)).toEqual([0, 0]);
+    expect(sentCommits(beat)).toEqual([0, 0]);
   });
 });
 
-describe('a leader that makes way', () => {
-  test('asks the next voter among equals: two that both lack something never pass leadership to and fro', () => {
-    // Seen by reading: each asked the first of the others, so a third one that held the bulk data whole never led.
+describe('a leadership transfer', () => {
+  test('goes to the next voter in order if several are equally up to date', () => {
+    // Otherwise two replicas that lack bulk data would pass leadership back and forth and never reach a third one that
+    // holds it.
     let leader = elected(start(LEADER));
     leader = stepReplica(leader, {index: 1, kind: 'persisted', term: 1}, 302).state;
     leader = stepReplica(leader, ack(SELF, 1), 303).state;
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicationStep.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicationStep.test.ts
@@ -1,5 +1,6 @@
 /**
- * The replication state machine under losses, doubling, reordering, cuts, freezes and crashes.
+ * Randomized and scripted runs of the replication state machine under message loss, duplication, reordering,
+ * partitions, freezes and crashes.
  */
 import type {ReplicaId} from 'stallpaddle';
 
@@ -67,241 +68,241 @@
   },
 );
 
-function flow(world: ReplicationCluster, count: number): void {
+function flow(cluster: ReplicationCluster, count: number): void {
   for (let step = 0; step < count; step++) {
-    world.ids.forEach((id) => world.sync(id));
-    world.deliver(0, false);
+    cluster.ids.forEach((id) => cluster.sync(id));
+    cluster.deliver(0, false);
   }
 }
 
-function perform(world: ReplicationCluster, step: Action, number: number): void {
+function perform(cluster: ReplicationCluster, step: Action, number: number): void {
   switch (step.kind) {
     case 'advance':
-      world.advance(step.ms);
+      cluster.advance(step.ms);
       return;
     case 'crash':
-      world.crash(IDS[step.replica]!);
+      cluster.crash(IDS[step.replica]!);
       return;
     case 'cut':
-      world.cuts.add(`${IDS[step.from]}>${IDS[step.to]}`);
+      cluster.cuts.add(`${IDS[step.from]}>${IDS[step.to]}`);
       return;
     case 'deliver':
-      world.deliver(step.position, step.keep);
+      cluster.deliver(step.position, step.keep);
       return;
     case 'drop':
-      world.drop(step.position);
+      cluster.drop(step.position);
       return;
     case 'flow':
-      flow(world, step.count);
+      flow(cluster, step.count);
       return;
     case 'freeze':
-      world.freeze(IDS[step.replica]!, step.ms);
+      cluster.freeze(IDS[step.replica]!, step.ms);
       return;
     case 'heal':
-      world.cuts.delete(`${IDS[step.from]}>${IDS[step.to]}`);
+      cluster.cuts.delete(`${IDS[step.from]}>${IDS[step.to]}`);
       return;
     case 'propose':
-      // Whoever leads takes it; the others refuse.
-      world.ids.forEach((id) => world.propose(id, `command-${number}-${id}`));
+      // Only the leader accepts it.
+      cluster.ids.forEach((id) => cluster.propose(id, `command-${number}-${id}`));
       return;
     case 'restart':
-      world.restart(IDS[step.replica]!);
+      cluster.restart(IDS[step.replica]!);
       return;
     case 'snapshot':
-      world.snapshot(IDS[step.replica]!, 1);
+      cluster.snapshot(IDS[step.replica]!, 1);
       return;
     case 'sync':
-      world.sync(IDS[step.replica]!);
+      cluster.sync(IDS[step.replica]!);
       return;
   }
 }
 
-function leaderOf(world: ReplicationCluster): ReplicaId {
-  world.settle(600);
-  const [leader] = world.leaseHolders();
+function electLeader(cluster: ReplicationCluster): ReplicaId {
+  cluster.settle(600);
+  const [leader] = cluster.leaseHolders();
   expect(leader).toBeDefined();
   return leader!;
 }
 
 describe('stepReplica', () => {
   test(
-    'keeps every acknowledged command, one lease and one order under random failures',
+    'preserves acknowledged commands, a single lease and a single order under random failures',
     async () => {
       let acknowledged = 0;
-      let completions = 0;
+      let caughtUpUpdates = 0;
       const property = fc.property(
         fc.array(action, {maxLength: 200, minLength: 40, size: 'max'}),
         (actions) => {
-          const world = new ReplicationCluster(IDS);
-          world.settle(250);
-          actions.forEach((step, number) => perform(world, step, number));
-          world.settle(1500);
-          world.propose(world.leaseHolders()[0] ?? IDS[0]!, 'last');
-          world.settle(200);
-          world.checkConverged();
-          acknowledged += world.acknowledged.length;
-          completions += world.completions;
+          const cluster = new ReplicationCluster(IDS);
+          cluster.settle(250);
+          actions.forEach((step, number) => perform(cluster, step, number));
+          cluster.settle(1500);
+          cluster.propose(cluster.leaseHolders()[0] ?? IDS[0]!, 'last');
+          cluster.settle(200);
+          cluster.checkConverged();
+          acknowledged += cluster.acknowledged.length;
+          caughtUpUpdates += cluster.caughtUpUpdates;
         },
       );
       await assertHistories('replication', property, 250);
-      // A world in which nothing is ever acknowledged would prove nothing.
+      // Guards against runs in which nothing is acknowledged, which would pass trivially.
       expect(acknowledged).toBeGreaterThan(1000);
-      expect(completions).toBeGreaterThan(1000);
+      expect(caughtUpUpdates).toBeGreaterThan(1000);
     },
     fuzzTimeoutMs(),
   );
 
-  test('elects a leader again after the leader was killed', () => {
-    const world = new ReplicationCluster(IDS);
-    const first = leaderOf(world);
-    world.propose(first, 'one');
-    world.settle(50);
-    world.crash(first);
+  test('elects a new leader after the leader crashes', () => {
+    const cluster = new ReplicationCluster(IDS);
+    const first = electLeader(cluster);
+    cluster.propose(first, 'one');
+    cluster.settle(50);
+    cluster.crash(first);
     const others = IDS.filter((id) => id !== first);
     for (let waited = 0; waited < 100; waited++) {
-      world.advance(5);
-      flow(world, 12);
+      cluster.advance(5);
+      flow(cluster, 12);
     }
-    const [second] = world.leaseHolders();
+    const [second] = cluster.leaseHolders();
     expect(others).toContain(second);
-    expect(world.replicas.get(second!)!.applied).toEqual(['one']);
+    expect(cluster.replicas.get(second!)!.applied).toEqual(['one']);
   });
 
-  test('takes nothing on after a freeze longer than the lease', () => {
-    const world = new ReplicationCluster(IDS);
-    const first = leaderOf(world);
-    world.freeze(first, 400);
+  test('rejects commands after a freeze longer than the lease', () => {
+    const cluster = new ReplicationCluster(IDS);
+    const first = electLeader(cluster);
+    cluster.freeze(first, 400);
     for (let waited = 0; waited < 80; waited++) {
-      world.advance(5);
-      flow(world, 12);
+      cluster.advance(5);
+      flow(cluster, 12);
     }
-    // Awake again, before it has heard of anything.
-    world.replicas.get(first)!.frozenUntil = 0;
-    world.propose(first, 'late');
-    expect(world.leaseHolders()).not.toContain(first);
-    world.settle(500);
-    expect(world.acknowledged).not.toContain('late');
-    world.checkConverged();
+    // Resumes before it receives any message.
+    cluster.replicas.get(first)!.frozenUntil = 0;
+    cluster.propose(first, 'late');
+    expect(cluster.leaseHolders()).not.toContain(first);
+    cluster.settle(500);
+    expect(cluster.acknowledged).not.toContain('late');
+    cluster.checkConverged();
   });
 
-  test('does not disturb a leader by a replica that was cut off', () => {
-    const world = new ReplicationCluster(IDS);
-    const leader = leaderOf(world);
-    const {term} = world.replicas.get(leader)!.state!;
-    const [alone] = IDS.filter((id) => id !== leader);
-    for (const id of IDS.filter((other) => other !== alone)) {
-      world.cuts.add(`${id}>${alone}`);
+  test('keeps the leader and its term when a partitioned replica returns', () => {
+    const cluster = new ReplicationCluster(IDS);
+    const leader = electLeader(cluster);
+    const {term} = cluster.replicas.get(leader)!.state!;
+    const [isolated] = IDS.filter((id) => id !== leader);
+    for (const id of IDS.filter((other) => other !== isolated)) {
+      cluster.cuts.add(`${id}>${isolated}`);
     }
     for (let waited = 0; waited < 200; waited++) {
-      world.advance(5);
-      flow(world, 12);
+      cluster.advance(5);
+      flow(cluster, 12);
     }
-    world.settle(300);
-    expect(world.leaseHolders()).toEqual([leader]);
-    expect(world.replicas.get(leader)!.state!.term).toBe(term);
+    cluster.settle(300);
+    expect(cluster.leaseHolders()).toEqual([leader]);
+    expect(cluster.replicas.get(leader)!.state!.term).toBe(term);
   });
 
-  test('brings a replica back by snapshot after the log was cut', () => {
-    const world = new ReplicationCluster(IDS);
-    const leader = leaderOf(world);
-    const [away] = IDS.filter((id) => id !== leader);
-    world.crash(away!);
-    const runs = (): void => {
-      world.advance(5);
-      flow(world, 10);
+  test('restores a lagging replica by snapshot after log compaction', () => {
+    const cluster = new ReplicationCluster(IDS);
+    const leader = electLeader(cluster);
+    const [lagging] = IDS.filter((id) => id !== leader);
+    cluster.crash(lagging!);
+    const run = (): void => {
+      cluster.advance(5);
+      flow(cluster, 10);
     };
     for (let number = 0; number < 30; number++) {
-      world.propose(leader, `c${number}`);
-      runs();
+      cluster.propose(leader, `c${number}`);
+      run();
     }
-    world.snapshot(leader, 0);
-    world.settle(600);
-    expect(world.replicas.get(away!)!.applied).toEqual(world.acknowledged);
-    expect(world.acknowledged).toHaveLength(30);
+    cluster.snapshot(leader, 0);
+    cluster.settle(600);
+    expect(cluster.replicas.get(lagging!)!.applied).toEqual(cluster.acknowledged);
+    expect(cluster.acknowledged).toHaveLength(30);
   });
 
-  test('replaces a lost disk, and stands the loss of another replica right after', () => {
-    const world = new ReplicationCluster(IDS);
-    const leader = leaderOf(world);
+  test('replaces a lost disk and then tolerates the loss of another replica', () => {
+    const cluster = new ReplicationCluster(IDS);
+    const leader = electLeader(cluster);
     for (let number = 0; number < 10; number++) {
-      world.propose(leader, `c${number}`);
+      cluster.propose(leader, `c${number}`);
     }
-    world.settle(100);
+    cluster.settle(100);
     const [lost, other] = IDS.filter((id) => id !== leader) as [ReplicaId, ReplicaId];
-    world.loseForGood(lost);
-    world.addReplica('d/2', 1, null);
-    world.changeMembers(leader, {learners: ['d/2'], voters: IDS});
-    world.settle(300);
-    expect(world.caughtUp(leader, 'd/2')).toBe(true);
-    world.changeMembers(leader, {learners: [], voters: [...IDS, 'd/2']});
-    world.settle(300);
-    world.changeMembers(leader, {learners: [], voters: [leader, other, 'd/2']});
-    world.settle(300);
-    world.loseForGood(leader);
-    world.settle(900);
-    world.checkConverged();
-    expect(world.acknowledged).toHaveLength(10);
-    const [second] = world.leaseHolders();
-    world.propose(second!, 'after');
-    world.settle(200);
-    expect(world.acknowledged).toContain('after');
+    cluster.removePermanently(lost);
+    cluster.addReplica('d/2', 1, null);
+    cluster.changeMembers(leader, {learners: ['d/2'], voters: IDS});
+    cluster.settle(300);
+    expect(cluster.caughtUp(leader, 'd/2')).toBe(true);
+    cluster.changeMembers(leader, {learners: [], voters: [...IDS, 'd/2']});
+    cluster.settle(300);
+    cluster.changeMembers(leader, {learners: [], voters: [leader, other, 'd/2']});
+    cluster.settle(300);
+    cluster.removePermanently(leader);
+    cluster.settle(900);
+    cluster.checkConverged();
+    expect(cluster.acknowledged).toHaveLength(10);
+    const [second] = cluster.leaseHolders();
+    cluster.propose(second!, 'after');
+    cluster.settle(200);
+    expect(cluster.acknowledged).toContain('after');
   });
 
-  test('never counts a vote of a disk that was lost', () => {
-    const world = new ReplicationCluster(IDS);
-    const leader = leaderOf(world);
+  test('never counts votes of a replaced disk', () => {
+    const cluster = new ReplicationCluster(IDS);
+    const leader = electLeader(cluster);
     const [lost, other] = IDS.filter((id) => id !== leader) as [ReplicaId, ReplicaId];
     // Only the leader and the lost replica have the command.
-    world.cuts.add(`${leader}>${other}`);
-    world.propose(leader, 'kept');
+    cluster.cuts.add(`${leader}>${other}`);
+    cluster.propose(leader, 'kept');
     for (let waited = 0; waited < 6; waited++) {
-      world.advance(5);
-      flow(world, 12);
+      cluster.advance(5);
+      flow(cluster, 12);
     }
-    expect(world.acknowledged).toEqual(['kept']);
-    world.loseForGood(lost);
-    world.crash(leader);
-    world.addReplica('b/2', 1, null);
-    world.cuts.clear();
+    expect(cluster.acknowledged).toEqual(['kept']);
+    cluster.removePermanently(lost);
+    cluster.crash(leader);
+    cluster.addReplica('b/2', 1, null);
+    cluster.cuts.clear();
     for (let waited = 0; waited < 200; waited++) {
-      world.advance(5);
-      flow(world, 12);
+      cluster.advance(5);
+      flow(cluster, 12);
     }
-    // The other one and the empty disk are no majority: nobody may lead without the command.
-    expect(world.leaseHolders()).toEqual([]);
+    // The remaining replica and the empty disk are no majority, so no replica may lead without the command.
+    expect(cluster.leaseHolders()).toEqual([]);
   });
 
-  test('lets a leader take itself out: it leads until that is recorded, and the others go on', () => {
-    const world = new ReplicationCluster(IDS);
-    const leader = leaderOf(world);
-    world.propose(leader, 'one');
-    world.settle(100);
-    world.addReplica('d/2', 1, null);
+  test('lets a leader remove itself: it leads until the change is committed, then another is elected', () => {
+    const cluster = new ReplicationCluster(IDS);
+    const leader = electLeader(cluster);
+    cluster.propose(leader, 'one');
+    cluster.settle(100);
+    cluster.addReplica('d/2', 1, null);
     const others = IDS.filter((id) => id !== leader);
-    world.changeMembers(leader, {learners: ['d/2'], voters: IDS});
-    world.settle(300);
-    world.changeMembers(leader, {learners: [], voters: [...IDS, 'd/2']});
-    world.settle(300);
-    world.changeMembers(leader, {learners: [], voters: [...others, 'd/2']});
-    world.settle(900);
-    expect(world.replicas.get(leader)!.state!.role.kind).toBe('follower');
-    const [next] = world.leaseHolders();
+    cluster.changeMembers(leader, {learners: ['d/2'], voters: IDS});
+    cluster.settle(300);
+    cluster.changeMembers(leader, {learners: [], voters: [...IDS, 'd/2']});
+    cluster.settle(300);
+    cluster.changeMembers(leader, {learners: [], voters: [...others, 'd/2']});
+    cluster.settle(900);
+    expect(cluster.replicas.get(leader)!.state!.role.kind).toBe('follower');
+    const [next] = cluster.leaseHolders();
     expect([...others, 'd/2']).toContain(next);
-    world.loseForGood(leader);
-    world.propose(next!, 'two');
-    world.settle(300);
-    world.checkConverged();
-    expect(world.acknowledged).toEqual(['one', 'two']);
+    cluster.removePermanently(leader);
+    cluster.propose(next!, 'two');
+    cluster.settle(300);
+    cluster.checkConverged();
+    expect(cluster.acknowledged).toEqual(['one', 'two']);
   });
 
-  test('refuses two changes of members at once', () => {
-    const world = new ReplicationCluster(IDS);
-    const leader = leaderOf(world);
-    const term = world.replicas.get(leader)!.state!.log.lastIndex;
-    world.changeMembers(leader, {learners: [], voters: [leader]});
-    expect(world.replicas.get(leader)!.state!.log.lastIndex).toBe(term);
-    world.changeMembers(leader, {learners: ['d/1'], voters: IDS});
-    world.changeMembers(leader, {learners: ['d/1', 'e/1'], voters: IDS});
-    expect(world.replicas.get(leader)!.state!.log.members.learners).toEqual(['d/1']);
+  test('rejects concurrent membership changes', () => {
+    const cluster = new ReplicationCluster(IDS);
+    const leader = electLeader(cluster);
+    const lastIndex = cluster.replicas.get(leader)!.state!.log.lastIndex;
+    cluster.changeMembers(leader, {learners: [], voters: [leader]});
+    expect(cluster.replicas.get(leader)!.state!.log.lastIndex).toBe(lastIndex);
+    cluster.changeMembers(leader, {learners: ['d/1'], voters: IDS});
+    cluster.changeMembers(leader, {learners: ['d/1', 'e/1'], voters: IDS});
+    expect(cluster.replicas.get(leader)!.state!.log.members.learners).toEqual(['d/1']);
   });
 });
