--- a/packages/stallpaddle-replication/src/ReplicaMonitor.ts
+++ b/packages/stallpaddle-replication/src/ReplicaMonitor.ts
@@ -22,7 +22,7 @@
 type EndOfLeadership = 'handedOver' | 'laterTerm' | 'nothingRecorded' | 'quorumSilent';
 
 /**
- * Logs role changes, lease changes and late clock ticks. A process that is held up, by its own work or by a lack of CPU
+ * Logs role changes, lease changes and late clock ticks. A process that is stalled, by its own work or by a lack of CPU
  * time, neither sends nor receives heartbeats; the delay of its ticks distinguishes this from a network failure.
  */
 export class ReplicaMonitor {
--- a/packages/stallpaddle-replication/src/ReplicationLease.ts
+++ b/packages/stallpaddle-replication/src/ReplicationLease.ts
@@ -61,8 +61,8 @@
 }
 
 /**
- * End of the lease. Each voter that acknowledged a message withholds its vote for an election timeout after receiving
- * it, so no other replica can be elected before. A fraction is given up for clock drift.
+ * End of the lease. Each voter that acknowledged a message withholds its vote for an election timeout from its receipt,
+ * so no other replica can be elected within that time. A fraction is given up for clock drift.
  *
  * @param state a replica's state
  * @param now monotonic time
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicaMonitor.test.ts
@@ -1,5 +1,5 @@
 /**
- * Log lines of a replica, which must distinguish a held-up process from a network failure.
+ * Log lines of a replica, which must distinguish a stalled process from a network failure.
  */
 import type {Clock, LogFields, Logger} from 'stallpaddle';
 
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicationCluster.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicationCluster.ts
@@ -75,7 +75,7 @@
   override readonly name = 'SafetyError';
 }
 
-/** Runs replicas in simulated time and checks safety properties after each step. */
+/** Runs replicas in simulated time and throws a `SafetyError` when they violate a safety property. */
 export class ReplicationCluster {
   /** Commands that a leader has acknowledged, in order. */
   readonly acknowledged: string[] = [];
--- a/packages/stallpaddle-replication/src/__tests__/unit/ReplicationFaults.test.ts
+++ b/packages/stallpaddle-replication/src/__tests__/unit/ReplicationFaults.test.ts
@@ -271,10 +271,10 @@
 });
 
 /**
- * Guards against a leader that steps down because its own process was held up for a short time: it sent nothing
+ * Guards against a leader that steps down because its own process was paused for a short time: it sent nothing
  * meanwhile, so nobody could acknowledge it.
  */
-describe('a leader whose process is held up', () => {
+describe('a leader whose process is paused', () => {
   /** State of the leader after clock ticks without any message in between. */
   function afterTicks(ticks: readonly number[]): ReplicationState {
     const {cluster, leader} = settledCluster();
@@ -290,16 +290,16 @@
     return Array.from({length: Math.floor((to - from) / 5)}, (_, at) => from + 5 * (at + 1));
   }
 
-  test('stays leader after a short hold-up in which it sent nothing', () => {
-    const heldUp = ELECTION_MS * 1.2;
-    expect(afterTicks([heldUp]).role.kind).toBe('leader');
-    expect(afterTicks([...ticksBetween(0, 40), 40 + heldUp / 2]).role.kind).toBe('leader');
+  test('stays leader after a short pause in which it sent nothing', () => {
+    const pausedMs = ELECTION_MS * 1.2;
+    expect(afterTicks([pausedMs]).role.kind).toBe('leader');
+    expect(afterTicks([...ticksBetween(0, 40), 40 + pausedMs / 2]).role.kind).toBe('leader');
     // It steps down if what it sends now is not acknowledged.
-    const ticks = [heldUp, ...ticksBetween(heldUp, heldUp + ELECTION_MS)];
+    const ticks = [pausedMs, ...ticksBetween(pausedMs, pausedMs + ELECTION_MS)];
     expect(afterTicks(ticks).role.kind).toBe('follower');
   });
 
-  test('counts a hold-up after the newest acknowledged send', () => {
+  test('counts a pause after the newest acknowledged send', () => {
     const {cluster, leader, others} = settledCluster();
     const now = cluster.clockOf(leader);
     const before = cluster.replicas.get(leader)!.state!;
@@ -315,11 +315,11 @@
     expect(state.role.kind).toBe('leader');
   });
 
-  test('steps down after a hold-up so long that another leader has been elected', () => {
+  test('steps down after a pause so long that another leader has been elected', () => {
     expect(afterTicks([ELECTION_MS * 2.1]).role.kind).toBe('follower');
   });
 
-  test('steps down in bounded time when it is held up repeatedly', () => {
+  test('steps down in bounded time when it is paused repeatedly', () => {
     const ticks = Array.from({length: 8}, (_, at) => (at + 1) * ELECTION_MS * 0.3);
     expect(afterTicks(ticks).role.kind).toBe('follower');
   });
