--- a/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
@@ -60,7 +60,6 @@
   let work: Promise<unknown> = Promise.resolve();
   const counts = {blobs: 0};
   const driver = {
-    stalenessMs,
     leads,
     localState: state,
     read: (): JobsState => {
@@ -75,6 +74,7 @@
       work = done;
       return done;
     },
+    stalenessMs,
   };
   const group = {driver} as unknown as Pick<NodeGroup<JobsState>, 'driver'>;
   return {counts, desk: new NodeJobsDesk(systemClock, group, () => {})};
