--- a/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
@@ -56,11 +56,10 @@
 }
 
 /** A replica whose process does one thing after the other: each piece of bulk data costs it a millisecond. */
-function replicaOf(state: JobsState, leads: boolean, completeAgeMs = 0) {
+function replicaOf(state: JobsState, leads: boolean, stalenessMs = 0) {
   let work: Promise<unknown> = Promise.resolve();
   const counts = {blobs: 0};
   const driver = {
-    completeAgeMs,
     leads,
     localState: state,
     read: (): JobsState => {
@@ -75,6 +74,7 @@
       work = done;
       return done;
     },
+    stalenessMs,
   };
   const group = {driver} as unknown as Pick<NodeGroup<JobsState>, 'driver'>;
   return {counts, desk: new NodeJobsDesk(systemClock, group, () => {})};
--- a/packages/stallpaddle-replication/src/index.ts
+++ b/packages/stallpaddle-replication/src/index.ts
@@ -1,4 +1,6 @@
-/** Replicated logs: pure state machine and the driver that runs it. */
+/**
+ * Replicated log: the Raft state machine and the driver that runs it.
+ */
 export {LOG_BYTES_BEFORE_SNAPSHOT, SNAPSHOT_CHUNK_BYTES} from './ReplicaConstants';
 export {ReplicaDriver} from './ReplicaDriver';
 export {NotLeaderError, OutcomeUnknownError, ReplicaStoppedError} from './ReplicaErrors';
@@ -14,12 +16,12 @@
 export {DEFAULT_TIMING} from './ReplicationConstants';
 export {wantsSnapshot} from './ReplicationFollower';
 export {
-  holdersOf,
   holdsLease,
   isMajority,
   leadershipOf,
   leaseUntil,
   majorityValue,
+  votersWithEntry,
 } from './ReplicationLease';
 export {EMPTY_SNAPSHOT, ReplicationLog} from './ReplicationLog';
 export {
