--- a/packages/stallpaddle-node/src/NodeAddresses.ts
+++ b/packages/stallpaddle-node/src/NodeAddresses.ts
@@ -13,7 +13,7 @@
  * @param most longest list that a caller takes
  * @param random source of the draw
  */
-export function drawEntries(
+export function sampleEntries(
   entries: readonly EntryView[],
   most: number,
   random: Random,
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -27,7 +27,7 @@
 import type {NodeWatch} from './NodeWatch';
 import type {JobCall, RawAnswer} from './NodeWire';
 
-import {drawEntries} from './NodeAddresses';
+import {sampleEntries} from './NodeAddresses';
 import {NodeAdmission} from './NodeAdmission';
 import {ADDRESSES_MOST, CONFIG_AGAIN_MS, IDLE_MARGIN_MS} from './NodeConstants';
 import {countEnd, exposeEntryMetrics} from './NodeEntryMetrics';
@@ -204,7 +204,7 @@
       sendAnswer(res, {status: 503});
       return;
     }
-    const named = drawEntries(entries, ADDRESSES_MOST, Math.random);
+    const named = sampleEntries(entries, ADDRESSES_MOST, Math.random);
     sendAnswer(res, wire.encodeAddresses(named));
   }
 
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeAddresses.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeAddresses.test.ts
@@ -7,7 +7,7 @@
 import {seededRandom} from 'stallpaddle';
 import {describe, expect, test} from 'vitest';
 
-import {drawEntries} from '../../NodeAddresses';
+import {sampleEntries} from '../../NodeAddresses';
 
 function entriesOf(count: number): readonly EntryView[] {
   return Array.from({length: count}, (_, at) => ({
@@ -24,7 +24,7 @@
     const named = new Map<string, number>(entries.map(({name}) => [name, 0]));
     const answers = 2_000;
     for (let count = 0; count < answers; count++) {
-      for (const {name} of drawEntries(entries, 64, random)) {
+      for (const {name} of sampleEntries(entries, 64, random)) {
         named.set(name, named.get(name)! + 1);
       }
     }
@@ -40,7 +40,7 @@
     fc.assert(
       fc.property(counts, fc.nat(), ({most, there}, seed) => {
         const entries = entriesOf(there);
-        const drawn = drawEntries(entries, most, seededRandom(seed));
+        const drawn = sampleEntries(entries, most, seededRandom(seed));
         expect(drawn).toHaveLength(Math.min(most, there));
         expect(new Set(drawn).size).toBe(drawn.length);
         expect(drawn.every((entry) => entries.includes(entry))).toBe(true);
