--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -37,7 +37,7 @@
 import {NodeLog} from './NodeLog';
 import {NodeRoutes} from './NodeRoutes';
 import {makeSuspects} from './NodeSuspects';
-import {NodeTells} from './NodeTells';
+import {NodeOnlineReporter} from './NodeOnlineReporter';
 
 /** Time that a rested connection is kept before the first configuration, in milliseconds. */
 const FIRST_IDLE_MS = 15_000;
@@ -58,7 +58,7 @@
   private readonly log: NodeLog;
   private readonly routes: NodeRoutes;
   private servers: readonly Server[] = [];
-  private readonly tells: NodeTells;
+  private readonly tells: NodeOnlineReporter;
   private readonly usual = new RelayUsual();
 
   /**
@@ -84,7 +84,7 @@
       limits,
     });
     const online = new RelayOnline(clock);
-    this.tells = new NodeTells(jobs, online, drawId('e'), () => watch.view.news.entries.length);
+    this.tells = new NodeOnlineReporter(jobs, online, drawId('e'), () => watch.view.news.entries.length);
     this.jobCalls = new NodeJobCalls(jobs, wire, this.log, clock);
     this.context = {
       clock,
--- a/packages/stallpaddle-node/src/NodeTells.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineReporter.ts
@@ -16,7 +16,7 @@
 import {NodeWaiters} from './NodeWaiters';
 
 /** See the module's comment. */
-export class NodeTells {
+export class NodeOnlineReporter {
   private readonly backoff = new NodeBackoff();
   private changed = false;
   /** Version of the others' counts that was learned last. */
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeTells.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
@@ -17,7 +17,7 @@
   TELL_GATHER_MS,
   tellAgainMs,
 } from '../../NodeConstants';
-import {NodeTells} from '../../NodeTells';
+import {NodeOnlineReporter} from '../../NodeOnlineReporter';
 
 const undo: (() => void)[] = [];
 
@@ -53,7 +53,7 @@
     return true;
   };
   const online = new RelayOnline(systemClock);
-  const tells = new NodeTells({leaderHost: null, post, tryOnce}, online, 'e1', () => entryVms);
+  const tells = new NodeOnlineReporter({leaderHost: null, post, tryOnce}, online, 'e1', () => entryVms);
   undo.push(() => tells.stop());
   return {online, tells, words};
 }
@@ -71,8 +71,8 @@
         return Promise.resolve({kind: 'notLeader', leader: leaderHost});
       },
     });
-    const named = new NodeTells(callerOf('10.0.0.1', 'named'), online, 'e1', () => 1);
-    const unnamed = new NodeTells(callerOf(null, 'unnamed'), online, 'e2', () => 1);
+    const named = new NodeOnlineReporter(callerOf('10.0.0.1', 'named'), online, 'e1', () => 1);
+    const unnamed = new NodeOnlineReporter(callerOf(null, 'unnamed'), online, 'e2', () => 1);
     undo.push(() => named.stop());
     undo.push(() => unnamed.stop());
     void named.run();
