--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -12,7 +12,7 @@
 
 import {hostsToAsk, NodeCaller} from './NodeCaller';
 import {CONTROL_GROUP, JOBS_GROUP} from './NodeConstants';
-import {orderHops} from './NodeHops';
+import {orderHops} from './NodeReplicaSelector';
 import {NodeMetrics} from './NodeMetrics';
 import {NodePeers} from './NodePeers';
 import {NodeRelayedHellos} from './NodeRelayedHellos';
--- a/packages/stallpaddle-node/src/NodeJobReads.ts
+++ b/packages/stallpaddle-node/src/NodeJobReads.ts
@@ -12,7 +12,7 @@
 import type {JobCall} from './NodeWire';
 
 import {JOB_CALL_MS, JOBS_GROUP} from './NodeConstants';
-import {NodeHops} from './NodeHops';
+import {NodeReplicaSelector} from './NodeReplicaSelector';
 
 /** A call that reads. */
 export type ReadCall = Extract<JobCall, {kind: 'readBody' | 'readResults'}> & JobName;
@@ -43,7 +43,7 @@
 
 /** See the module's comment. */
 export class NodeJobReads {
-  private readonly hops = new NodeHops();
+  private readonly hops = new NodeReplicaSelector();
 
   /**
    * @param caller calls the jobs' leader, and knows where replicas are
--- a/packages/stallpaddle-node/src/NodeHops.ts
+++ b/packages/stallpaddle-node/src/NodeReplicaSelector.ts
@@ -36,7 +36,7 @@
 }
 
 /** Remembers which VMs did not answer. */
-export class NodeHops {
+export class NodeReplicaSelector {
   private readonly out = new Map<VmId, MonotonicMs>();
 
   /**
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -34,7 +34,7 @@
   WATCH_HOLD_MS,
   WATCH_MARGIN_MS,
 } from './NodeConstants';
-import {NodeHops} from './NodeHops';
+import {NodeReplicaSelector} from './NodeReplicaSelector';
 
 /** What the watch needs of its process. */
 export interface NodeWatchOptions {
@@ -61,7 +61,7 @@
   private readonly backoff = new NodeBackoff();
   private current: FleetView = EMPTY_VIEW;
   private freshening: Promise<boolean> | undefined;
-  private readonly hops = new NodeHops();
+  private readonly hops = new NodeReplicaSelector();
   /** Who gives the news; null for the leader itself. */
   private source: null | undefined | VmId;
   /** When each replica was last named by a replica of its group. */
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -19,7 +19,7 @@
 
 import {RELAY_AGE_MS, RELAYED_HOLD_MS, WATCH_MARGIN_MS} from '../../NodeConstants';
 import {NodeFollowerDesk} from '../../NodeFollowerDesk';
-import {NodeHops, orderHops} from '../../NodeHops';
+import {NodeReplicaSelector, orderHops} from '../../NodeReplicaSelector';
 import {NodeNewsBoard} from '../../NodeNewsBoard';
 import {NodeRelayedHellos} from '../../NodeRelayedHellos';
 import {NodeWatch} from '../../NodeWatch';
@@ -321,7 +321,7 @@
 
   test('one that was silent is left out for a while, and asked again', () => {
     const clock: Pick<Clock, 'monotonicMs'> = {monotonicMs: () => 0};
-    const hops = new NodeHops();
+    const hops = new NodeReplicaSelector();
     expect(hops.choose(['a', 'b'], clock.monotonicMs())).toBe('a');
     hops.noteFailure('a', 'silent', 0);
     hops.noteFailure('b', 'refused', 0);
