--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -12,7 +12,7 @@
 
 import {hostsToAsk, NodeCaller} from './NodeCaller';
 import {CONTROL_GROUP, JOBS_GROUP} from './NodeConstants';
-import {orderHops} from './NodeReplicaSelector';
+import {orderReplicaHosts} from './NodeReplicaSelector';
 import {NodeMetrics} from './NodeMetrics';
 import {NodePeers} from './NodePeers';
 import {NodeRelayedHellos} from './NodeRelayedHellos';
@@ -124,7 +124,7 @@
     const {controls, view} = this.watch;
     const hosts = controls.length === 0 ? this.seeds.map(hostOf) : controls.map(vmOfReplica);
     const zones = new Map(view.news.entries.map((entry) => [hostOf(entry.address), entry.zone]));
-    return orderHops({hosts: [...new Set(hosts)], name, zone, zoneOf: (host) => zones.get(host)});
+    return orderReplicaHosts({hosts: [...new Set(hosts)], name, zone, zoneOf: (host) => zones.get(host)});
   }
 
   /** Hosts that may lead the control group, best known first. */
--- a/packages/stallpaddle-node/src/NodeReplicaSelector.ts
+++ b/packages/stallpaddle-node/src/NodeReplicaSelector.ts
@@ -29,7 +29,7 @@
  *
  * @param input what the order rests on
  */
-export function orderHops({hosts, name, zone, zoneOf}: HopsInput): readonly VmId[] {
+export function orderReplicaHosts({hosts, name, zone, zoneOf}: HopsInput): readonly VmId[] {
   const order = rendezvousOrder(name, hosts);
   const isNear = (host: VmId): boolean => zoneOf(host) === zone;
   return [...order.filter(isNear), ...order.filter((host) => !isNear(host))];
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -19,7 +19,7 @@
 
 import {RELAY_AGE_MS, RELAYED_HOLD_MS, WATCH_MARGIN_MS} from '../../NodeConstants';
 import {NodeFollowerDesk} from '../../NodeFollowerDesk';
-import {NodeReplicaSelector, orderHops} from '../../NodeReplicaSelector';
+import {NodeReplicaSelector, orderReplicaHosts} from '../../NodeReplicaSelector';
 import {NodeNewsBoard} from '../../NodeNewsBoard';
 import {NodeRelayedHellos} from '../../NodeRelayedHellos';
 import {NodeWatch} from '../../NodeWatch';
@@ -295,7 +295,7 @@
   const hosts = ['10.1.0.1', '10.2.0.1', '10.3.0.1', '10.4.0.1', '10.5.0.1'];
   const zoneOf = (host: VmId): string => `zone-${host.split('.')[1]}`;
   const firstOf = (at: number, zone: string, among: readonly VmId[] = hosts): VmId =>
-    orderHops({hosts: among, name: `vm-${at}`, zone, zoneOf})[0]!;
+    orderReplicaHosts({hosts: among, name: `vm-${at}`, zone, zoneOf})[0]!;
 
   test('the replica of the own zone comes first; without one all replicas have their share', () => {
     expect(firstOf(7, 'zone-3')).toBe('10.3.0.1');
