--- a/packages/stallpaddle-node/src/NodeReplicaSelector.ts
+++ b/packages/stallpaddle-node/src/NodeReplicaSelector.ts
@@ -14,7 +14,7 @@
 const REFUSED_OUT_MS = 250;
 
 /** What the order rests on. */
-export interface HopsInput {
+export interface ReplicaOrderInput {
   /** VMs with a replica. */
   readonly hosts: readonly VmId[];
   /** The process that asks. */
@@ -29,7 +29,7 @@
  *
  * @param input what the order rests on
  */
-export function orderReplicaHosts({hosts, name, zone, zoneOf}: HopsInput): readonly VmId[] {
+export function orderReplicaHosts({hosts, name, zone, zoneOf}: ReplicaOrderInput): readonly VmId[] {
   const order = rendezvousOrder(name, hosts);
   const isNear = (host: VmId): boolean => zoneOf(host) === zone;
   return [...order.filter(isNear), ...order.filter((host) => !isNear(host))];
