--- a/packages/stallpaddle-node/src/NodeCaller.ts
+++ b/packages/stallpaddle-node/src/NodeCaller.ts
@@ -11,7 +11,7 @@
 import {hostOf} from './NodeSettings';
 
 /** What a caller needs of its process. */
-export interface NodeCallerOptions {
+export interface NodeGroupClientOptions {
   readonly clock: Clock;
   readonly group: GroupId;
   /** Answers a call to this process's own host, where it may lead; a call over the network would cost two turns. */
@@ -78,7 +78,7 @@
   /**
    * @param options what it needs of its process
    */
-  constructor(private readonly options: NodeCallerOptions) {}
+  constructor(private readonly options: NodeGroupClientOptions) {}
 
   /** The host that led when last heard. */
   get leaderHost(): null | VmId {
