--- a/packages/stallpaddle-node/src/NodeCaller.ts
+++ b/packages/stallpaddle-node/src/NodeCaller.ts
@@ -44,7 +44,7 @@
  * @param seeds addresses that are known from the start; asked first
  * @param replicas replicas of the group, best known first
  */
-export function hostsToAsk(
+export function candidateHosts(
   seeds: readonly string[],
   replicas: readonly ReplicaId[],
 ): readonly VmId[] {
--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -10,7 +10,7 @@
 
 import type {NodeSettings} from './NodeSettings';
 
-import {hostsToAsk, NodeCaller} from './NodeCaller';
+import {candidateHosts, NodeCaller} from './NodeCaller';
 import {CONTROL_GROUP, JOBS_GROUP} from './NodeConstants';
 import {orderReplicaHosts} from './NodeReplicaSelector';
 import {NodeMetrics} from './NodeMetrics';
@@ -75,7 +75,7 @@
     this.jobs = new NodeCaller({
       clock,
       group: JOBS_GROUP,
-      hosts: () => hostsToAsk([], this.watch.view.news.jobsReplicas),
+      hosts: () => candidateHosts([], this.watch.view.news.jobsReplicas),
       local: null,
       peers,
     });
@@ -129,7 +129,7 @@
 
   /** Hosts that may lead the control group, best known first. */
   private controlHosts(): readonly VmId[] {
-    const known = hostsToAsk(this.seeds, this.watch.controls);
+    const known = candidateHosts(this.seeds, this.watch.controls);
     return [...new Set([...known, ...this.ownHosts])];
   }
 }
