--- a/packages/stallpaddle-node/src/NodeControlCalls.ts
+++ b/packages/stallpaddle-node/src/NodeControlCalls.ts
@@ -13,7 +13,7 @@
 import {findConfigFault} from 'stallpaddle-fleet';
 import {NotLeaderError} from 'stallpaddle-replication';
 
-import type {NodeCaller} from './NodeCaller';
+import type {NodeGroupClient} from './NodeGroupClient';
 import type {NodeLog} from './NodeLog';
 import type {ControlCall, ControlReply} from './NodeWire';
 
@@ -32,7 +32,7 @@
    * @param log the log of the part that serves them
    */
   constructor(
-    private readonly caller: NodeCaller,
+    private readonly caller: NodeGroupClient,
     private readonly port: number,
     private readonly log: NodeLog,
   ) {}
--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -10,7 +10,7 @@
 
 import type {NodeSettings} from './NodeSettings';
 
-import {candidateHosts, NodeCaller} from './NodeCaller';
+import {candidateHosts, NodeGroupClient} from './NodeGroupClient';
 import {CONTROL_GROUP, JOBS_GROUP} from './NodeConstants';
 import {orderReplicaHosts} from './NodeReplicaSelector';
 import {NodeMetrics} from './NodeMetrics';
@@ -40,9 +40,9 @@
 /** See the module's comment. */
 export class NodeFleet {
   /** Calls to the control group's leader. */
-  readonly control: NodeCaller;
+  readonly control: NodeGroupClient;
   /** Calls to the leader of the group that keeps batch jobs. */
-  readonly jobs: NodeCaller;
+  readonly jobs: NodeGroupClient;
   /** Metrics of the whole process. */
   readonly metrics = new NodeMetrics();
   /** Connections to the other processes. */
@@ -65,14 +65,14 @@
     this.peers = new NodePeers(settings.peerPort, note);
     this.seeds = settings.seeds;
     const {peers, relayed} = this;
-    this.control = new NodeCaller({
+    this.control = new NodeGroupClient({
       clock,
       group: CONTROL_GROUP,
       hosts: () => this.controlHosts(),
       local: answer === null ? null : {answer, host: settings.host},
       peers,
     });
-    this.jobs = new NodeCaller({
+    this.jobs = new NodeGroupClient({
       clock,
       group: JOBS_GROUP,
       hosts: () => candidateHosts([], this.watch.view.news.jobsReplicas),
--- a/packages/stallpaddle-node/src/NodeCaller.ts
+++ b/packages/stallpaddle-node/src/NodeGroupClient.ts
@@ -71,7 +71,7 @@
 }
 
 /** See the module's comment. */
-export class NodeCaller {
+export class NodeGroupClient {
   private leader: KnownLeader | null = null;
   private next = 0;
 
--- a/packages/stallpaddle-node/src/NodeJobCalls.ts
+++ b/packages/stallpaddle-node/src/NodeJobCalls.ts
@@ -8,7 +8,7 @@
 
 import {RefusalError, refuse, unreachable} from 'stallpaddle';
 
-import type {NodeCaller} from './NodeCaller';
+import type {NodeGroupClient} from './NodeGroupClient';
 import type {NodeLog} from './NodeLog';
 import type {JobCall, NodeWire, RawAnswer, RawCall} from './NodeWire';
 
@@ -34,7 +34,7 @@
    * @param clock this process's clock
    */
   constructor(
-    private readonly caller: NodeCaller,
+    private readonly caller: NodeGroupClient,
     private readonly wire: NodeWire,
     private readonly log: NodeLog,
     clock: Clock,
--- a/packages/stallpaddle-node/src/NodeJobReads.ts
+++ b/packages/stallpaddle-node/src/NodeJobReads.ts
@@ -7,7 +7,7 @@
 
 import {encodeValue, RefusalError} from 'stallpaddle';
 
-import type {NodeCaller} from './NodeCaller';
+import type {NodeGroupClient} from './NodeGroupClient';
 import type {NodeLog} from './NodeLog';
 import type {JobCall} from './NodeWire';
 
@@ -52,7 +52,7 @@
    * @param random chooses among replicas
    */
   constructor(
-    private readonly caller: Pick<NodeCaller, 'call' | 'hosts' | 'leaderHost' | 'tryAt'>,
+    private readonly caller: Pick<NodeGroupClient, 'call' | 'hosts' | 'leaderHost' | 'tryAt'>,
     private readonly clock: Clock,
     private readonly log: Pick<NodeLog, 'decide'>,
     private readonly random: Random = Math.random,
--- a/packages/stallpaddle-node/src/NodeOnlineReporter.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineReporter.ts
@@ -9,7 +9,7 @@
 
 import {delay, encodeValue} from 'stallpaddle';
 
-import type {NodeCaller} from './NodeCaller';
+import type {NodeGroupClient} from './NodeGroupClient';
 
 import {NodeBackoff} from './NodeBackoff';
 import {CALL_AGAIN_MS, JOBS_GROUP, TELL_GATHER_MS, TELL_TRY_MS, tellAgainMs} from './NodeConstants';
@@ -35,7 +35,7 @@
    * @param entryVms entry VMs of the fleet, as far as known
    */
   constructor(
-    private readonly caller: Pick<NodeCaller, 'leaderHost' | 'post' | 'tryOnce'>,
+    private readonly caller: Pick<NodeGroupClient, 'leaderHost' | 'post' | 'tryOnce'>,
     private readonly online: RelayOnline,
     private readonly sender: string,
     private readonly entryVms: () => number,
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -18,7 +18,7 @@
   type WatchAnswer,
 } from 'stallpaddle-fleet';
 
-import type {NodeCaller} from './NodeCaller';
+import type {NodeGroupClient} from './NodeGroupClient';
 import type {NodeMetrics} from './NodeMetrics';
 
 import {NodeBackoff} from './NodeBackoff';
@@ -38,7 +38,7 @@
 
 /** What the watch needs of its process. */
 export interface NodeWatchOptions {
-  readonly caller: Pick<NodeCaller, 'hosts' | 'tryAt' | 'tryOnce'>;
+  readonly caller: Pick<NodeGroupClient, 'hosts' | 'tryAt' | 'tryOnce'>;
   readonly clock: Clock;
   /** What each part of the process says of itself now. */
   readonly hellos: () => readonly Hello[];
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeCaller.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeGroupClient.test.ts
@@ -7,7 +7,7 @@
 import {delay, systemClock} from 'stallpaddle';
 import {describe, expect, test} from 'vitest';
 
-import {NodeCaller} from '../../NodeCaller';
+import {NodeGroupClient} from '../../NodeGroupClient';
 import {CALL_TRY_MS, JOB_CALL_MS} from '../../NodeConstants';
 
 /** What the VM at a host makes of a call. */
@@ -30,7 +30,7 @@
 /** A caller among VMs whose behaviour may change. */
 function callerAmong(hosts: Record<VmId, Behaviour>) {
   const asked: VmId[] = [];
-  const caller = new NodeCaller({
+  const caller = new NodeGroupClient({
     clock: systemClock,
     group: 'jobs',
     hosts: () => Object.keys(hosts),
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
@@ -15,7 +15,7 @@
 import {NotLeaderError} from 'stallpaddle-replication';
 import {describe, expect, test} from 'vitest';
 
-import type {GroupCall} from '../../NodeCaller';
+import type {GroupCall} from '../../NodeGroupClient';
 import type {NodeGroup} from '../../NodeGroup';
 
 import {NodeJobReads} from '../../NodeJobReads';
