--- a/packages/stallpaddle-node/src/NodeIntake.ts
+++ b/packages/stallpaddle-node/src/NodeDrainState.ts
@@ -14,7 +14,7 @@
 const ADDRESSES_KEPT_MS = 3 * SECOND_MS * ADDRESSES_TTL_S;
 
 /** See the module's comment. */
-export class NodeIntake {
+export class NodeDrainState {
   private open = 0;
   private phase: 'leaving' | 'refusing' | 'serving' = 'serving';
 
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -32,7 +32,7 @@
 import {ADDRESSES_MOST, CONFIG_AGAIN_MS, IDLE_MARGIN_MS} from './NodeConstants';
 import {countEnd, exposeEntryMetrics} from './NodeEntryMetrics';
 import {BodyTooLargeError, callOf, readBody, sendAnswer, startServer} from './NodeHttp';
-import {NodeIntake} from './NodeIntake';
+import {NodeDrainState} from './NodeDrainState';
 import {NodeJobCalls} from './NodeJobCalls';
 import {NodeLog} from './NodeLog';
 import {NodeRoutes} from './NodeRoutes';
@@ -53,7 +53,7 @@
 export class NodeEntry {
   private readonly admission: NodeAdmission;
   private readonly context: RelayContext;
-  private readonly intake: NodeIntake;
+  private readonly intake: NodeDrainState;
   private readonly jobCalls: NodeJobCalls;
   private readonly log: NodeLog;
   private readonly routes: NodeRoutes;
@@ -76,7 +76,7 @@
     const {clock, loggers, settings, wire} = options;
     const {jobs, metrics, watch} = fleet;
     this.log = new NodeLog(loggers('entry'), clock, metrics);
-    this.intake = new NodeIntake(clock, settings.bounds.grace);
+    this.intake = new NodeDrainState(clock, settings.bounds.grace);
     this.routes = new NodeRoutes(watch, this.log);
     this.admission = new NodeAdmission({
       customers,
--- a/packages/stallpaddle-node/src/NodeEntryMetrics.ts
+++ b/packages/stallpaddle-node/src/NodeEntryMetrics.ts
@@ -4,7 +4,7 @@
 import type {LogFields} from 'stallpaddle';
 import type {RelayOnline, RelayPace} from 'stallpaddle-relay';
 
-import type {NodeIntake} from './NodeIntake';
+import type {NodeDrainState} from './NodeDrainState';
 import type {NodeMetrics} from './NodeMetrics';
 import type {NodeWatch} from './NodeWatch';
 
@@ -12,7 +12,7 @@
 
 /** What the gauges read. */
 export interface EntryGauges {
-  readonly intake: NodeIntake;
+  readonly intake: NodeDrainState;
   /** Online requests of this VM at each engine. */
   readonly online: RelayOnline;
   /** How fast engines are, as this VM has seen it. */
