--- a/packages/stallpaddle-node/src/NodeHttp.ts
+++ b/packages/stallpaddle-node/src/NodeHttp.ts
@@ -7,7 +7,7 @@
 import {errorMessage} from 'stallpaddle';
 
 import type {NodeMetrics} from './NodeMetrics';
-import type {RawAnswer, RawCall} from './NodeWire';
+import type {RawAnswer, RawRequest} from './NodeWire';
 
 import {hostOf, portOf} from './NodeSettings';
 
@@ -82,7 +82,7 @@
  *
  * @param req the request
  */
-export function callOf(req: IncomingMessage): Omit<RawCall, 'body'> {
+export function callOf(req: IncomingMessage): Omit<RawRequest, 'body'> {
   return {headers: req.headers, method: req.method ?? 'GET', url: req.url ?? '/'};
 }
 
--- a/packages/stallpaddle-node/src/NodeJobCalls.ts
+++ b/packages/stallpaddle-node/src/NodeJobCalls.ts
@@ -10,7 +10,7 @@
 
 import type {NodeGroupClient} from './NodeGroupClient';
 import type {NodeLog} from './NodeLog';
-import type {JobCall, NodeWire, RawAnswer, RawCall} from './NodeWire';
+import type {JobCall, NodeWire, RawAnswer, RawRequest} from './NodeWire';
 
 import {JOB_CALL_MS} from './NodeConstants';
 import {NodeJobReads} from './NodeJobReads';
@@ -50,7 +50,7 @@
    * @param caller who submits it
    * @throws {RefusalError} whose verdict tells whether it may have been taken
    */
-  async submit(route: FleetRoute, call: RawCall, caller: RelayCaller): Promise<RawAnswer> {
+  async submit(route: FleetRoute, call: RawRequest, caller: RelayCaller): Promise<RawAnswer> {
     const read = this.wire.readSubmission(call);
     if ('kind' in read) {
       throw refuse('badRequest', read.message);
--- a/packages/stallpaddle-node/src/NodeWire.ts
+++ b/packages/stallpaddle-node/src/NodeWire.ts
@@ -16,7 +16,7 @@
 import type {RelayWire} from 'stallpaddle-relay';
 
 /** A call as it came. */
-export interface RawCall {
+export interface RawRequest {
   readonly body: Buffer;
   readonly headers: IncomingHttpHeaders;
   readonly method: string;
@@ -88,14 +88,14 @@
     results: readonly ReadResult[],
   ) => RawAnswer;
   /** True for the question which VMs a caller may use. */
-  readonly isAddressQuestion: (call: Omit<RawCall, 'body'>) => boolean;
+  readonly isAddressQuestion: (call: Omit<RawRequest, 'body'>) => boolean;
   /** True for the question whether the VM takes callers. */
-  readonly isReadyQuestion: (call: Omit<RawCall, 'body'>) => boolean;
-  readonly readControl: (call: RawCall) => ControlCall;
+  readonly isReadyQuestion: (call: Omit<RawRequest, 'body'>) => boolean;
+  readonly readControl: (call: RawRequest) => ControlCall;
   /** The key that a caller shows, undecoded; null when it shows none. */
   readonly readKey: (headers: IncomingHttpHeaders) => string | null;
   /** Null for a request that a route must choose the way of. */
-  readonly readJobCall: (call: Omit<RawCall, 'body'>) => JobCall | null;
-  readonly readSubmission: (call: RawCall) => BadCall | JobSubmission;
+  readonly readJobCall: (call: Omit<RawRequest, 'body'>) => JobCall | null;
+  readonly readSubmission: (call: RawRequest) => BadCall | JobSubmission;
   readonly relay: RelayWire;
 }
--- a/packages/stallpaddle-node/src/index.ts
+++ b/packages/stallpaddle-node/src/index.ts
@@ -12,5 +12,5 @@
   JobSubmission,
   NodeWire,
   RawAnswer,
-  RawCall,
+  RawRequest,
 } from './NodeWire';
