--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -25,7 +25,7 @@
 import type {NodeLimits} from './NodeLimits';
 import type {NodeOptions} from './NodeTypes';
 import type {NodeWatch} from './NodeWatch';
-import type {JobCall, RawAnswer} from './NodeWire';
+import type {JobCall, RawResponse} from './NodeWire';
 
 import {sampleEntries} from './NodeAddresses';
 import {NodeAdmission} from './NodeAdmission';
@@ -319,7 +319,7 @@
   }
 
   /** That a job isn't there is told by the latest keys only: a key may have gone to another customer. */
-  private async carryOut(call: JobCall, req: IncomingMessage): Promise<RawAnswer> {
+  private async carryOut(call: JobCall, req: IncomingMessage): Promise<RawResponse> {
     const host = req.headers.host ?? '';
     const isOpen = (): boolean => this.routes.takesJobsOfAnybody(host);
     const caller = await this.identify(req, isOpen);
--- a/packages/stallpaddle-node/src/NodeHttp.ts
+++ b/packages/stallpaddle-node/src/NodeHttp.ts
@@ -7,7 +7,7 @@
 import {errorMessage} from 'stallpaddle';
 
 import type {NodeMetrics} from './NodeMetrics';
-import type {RawAnswer, RawRequest} from './NodeWire';
+import type {RawResponse, RawRequest} from './NodeWire';
 
 import {hostOf, portOf} from './NodeSettings';
 
@@ -92,7 +92,7 @@
  * @param res the response
  * @param answer what to send
  */
-export function sendAnswer(res: ServerResponse, answer: RawAnswer): void {
+export function sendAnswer(res: ServerResponse, answer: RawResponse): void {
   if (res.headersSent || res.destroyed) {
     return;
   }
--- a/packages/stallpaddle-node/src/NodeJobCalls.ts
+++ b/packages/stallpaddle-node/src/NodeJobCalls.ts
@@ -10,7 +10,7 @@
 
 import type {NodeGroupClient} from './NodeGroupClient';
 import type {NodeLog} from './NodeLog';
-import type {JobCall, NodeWire, RawAnswer, RawRequest} from './NodeWire';
+import type {JobCall, NodeWire, RawResponse, RawRequest} from './NodeWire';
 
 import {JOB_CALL_MS} from './NodeConstants';
 import {NodeJobReads} from './NodeJobReads';
@@ -50,7 +50,7 @@
    * @param caller who submits it
    * @throws {RefusalError} whose verdict tells whether it may have been taken
    */
-  async submit(route: FleetRoute, call: RawRequest, caller: RelayCaller): Promise<RawAnswer> {
+  async submit(route: FleetRoute, call: RawRequest, caller: RelayCaller): Promise<RawResponse> {
     const read = this.wire.readSubmission(call);
     if ('kind' in read) {
       throw refuse('badRequest', read.message);
@@ -98,7 +98,7 @@
    * @param call the call
    * @param caller who makes it
    */
-  async carryOut(call: JobCall, caller: RelayCaller): Promise<RawAnswer> {
+  async carryOut(call: JobCall, caller: RelayCaller): Promise<RawResponse> {
     const customer = customerOf(caller);
     switch (call.kind) {
       case 'endJob': {
@@ -126,7 +126,7 @@
     }
   }
 
-  private onAnswer(id: string, answer: JobsAnswer): RawAnswer {
+  private onAnswer(id: string, answer: JobsAnswer): RawResponse {
     switch (answer.kind) {
       case 'accepted':
         this.log.decide('jobTaken', id, {repeated: answer.repeated});
--- a/packages/stallpaddle-node/src/NodeWire.ts
+++ b/packages/stallpaddle-node/src/NodeWire.ts
@@ -25,7 +25,7 @@
 }
 
 /** An answer as it goes out. */
-export interface RawAnswer {
+export interface RawResponse {
   readonly body?: string | Uint8Array;
   readonly headers?: Readonly<Record<string, string>>;
   readonly status: number;
@@ -80,13 +80,13 @@
 
 /** See the module's comment. */
 export interface NodeWire {
-  readonly encodeAddresses: (entries: readonly EntryView[]) => RawAnswer;
-  readonly encodeControl: (reply: ControlReply) => RawAnswer;
+  readonly encodeAddresses: (entries: readonly EntryView[]) => RawResponse;
+  readonly encodeControl: (reply: ControlReply) => RawResponse;
   readonly encodeResults: (
     total: number,
     next: number,
     results: readonly ReadResult[],
-  ) => RawAnswer;
+  ) => RawResponse;
   /** True for the question which VMs a caller may use. */
   readonly isAddressQuestion: (call: Omit<RawRequest, 'body'>) => boolean;
   /** True for the question whether the VM takes callers. */
--- a/packages/stallpaddle-node/src/index.ts
+++ b/packages/stallpaddle-node/src/index.ts
@@ -11,6 +11,6 @@
   JobCall,
   JobSubmission,
   NodeWire,
-  RawAnswer,
+  RawResponse,
   RawRequest,
 } from './NodeWire';
