--- a/packages/stallpaddle-node/src/NodeWire.ts
+++ b/packages/stallpaddle-node/src/NodeWire.ts
@@ -32,14 +32,14 @@
 }
 
 /** A call that could not be read. */
-export interface BadCall {
+export interface MalformedCall {
   readonly kind: 'bad';
   readonly message: string;
 }
 
 /** A call to a process that serves engines and the operator. */
 export type ControlCall =
-  | BadCall
+  | MalformedCall
   | {readonly config: StoredConfig; readonly kind: 'putConfig'}
   | RemoveEngine
   | {readonly kind: 'listSuspects'}
@@ -96,6 +96,6 @@
   readonly readKey: (headers: IncomingHttpHeaders) => string | null;
   /** Null for a request that a route must choose the way of. */
   readonly readJobCall: (call: Omit<RawRequest, 'body'>) => JobCall | null;
-  readonly readSubmission: (call: RawRequest) => BadCall | JobSubmission;
+  readonly readSubmission: (call: RawRequest) => MalformedCall | JobSubmission;
   readonly relay: RelayWire;
 }
--- a/packages/stallpaddle-node/src/index.ts
+++ b/packages/stallpaddle-node/src/index.ts
@@ -5,7 +5,7 @@
 export {type NodeSettings, NodeSettingsError, parseNodeSettings} from './NodeSettings';
 export type {RunningNode} from './NodeTypes';
 export type {
-  BadCall,
+  MalformedCall,
   ControlCall,
   ControlReply,
   JobCall,
