--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -31,7 +31,7 @@
 import {NodeAdmission} from './NodeAdmission';
 import {ADDRESSES_MOST, CONFIG_AGAIN_MS, IDLE_MARGIN_MS} from './NodeConstants';
 import {countEnd, exposeEntryMetrics} from './NodeEntryMetrics';
-import {BodyTooLargeError, callOf, readBody, sendAnswer, startServer} from './NodeHttp';
+import {BodyTooLargeError, callOf, readBody, sendResponse, startServer} from './NodeHttp';
 import {NodeDrainState} from './NodeDrainState';
 import {NodeJobCalls} from './NodeJobCalls';
 import {NodeLog} from './NodeLog';
@@ -192,20 +192,20 @@
     const call = callOf(req);
     req.resume();
     if (wire.isReadyQuestion(call)) {
-      sendAnswer(res, {status: this.ready ? 200 : 503});
+      sendResponse(res, {status: this.ready ? 200 : 503});
       return;
     }
     if (!wire.isAddressQuestion(call)) {
-      sendAnswer(res, {status: 404});
+      sendResponse(res, {status: 404});
       return;
     }
     const {entries} = this.watch.view.news;
     if (entries.length === 0) {
-      sendAnswer(res, {status: 503});
+      sendResponse(res, {status: 503});
       return;
     }
     const named = sampleEntries(entries, ADDRESSES_MOST, Math.random);
-    sendAnswer(res, wire.encodeAddresses(named));
+    sendResponse(res, wire.encodeAddresses(named));
   }
 
   private async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
@@ -246,7 +246,7 @@
     const jobCall = wire.readJobCall(call);
     if (jobCall !== null) {
       req.resume();
-      sendAnswer(res, await this.carryOut(jobCall, req));
+      sendResponse(res, await this.carryOut(jobCall, req));
       return;
     }
     const most = this.watch.view.config?.limits.maxBodyBytes ?? FIRST_BODY_BYTES;
@@ -257,7 +257,7 @@
     const caller = await this.identify(req, isOpen);
     switch (route.kind) {
       case 'batch':
-        sendAnswer(res, await this.jobCalls.submit(route, {...call, body}, caller));
+        sendResponse(res, await this.jobCalls.submit(route, {...call, body}, caller));
         return;
       case 'nonRepeatable':
       case 'repeatable':
--- a/packages/stallpaddle-node/src/NodeHttp.ts
+++ b/packages/stallpaddle-node/src/NodeHttp.ts
@@ -92,7 +92,7 @@
  * @param res the response
  * @param answer what to send
  */
-export function sendAnswer(res: ServerResponse, answer: RawResponse): void {
+export function sendResponse(res: ServerResponse, answer: RawResponse): void {
   if (res.headersSent || res.destroyed) {
     return;
   }
@@ -120,12 +120,12 @@
   const handler: RequestListener = (req, res) => {
     req.resume();
     if (req.url !== METRICS_PATH) {
-      sendAnswer(res, {status: 404});
+      sendResponse(res, {status: 404});
       return;
     }
     metrics.text().then(
-      (body) => sendAnswer(res, {body, headers: {'content-type': 'text/plain'}, status: 200}),
-      (err: unknown) => sendAnswer(res, {body: errorMessage(err), status: 500}),
+      (body) => sendResponse(res, {body, headers: {'content-type': 'text/plain'}, status: 200}),
+      (err: unknown) => sendResponse(res, {body: errorMessage(err), status: 500}),
     );
   };
   return startServer(address, handler, METRICS_IDLE_MS);
