--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -31,7 +31,7 @@
 import {NodeDesk} from './NodeDesk';
 import {NodeFollowerDesk} from './NodeFollowerDesk';
 import {NodeGroup} from './NodeGroup';
-import {callOf, readBody, sendResponse, startServer} from './NodeHttp';
+import {requestHead, readBody, sendResponse, startServer} from './NodeHttp';
 import {NodeIntroducer} from './NodeIntroducer';
 import {NodeLog} from './NodeLog';
 import {NodeRemembered} from './NodeRemembered';
@@ -260,7 +260,7 @@
     const {wire} = this.options;
     try {
       const body = await readBody(req, MAX_CALL_BYTES);
-      const call = wire.readControl({...callOf(req), body});
+      const call = wire.readControl({...requestHead(req), body});
       sendResponse(res, wire.encodeControl(await calls.reply(call)));
     } catch (err) {
       this.log.note('A control call broke off.', {error: errorMessage(err), url: req.url});
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -31,7 +31,7 @@
 import {NodeAdmission} from './NodeAdmission';
 import {ADDRESSES_MOST, CONFIG_AGAIN_MS, IDLE_MARGIN_MS} from './NodeConstants';
 import {countEnd, exposeEntryMetrics} from './NodeEntryMetrics';
-import {BodyTooLargeError, callOf, readBody, sendResponse, startServer} from './NodeHttp';
+import {BodyTooLargeError, requestHead, readBody, sendResponse, startServer} from './NodeHttp';
 import {NodeDrainState} from './NodeDrainState';
 import {NodeJobCalls} from './NodeJobCalls';
 import {NodeLog} from './NodeLog';
@@ -189,7 +189,7 @@
   /** Questions of the platform and of callers that look for a VM. */
   private handlePlain(req: IncomingMessage, res: ServerResponse): void {
     const {wire} = this.options;
-    const call = callOf(req);
+    const call = requestHead(req);
     req.resume();
     if (wire.isReadyQuestion(call)) {
       sendResponse(res, {status: this.ready ? 200 : 503});
@@ -242,7 +242,7 @@
       throw refuse('leaving', 'This VM stops.', {retryAfterMs: 0});
     }
     await this.customers.catchUp();
-    const call = callOf(req);
+    const call = requestHead(req);
     const jobCall = wire.readJobCall(call);
     if (jobCall !== null) {
       req.resume();
--- a/packages/stallpaddle-node/src/NodeHttp.ts
+++ b/packages/stallpaddle-node/src/NodeHttp.ts
@@ -82,7 +82,7 @@
  *
  * @param req the request
  */
-export function callOf(req: IncomingMessage): Omit<RawRequest, 'body'> {
+export function requestHead(req: IncomingMessage): Omit<RawRequest, 'body'> {
   return {headers: req.headers, method: req.method ?? 'GET', url: req.url ?? '/'};
 }
 
