--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -36,7 +36,7 @@
 import {NodeLog} from './NodeLog';
 import {NodeRemembered} from './NodeRemembered';
 import {addNodeService} from './NodeService';
-import {hostOf, lostDisksOf, portOf} from './NodeSettings';
+import {hostOf, toleratedDiskLosses, portOf} from './NodeSettings';
 
 /** Largest call of the operator, in bytes: a configuration of some hundred thousand routes' shares. */
 const MAX_CALL_BYTES = 16_777_216;
@@ -158,7 +158,7 @@
   private async openReplica(dataFolder: string): Promise<void> {
     const {clock, loggers, onFailure, settings} = this.options;
     const {first, host, seeds} = settings;
-    const lostDisks = lostDisksOf(settings);
+    const lostDisks = toleratedDiskLosses(settings);
     const founders = first ? seeds.map((seed) => `${hostOf(seed)}/${FOUNDER}`).sort() : null;
     const isFounder = founders?.includes(`${host}/${FOUNDER}`) === true;
     const root = await openDisk(dataFolder);
--- a/packages/stallpaddle-node/src/NodeSettings.ts
+++ b/packages/stallpaddle-node/src/NodeSettings.ts
@@ -94,7 +94,7 @@
  *
  * @param settings the settings
  */
-export function lostDisksOf({losses}: NodeSettings): number {
+export function toleratedDiskLosses({losses}: NodeSettings): number {
   return Math.max(losses.vms, losses.zones, losses.regions);
 }
 
--- a/packages/stallpaddle-node/src/NodeStore.ts
+++ b/packages/stallpaddle-node/src/NodeStore.ts
@@ -31,7 +31,7 @@
 import {NodeJobsDesk} from './NodeJobsDesk';
 import {NodeLog} from './NodeLog';
 import {addNodeService} from './NodeService';
-import {lostDisksOf} from './NodeSettings';
+import {toleratedDiskLosses} from './NodeSettings';
 import {makeSuspects} from './NodeSuspects';
 import {NodeWaiters} from './NodeWaiters';
 
@@ -179,7 +179,7 @@
       founders,
       group: JOBS_GROUP,
       logger,
-      lostDisks: lostDisksOf(settings),
+      lostDisks: toleratedDiskLosses(settings),
       machine: jobsMachine,
       onFailure,
       peers: this.fleet.peers,
