--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -40,7 +40,7 @@
  * own hold and a busy VM, and 3 s with one replica that lies dark: engines that leave and configurations need less than
  * 2 s only while all replicas run. Each question costs three turns of processes of 0.9 ms each.
  */
-export const RELAYED_HOLD_MS = 1_000;
+export const FOLLOWER_WATCH_HOLD_MS = 1_000;
 
 /** Time for a question for news beyond its hold, in milliseconds: a round trip on a busy VM. */
 export const WATCH_MARGIN_MS = 300;
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -29,7 +29,7 @@
   INTRODUCED_COUNTS_MS,
   PEEK_AGAIN_MS,
   PEEK_TRY_MS,
-  RELAYED_HOLD_MS,
+  FOLLOWER_WATCH_HOLD_MS,
   SECOND_MS,
   WATCH_HOLD_MS,
   WATCH_MARGIN_MS,
@@ -223,7 +223,7 @@
         break;
       }
       const askHop = (call: TryRequest, tryMs: number) => caller.tryAt(host, call, tryMs);
-      const outcome = await this.askBy(askHop, RELAYED_HOLD_MS, true);
+      const outcome = await this.askBy(askHop, FOLLOWER_WATCH_HOLD_MS, true);
       if (outcome.kind === 'answered') {
         this.noteSource(host);
         return true;
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -17,7 +17,7 @@
 import {tryLocal} from 'stallpaddle-rpc';
 import {afterEach, describe, expect, test} from 'vitest';
 
-import {RELAY_AGE_MS, RELAYED_HOLD_MS, WATCH_MARGIN_MS} from '../../NodeConstants';
+import {RELAY_AGE_MS, FOLLOWER_WATCH_HOLD_MS, WATCH_MARGIN_MS} from '../../NodeConstants';
 import {NodeFollowerDesk} from '../../NodeFollowerDesk';
 import {NodeReplicaSelector, orderReplicaHosts} from '../../NodeReplicaSelector';
 import {NodeNewsBoard} from '../../NodeNewsBoard';
@@ -146,7 +146,7 @@
     await delay(2_500);
     tell({controls: ['second']});
     await until(() => watch.view.news.controls.includes('second'), 200);
-    expect(oldest).toBeLessThan(RELAYED_HOLD_MS + RELAY_AGE_MS);
+    expect(oldest).toBeLessThan(FOLLOWER_WATCH_HOLD_MS + RELAY_AGE_MS);
     const toLeader = network.asked.filter(
       ({host, request}) => host === 'leader' && request.mayRelay,
     );
@@ -177,7 +177,7 @@
     const before = performance.now();
     tell({controls: ['second']});
     await until(() => watch.view.news.controls.includes('second'));
-    const bound = RELAYED_HOLD_MS + WATCH_MARGIN_MS + 200;
+    const bound = FOLLOWER_WATCH_HOLD_MS + WATCH_MARGIN_MS + 200;
     expect(performance.now() - before).toBeLessThan(bound);
     await until(() => notes.includes('A VM gives no news.'));
   });
