--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -46,7 +46,7 @@
 export const WATCH_MARGIN_MS = 300;
 
 /** Age up to which a replica passes on what the leader told it, in milliseconds: a hold and a round trip on a busy VM. */
-export const RELAY_AGE_MS = WATCH_HOLD_MS + WATCH_MARGIN_MS;
+export const FORWARD_MAX_AGE_MS = WATCH_HOLD_MS + WATCH_MARGIN_MS;
 
 /**
  * Longest wait for what another process holds, while this one knows nothing, in milliseconds. A loss of power left
--- a/packages/stallpaddle-node/src/NodeFollowerDesk.ts
+++ b/packages/stallpaddle-node/src/NodeFollowerDesk.ts
@@ -10,7 +10,7 @@
 import type {NodeRelayedHellos} from './NodeRelayedHellos';
 import type {NodeWatch} from './NodeWatch';
 
-import {RELAY_AGE_MS} from './NodeConstants';
+import {FORWARD_MAX_AGE_MS} from './NodeConstants';
 import {type BoardState, NodeNewsBoard} from './NodeNewsBoard';
 
 /** Time for which what processes say for the first time is gathered, in milliseconds: a fifth of the leader's own pause. */
@@ -77,7 +77,7 @@
 
   private read(): BoardState {
     const {ageMs, view} = this.watch;
-    if (ageMs > RELAY_AGE_MS) {
+    if (ageMs > FORWARD_MAX_AGE_MS) {
       throw new NotLeaderError(null);
     }
     return {ageMs, config: view.config};
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -17,7 +17,7 @@
 import {tryLocal} from 'stallpaddle-rpc';
 import {afterEach, describe, expect, test} from 'vitest';
 
-import {RELAY_AGE_MS, FOLLOWER_WATCH_HOLD_MS, WATCH_MARGIN_MS} from '../../NodeConstants';
+import {FORWARD_MAX_AGE_MS, FOLLOWER_WATCH_HOLD_MS, WATCH_MARGIN_MS} from '../../NodeConstants';
 import {NodeFollowerDesk} from '../../NodeFollowerDesk';
 import {NodeReplicaSelector, orderReplicaHosts} from '../../NodeReplicaSelector';
 import {NodeNewsBoard} from '../../NodeNewsBoard';
@@ -146,7 +146,7 @@
     await delay(2_500);
     tell({controls: ['second']});
     await until(() => watch.view.news.controls.includes('second'), 200);
-    expect(oldest).toBeLessThan(FOLLOWER_WATCH_HOLD_MS + RELAY_AGE_MS);
+    expect(oldest).toBeLessThan(FOLLOWER_WATCH_HOLD_MS + FORWARD_MAX_AGE_MS);
     const toLeader = network.asked.filter(
       ({host, request}) => host === 'leader' && request.mayRelay,
     );
@@ -205,7 +205,7 @@
     await until(() => heard.length > 0);
     expect(heard[0]!.hello).toEqual(entry('vm-1'));
     expect(heard[0]!.ageMs).toBeGreaterThanOrEqual(0);
-    expect(heard[0]!.ageMs).toBeLessThan(RELAY_AGE_MS);
+    expect(heard[0]!.ageMs).toBeLessThan(FORWARD_MAX_AGE_MS);
   });
 
   test('only a path without a route makes a process ask the leader, and many of them once', async () => {
@@ -214,7 +214,7 @@
     const {watch} = processOf(network, {hops: ['r1']});
     void watch.run();
     await until(() => watch.ageMs < Infinity);
-    await delay(RELAY_AGE_MS + 100);
+    await delay(FORWARD_MAX_AGE_MS + 100);
     const before = network.asked.filter(({host}) => host === 'leader').length;
     const fresh = await Promise.all(Array.from({length: 20}, () => watch.freshen(50)));
     expect(fresh).toEqual(Array(20).fill(true));
