--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -52,10 +52,10 @@
  * Longest wait for what another process holds, while this one knows nothing, in milliseconds. A loss of power left
  * first questions unanswered for their whole time (700 ms, on nine of twelve VMs), since a VM was still dark.
  */
-export const PEEK_TRY_MS = 250;
+export const PEEK_TIMEOUT_MS = 250;
 
 /** Pause before a process that holds nothing yet is asked again what it holds, in milliseconds: as long as one try. */
-export const PEEK_AGAIN_MS = PEEK_TRY_MS;
+export const PEEK_AGAIN_MS = PEEK_TIMEOUT_MS;
 
 /** Time between words of a replica to seeds that hold none, in milliseconds: half of an election timeout. */
 export const INTRODUCE_MS = 250;
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -28,7 +28,7 @@
   CONTROL_GROUP,
   INTRODUCED_COUNTS_MS,
   PEEK_AGAIN_MS,
-  PEEK_TRY_MS,
+  PEEK_TIMEOUT_MS,
   FOLLOWER_WATCH_HOLD_MS,
   SECOND_MS,
   WATCH_HOLD_MS,
@@ -294,7 +294,7 @@
     const encoded = encodeValue({kind: 'peek'} satisfies FleetRequest);
     while (!this.stopped && this.current.config === null && this.ageMs === Infinity) {
       const request = {encoded, group: CONTROL_GROUP, query: true};
-      const outcome = await caller.tryAt(host, request, PEEK_TRY_MS);
+      const outcome = await caller.tryAt(host, request, PEEK_TIMEOUT_MS);
       if (outcome.kind === 'answered') {
         this.offer(outcome.result as WatchAnswer);
       }
