--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -55,7 +55,7 @@
 export const PEEK_TIMEOUT_MS = 250;
 
 /** Pause before a process that holds nothing yet is asked again what it holds, in milliseconds: as long as one try. */
-export const PEEK_AGAIN_MS = PEEK_TIMEOUT_MS;
+export const PEEK_PAUSE_MS = PEEK_TIMEOUT_MS;
 
 /** Time between words of a replica to seeds that hold none, in milliseconds: half of an election timeout. */
 export const INTRODUCE_MS = 250;
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -27,7 +27,7 @@
   CONFIRM_MS,
   CONTROL_GROUP,
   INTRODUCED_COUNTS_MS,
-  PEEK_AGAIN_MS,
+  PEEK_PAUSE_MS,
   PEEK_TIMEOUT_MS,
   FOLLOWER_WATCH_HOLD_MS,
   SECOND_MS,
@@ -299,7 +299,7 @@
         this.offer(outcome.result as WatchAnswer);
       }
       // Whoever answers but holds nothing will not hold anything at once.
-      await delay(outcome.kind === 'answered' ? PEEK_AGAIN_MS : CALL_AGAIN_MS);
+      await delay(outcome.kind === 'answered' ? PEEK_PAUSE_MS : CALL_AGAIN_MS);
     }
   }
 
