--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -58,10 +58,10 @@
 export const PEEK_PAUSE_MS = PEEK_TIMEOUT_MS;
 
 /** Time between words of a replica to seeds that hold none, in milliseconds: half of an election timeout. */
-export const INTRODUCE_MS = 250;
+export const BOOTSTRAP_INTERVAL_MS = 250;
 
 /** Longest wait for the answer to such a word, in milliseconds: until the next one is due. */
-export const INTRODUCE_TRY_MS = INTRODUCE_MS;
+export const INTRODUCE_TRY_MS = BOOTSTRAP_INTERVAL_MS;
 
 /** Time for which such a word counts, in milliseconds: a VM that is gone for good is forgotten after it. */
 export const INTRODUCED_COUNTS_MS = 10_000;
--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -26,7 +26,7 @@
 import type {NodeLimits} from './NodeLimits';
 import type {NodeOptions} from './NodeTypes';
 
-import {CONTROL_GROUP, HAND_OVER_MS, INTRODUCE_MS} from './NodeConstants';
+import {CONTROL_GROUP, HAND_OVER_MS, BOOTSTRAP_INTERVAL_MS} from './NodeConstants';
 import {NodeControlCalls} from './NodeControlCalls';
 import {NodeDesk} from './NodeDesk';
 import {NodeFollowerDesk} from './NodeFollowerDesk';
@@ -201,7 +201,7 @@
     });
     // Whoever is back knows nothing until the first round.
     void introducer.introduce();
-    this.stopIntroducing = registerLoop(INTRODUCE_MS, () => introducer.introduce());
+    this.stopIntroducing = registerLoop(BOOTSTRAP_INTERVAL_MS, () => introducer.introduce());
   }
 
   /** Whether the replica knows the members of its group; an empty disk does once the group has taken it in. */
