--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -61,7 +61,7 @@
 export const BOOTSTRAP_INTERVAL_MS = 250;
 
 /** Longest wait for the answer to such a word, in milliseconds: until the next one is due. */
-export const INTRODUCE_TRY_MS = BOOTSTRAP_INTERVAL_MS;
+export const BOOTSTRAP_TIMEOUT_MS = BOOTSTRAP_INTERVAL_MS;
 
 /** Time for which such a word counts, in milliseconds: a VM that is gone for good is forgotten after it. */
 export const INTRODUCED_COUNTS_MS = 10_000;
--- a/packages/stallpaddle-node/src/NodeIntroducer.ts
+++ b/packages/stallpaddle-node/src/NodeIntroducer.ts
@@ -13,7 +13,7 @@
 import type {NodeGroup} from './NodeGroup';
 import type {NodeRemembered} from './NodeRemembered';
 
-import {CANDIDATE_SILENT_MS, CONTROL_GROUP, INTRODUCE_TRY_MS} from './NodeConstants';
+import {CANDIDATE_SILENT_MS, CONTROL_GROUP, BOOTSTRAP_TIMEOUT_MS} from './NodeConstants';
 import {tells} from './NodeRemembered';
 
 /** What it needs of its process. */
@@ -82,7 +82,7 @@
     const {control} = fleet;
     const call = introduction(replicas, null);
     const hosts = fleet.seedsWithout(informed);
-    await Promise.all(hosts.map((host) => control.tryAt(host, call, INTRODUCE_TRY_MS)));
+    await Promise.all(hosts.map((host) => control.tryAt(host, call, BOOTSTRAP_TIMEOUT_MS)));
   }
 
   /** Tells remembered entry VMs what this replica holds, until it hears of a leader: then they have heard too. */
@@ -103,7 +103,7 @@
   }
 
   private async tellEntry(host: VmId, call: TryRequest): Promise<void> {
-    const outcome = await this.options.fleet.control.tryAt(host, call, INTRODUCE_TRY_MS);
+    const outcome = await this.options.fleet.control.tryAt(host, call, BOOTSTRAP_TIMEOUT_MS);
     if (outcome.kind === 'answered') {
       this.told.add(host);
     }
