--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -64,7 +64,7 @@
 export const BOOTSTRAP_TIMEOUT_MS = BOOTSTRAP_INTERVAL_MS;
 
 /** Time for which such a word counts, in milliseconds: a VM that is gone for good is forgotten after it. */
-export const INTRODUCED_COUNTS_MS = 10_000;
+export const BOOTSTRAP_TTL_MS = 10_000;
 
 /** Pause before another VM is asked, in milliseconds: about a round trip between availability zones. */
 export const CALL_AGAIN_MS = 30;
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -26,7 +26,7 @@
   CALL_AGAIN_MS,
   CONFIRM_MS,
   CONTROL_GROUP,
-  INTRODUCED_COUNTS_MS,
+  BOOTSTRAP_TTL_MS,
   PEEK_PAUSE_MS,
   PEEK_TIMEOUT_MS,
   FOLLOWER_WATCH_HOLD_MS,
@@ -85,7 +85,7 @@
 
   /** Replicas of the control group, as far as known: by a leader's news, or by the word of replicas. */
   get controls(): readonly ReplicaId[] {
-    const oldest = this.options.clock.monotonicMs() - INTRODUCED_COUNTS_MS;
+    const oldest = this.options.clock.monotonicMs() - BOOTSTRAP_TTL_MS;
     const introduced = [...this.introduced].filter(([, at]) => at > oldest).map(([id]) => id);
     return [...new Set([...this.current.news.controls, ...introduced])];
   }
@@ -163,7 +163,7 @@
     const now = this.options.clock.monotonicMs();
     replicas.forEach((replica) => this.introduced.set(replica, now));
     for (const [replica, at] of this.introduced) {
-      if (at <= now - INTRODUCED_COUNTS_MS) {
+      if (at <= now - BOOTSTRAP_TTL_MS) {
         this.introduced.delete(replica);
       }
     }
