--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -67,7 +67,7 @@
 export const BOOTSTRAP_TTL_MS = 10_000;
 
 /** Pause before another VM is asked, in milliseconds: about a round trip between availability zones. */
-export const CALL_AGAIN_MS = 30;
+export const RETRY_PAUSE_MS = 30;
 
 /** Longest pause between tries while nobody answers, in milliseconds: half of an election. */
 export const CALL_AGAIN_MOST_MS = 250;
--- a/packages/stallpaddle-node/src/NodeGroupClient.ts
+++ b/packages/stallpaddle-node/src/NodeGroupClient.ts
@@ -7,7 +7,7 @@
 
 import {delay, encodeValue, RefusalError, vmOfReplica} from 'stallpaddle';
 
-import {CALL_AGAIN_MS, CALL_TRY_MS, SLOW_BYTES_PER_MS} from './NodeConstants';
+import {RETRY_PAUSE_MS, CALL_TRY_MS, SLOW_BYTES_PER_MS} from './NodeConstants';
 import {hostOf} from './NodeSettings';
 
 /** What a caller needs of its process. */
@@ -110,7 +110,7 @@
         return outcome.result as Answer;
       }
       mayHaveChanged ||= changes && outcome.kind === 'unknown';
-      await delay(CALL_AGAIN_MS);
+      await delay(RETRY_PAUSE_MS);
     }
     const verdict = mayHaveChanged ? 'mayHaveRun' : 'notRun';
     throw new RefusalError('unavailable', verdict, `Group ${group} has no leader now.`);
--- a/packages/stallpaddle-node/src/NodeOnlineReporter.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineReporter.ts
@@ -12,7 +12,7 @@
 import type {NodeGroupClient} from './NodeGroupClient';
 
 import {NodeBackoff} from './NodeBackoff';
-import {CALL_AGAIN_MS, JOBS_GROUP, TELL_GATHER_MS, TELL_TRY_MS, tellAgainMs} from './NodeConstants';
+import {RETRY_PAUSE_MS, JOBS_GROUP, TELL_GATHER_MS, TELL_TRY_MS, tellAgainMs} from './NodeConstants';
 import {NodeWaiters} from './NodeWaiters';
 
 /** See the module's comment. */
@@ -58,7 +58,7 @@
       } else {
         // Whoever was asked may have named the one that runs items now.
         const isNamed = this.caller.leaderHost !== null;
-        await delay(isNamed ? CALL_AGAIN_MS : this.backoff.nextMs());
+        await delay(isNamed ? RETRY_PAUSE_MS : this.backoff.nextMs());
       }
     }
   }
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -23,7 +23,7 @@
 
 import {NodeBackoff} from './NodeBackoff';
 import {
-  CALL_AGAIN_MS,
+  RETRY_PAUSE_MS,
   CONFIRM_MS,
   CONTROL_GROUP,
   BOOTSTRAP_TTL_MS,
@@ -140,7 +140,7 @@
     await this.freshening;
     while (this.current.asOf < calledAt && clock.monotonicMs() - calledAt < CONFIRM_MS) {
       if (!(await this.askForAll())) {
-        await delay(CALL_AGAIN_MS);
+        await delay(RETRY_PAUSE_MS);
       }
     }
     return this.current.asOf >= calledAt;
@@ -299,7 +299,7 @@
         this.offer(outcome.result as WatchAnswer);
       }
       // Whoever answers but holds nothing will not hold anything at once.
-      await delay(outcome.kind === 'answered' ? PEEK_PAUSE_MS : CALL_AGAIN_MS);
+      await delay(outcome.kind === 'answered' ? PEEK_PAUSE_MS : RETRY_PAUSE_MS);
     }
   }
 
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
@@ -12,7 +12,7 @@
 import {NodeBackoff} from '../../NodeBackoff';
 import {
   CALL_AGAIN_MOST_MS,
-  CALL_AGAIN_MS,
+  RETRY_PAUSE_MS,
   TELL_AGAIN_MS,
   TELL_GATHER_MS,
   tellAgainMs,
@@ -167,7 +167,7 @@
     const pauses = Array.from({length: 6}, () => backoff.nextMs());
     expect(pauses).toEqual([30, 60, 120, 240, CALL_AGAIN_MOST_MS, CALL_AGAIN_MOST_MS]);
     backoff.reset();
-    expect(backoff.nextMs()).toBe(CALL_AGAIN_MS);
-    expect(new NodeBackoff(() => 1).nextMs()).toBe(CALL_AGAIN_MS / 2);
+    expect(backoff.nextMs()).toBe(RETRY_PAUSE_MS);
+    expect(new NodeBackoff(() => 1).nextMs()).toBe(RETRY_PAUSE_MS / 2);
   });
 });
