--- a/packages/stallpaddle-node/src/NodeBackoff.ts
+++ b/packages/stallpaddle-node/src/NodeBackoff.ts
@@ -4,7 +4,7 @@
  */
 import type {Random} from 'stallpaddle';
 
-import {CALL_AGAIN_MOST_MS, RETRY_PAUSE_MS} from './NodeConstants';
+import {MAX_RETRY_PAUSE_MS, RETRY_PAUSE_MS} from './NodeConstants';
 
 /** Part of each pause that is drawn by chance, so that processes which failed together don't come back together. */
 const DRAWN_PART = 0.5;
@@ -20,7 +20,7 @@
 
   /** The pause before the next try, in milliseconds. */
   nextMs(): number {
-    const longest = Math.min(CALL_AGAIN_MOST_MS, RETRY_PAUSE_MS * 2 ** this.failures);
+    const longest = Math.min(MAX_RETRY_PAUSE_MS, RETRY_PAUSE_MS * 2 ** this.failures);
     this.failures++;
     return longest * (1 - DRAWN_PART * this.random());
   }
--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -70,7 +70,7 @@
 export const RETRY_PAUSE_MS = 30;
 
 /** Longest pause between tries while nobody answers, in milliseconds: half of an election. */
-export const CALL_AGAIN_MOST_MS = 250;
+export const MAX_RETRY_PAUSE_MS = 250;
 
 /** Longest single try of any other call, in milliseconds. */
 export const CALL_TRY_MS = 700;
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
@@ -11,7 +11,7 @@
 
 import {NodeBackoff} from '../../NodeBackoff';
 import {
-  CALL_AGAIN_MOST_MS,
+  MAX_RETRY_PAUSE_MS,
   RETRY_PAUSE_MS,
   TELL_AGAIN_MS,
   TELL_GATHER_MS,
@@ -165,7 +165,7 @@
   test('pauses double up to the longest, and begin anew after an answer', () => {
     const backoff = new NodeBackoff(() => 0);
     const pauses = Array.from({length: 6}, () => backoff.nextMs());
-    expect(pauses).toEqual([30, 60, 120, 240, CALL_AGAIN_MOST_MS, CALL_AGAIN_MOST_MS]);
+    expect(pauses).toEqual([30, 60, 120, 240, MAX_RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS]);
     backoff.reset();
     expect(backoff.nextMs()).toBe(RETRY_PAUSE_MS);
     expect(new NodeBackoff(() => 1).nextMs()).toBe(RETRY_PAUSE_MS / 2);
