--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -73,7 +73,7 @@
 export const MAX_RETRY_PAUSE_MS = 250;
 
 /** Longest single try of any other call, in milliseconds. */
-export const CALL_TRY_MS = 700;
+export const CALL_TIMEOUT_MS = 700;
 
 /** What slow links carry, in bytes a millisecond: a large call may take as much longer, or it would never arrive. */
 export const SLOW_BYTES_PER_MS = 1_600;
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeGroupClient.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeGroupClient.test.ts
@@ -8,7 +8,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {NodeGroupClient} from '../../NodeGroupClient';
-import {CALL_TRY_MS, JOB_CALL_MS} from '../../NodeConstants';
+import {CALL_TIMEOUT_MS, JOB_CALL_MS} from '../../NodeConstants';
 
 /** What the VM at a host makes of a call. */
 type Behaviour = (tryMs: number) => Promise<TryOutcome>;
@@ -84,14 +84,14 @@
       const {caller} = callerAmong(named as Record<VmId, Behaviour>);
       const startedAt = performance.now();
       expect(await caller.call(READ)).toBe('found');
-      expect(performance.now() - startedAt).toBeLessThan(CALL_TRY_MS + 200);
+      expect(performance.now() - startedAt).toBeLessThan(CALL_TIMEOUT_MS + 200);
     }
   });
 
   test('a leader that has answered before may take the whole time of a call', async () => {
     const slow: Behaviour = async (tryMs) => {
-      await delay(Math.min(CALL_TRY_MS + 200, tryMs));
-      return tryMs > CALL_TRY_MS + 200 ? {kind: 'answered', result: 'found'} : {kind: 'unknown'};
+      await delay(Math.min(CALL_TIMEOUT_MS + 200, tryMs));
+      return tryMs > CALL_TIMEOUT_MS + 200 ? {kind: 'answered', result: 'found'} : {kind: 'unknown'};
     };
     const {asked, caller, hosts} = callerAmong({a: leads});
     await caller.call(READ);
