--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -76,7 +76,7 @@
 export const CALL_TIMEOUT_MS = 700;
 
 /** What slow links carry, in bytes a millisecond: a large call may take as much longer, or it would never arrive. */
-export const SLOW_BYTES_PER_MS = 1_600;
+export const SLOW_LINK_BYTES_PER_MS = 1_600;
 
 /** Longest time that a call of an engine or the operator is tried: they give up after a second. */
 export const CONTROL_CALL_MS = 850;
--- a/packages/stallpaddle-node/src/NodeGroupClient.ts
+++ b/packages/stallpaddle-node/src/NodeGroupClient.ts
@@ -7,7 +7,7 @@
 
 import {delay, encodeValue, RefusalError, vmOfReplica} from 'stallpaddle';
 
-import {RETRY_PAUSE_MS, CALL_TIMEOUT_MS, SLOW_BYTES_PER_MS} from './NodeConstants';
+import {RETRY_PAUSE_MS, CALL_TIMEOUT_MS, SLOW_LINK_BYTES_PER_MS} from './NodeConstants';
 import {hostOf} from './NodeSettings';
 
 /** What a caller needs of its process. */
@@ -99,7 +99,7 @@
   async call<Answer>({changes, heldMs = 0, totalMs, tryMs, value}: GroupCall): Promise<Answer> {
     const {clock, group} = this.options;
     const encoded = encodeValue(value);
-    const shortMs = heldMs + CALL_TIMEOUT_MS + encoded.length / SLOW_BYTES_PER_MS;
+    const shortMs = heldMs + CALL_TIMEOUT_MS + encoded.length / SLOW_LINK_BYTES_PER_MS;
     const end = clock.monotonicMs() + totalMs;
     let mayHaveChanged = false;
     for (let left = totalMs; left > 0; left = end - clock.monotonicMs()) {
