--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -79,7 +79,7 @@
 export const SLOW_LINK_BYTES_PER_MS = 1_600;
 
 /** Longest time that a call of an engine or the operator is tried: they give up after a second. */
-export const CONTROL_CALL_MS = 850;
+export const CONTROL_CALL_TIMEOUT_MS = 850;
 
 /**
  * Longest time for which a finding on a request is offered to the control group, in milliseconds: longer than the group is
--- a/packages/stallpaddle-node/src/NodeControlCalls.ts
+++ b/packages/stallpaddle-node/src/NodeControlCalls.ts
@@ -17,7 +17,7 @@
 import type {NodeLog} from './NodeLog';
 import type {ControlCall, ControlReply} from './NodeWire';
 
-import {CONTROL_CALL_MS} from './NodeConstants';
+import {CONTROL_CALL_TIMEOUT_MS} from './NodeConstants';
 
 /** Whether a call found no leader in time. */
 function isLostCall(err: unknown): boolean {
@@ -109,10 +109,10 @@
   }
 
   private ask<Answer>(value: FleetRequest): Promise<Answer> {
-    return this.caller.call<Answer>({changes: false, totalMs: CONTROL_CALL_MS, value});
+    return this.caller.call<Answer>({changes: false, totalMs: CONTROL_CALL_TIMEOUT_MS, value});
   }
 
   private order<Answer>(value: FleetRequest): Promise<Answer> {
-    return this.caller.call<Answer>({changes: true, totalMs: CONTROL_CALL_MS, value});
+    return this.caller.call<Answer>({changes: true, totalMs: CONTROL_CALL_TIMEOUT_MS, value});
   }
 }
