--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -85,7 +85,7 @@
  * Longest time for which a finding on a request is offered to the control group, in milliseconds: longer than the group is
  * without a leader after any loss that was seen.
  */
-export const SUSPECT_CALL_MS = 30_000;
+export const SUSPECT_CALL_TIMEOUT_MS = 30_000;
 
 /** Longest time that a caller's job call is tried, in milliseconds: under half of the time callers allow. */
 export const JOB_CALL_MS = 1_500;
--- a/packages/stallpaddle-node/src/NodeSuspects.ts
+++ b/packages/stallpaddle-node/src/NodeSuspects.ts
@@ -5,7 +5,7 @@
 
 import type {NodeFleet} from './NodeFleet';
 
-import {SUSPECT_CALL_MS} from './NodeConstants';
+import {SUSPECT_CALL_TIMEOUT_MS} from './NodeConstants';
 
 /** What it needs of its process. */
 export interface NodeSuspectsOptions extends Omit<
@@ -24,7 +24,7 @@
   return new RelaySuspects({
     ...options,
     engines: () => fleet.watch.view.news.engines,
-    record: (value) => fleet.control.call({changes: true, totalMs: SUSPECT_CALL_MS, value}),
+    record: (value) => fleet.control.call({changes: true, totalMs: SUSPECT_CALL_TIMEOUT_MS, value}),
     told: () => fleet.watch.view.news.suspects,
   });
 }
