--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -88,7 +88,7 @@
 export const SUSPECT_CALL_TIMEOUT_MS = 30_000;
 
 /** Longest time that a caller's job call is tried, in milliseconds: under half of the time callers allow. */
-export const JOB_CALL_MS = 1_500;
+export const JOB_CALL_TIMEOUT_MS = 1_500;
 
 /**
  * Longest wait for a replica to take messages, in milliseconds: an election timeout, after which the others
--- a/packages/stallpaddle-node/src/NodeJobCalls.ts
+++ b/packages/stallpaddle-node/src/NodeJobCalls.ts
@@ -12,7 +12,7 @@
 import type {NodeLog} from './NodeLog';
 import type {JobCall, NodeWire, RawResponse, RawRequest} from './NodeWire';
 
-import {JOB_CALL_MS} from './NodeConstants';
+import {JOB_CALL_TIMEOUT_MS} from './NodeConstants';
 import {NodeJobReads} from './NodeJobReads';
 
 /** Pause after which a refused submission should come again, in milliseconds. */
@@ -80,7 +80,7 @@
 
   private async propose(id: string, value: JobsRequest): Promise<JobsAnswer> {
     try {
-      return await this.caller.call<JobsAnswer>({changes: true, totalMs: JOB_CALL_MS, value});
+      return await this.caller.call<JobsAnswer>({changes: true, totalMs: JOB_CALL_TIMEOUT_MS, value});
     } catch (err) {
       if (!(err instanceof RefusalError)) {
         throw err;
@@ -104,8 +104,8 @@
       case 'endJob': {
         const answer = await this.caller.call<JobsAnswer>({
           changes: true,
-          totalMs: JOB_CALL_MS,
-          tryMs: JOB_CALL_MS,
+          totalMs: JOB_CALL_TIMEOUT_MS,
+          tryMs: JOB_CALL_TIMEOUT_MS,
           value: {...call, customer},
         });
         this.log.decide('jobEnd', call.job, {outcome: answer.kind});
--- a/packages/stallpaddle-node/src/NodeJobReads.ts
+++ b/packages/stallpaddle-node/src/NodeJobReads.ts
@@ -11,7 +11,7 @@
 import type {NodeLog} from './NodeLog';
 import type {JobCall} from './NodeWire';
 
-import {JOB_CALL_MS, JOBS_GROUP} from './NodeConstants';
+import {JOB_CALL_TIMEOUT_MS, JOBS_GROUP} from './NodeConstants';
 import {NodeReplicaSelector} from './NodeReplicaSelector';
 
 /** A call that reads. */
@@ -95,7 +95,7 @@
 
   private async readAtLeader(call: ReadCall, startedAt: MonotonicMs): Promise<unknown> {
     const spentMs = this.clock.monotonicMs() - startedAt;
-    const totalMs = Math.max(0, JOB_CALL_MS + heldMs(call) - spentMs);
+    const totalMs = Math.max(0, JOB_CALL_TIMEOUT_MS + heldMs(call) - spentMs);
     const value = requestOf(call, false, totalMs);
     const held = 'waitMs' in value ? value.waitMs : 0;
     try {
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeGroupClient.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeGroupClient.test.ts
@@ -8,7 +8,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {NodeGroupClient} from '../../NodeGroupClient';
-import {CALL_TIMEOUT_MS, JOB_CALL_MS} from '../../NodeConstants';
+import {CALL_TIMEOUT_MS, JOB_CALL_TIMEOUT_MS} from '../../NodeConstants';
 
 /** What the VM at a host makes of a call. */
 type Behaviour = (tryMs: number) => Promise<TryOutcome>;
@@ -49,7 +49,7 @@
 }
 
 const REQUEST = {encoded: new Uint8Array(), group: 'jobs', query: true};
-const READ = {changes: false, totalMs: JOB_CALL_MS, tryMs: JOB_CALL_MS, value: null};
+const READ = {changes: false, totalMs: JOB_CALL_TIMEOUT_MS, tryMs: JOB_CALL_TIMEOUT_MS, value: null};
 
 describe('NodeCaller', () => {
   test('a question that went to a lost leader takes back nothing that was learned since', async () => {
