--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -94,7 +94,7 @@
  * Longest wait for a replica to take messages, in milliseconds: an election timeout, after which the others
  * go on without it. A connection that brought nothing for as long is given up.
  */
-export const DELIVER_TRY_MS = 500;
+export const DELIVERY_TIMEOUT_MS = 500;
 
 /**
  * Time in which a new connection for calls may bring its first answer once a VM has taken it, in milliseconds. A VM that starts with 0.3 of a
--- a/packages/stallpaddle-node/src/NodePeers.ts
+++ b/packages/stallpaddle-node/src/NodePeers.ts
@@ -14,7 +14,7 @@
   RpcOutbox,
 } from 'stallpaddle-rpc';
 
-import {DELIVER_TRY_MS, OPENING_MS, SLOW_DELIVERY_MS} from './NodeConstants';
+import {DELIVERY_TIMEOUT_MS, OPENING_MS, SLOW_DELIVERY_MS} from './NodeConstants';
 
 /**
  * The platform hands out no secret; its network lets only the fleet's own VMs in. The number is the form of the calls
@@ -127,7 +127,7 @@
     for (let delivery = await next(); delivery !== undefined; delivery = await next()) {
       const startedAt = performance.now();
       const channel = this.channelIn(this.messageChannels, vmOfReplica(to));
-      const arrived = await channel.deliver(delivery, DELIVER_TRY_MS);
+      const arrived = await channel.deliver(delivery, DELIVERY_TIMEOUT_MS);
       if (!arrived) {
         lost();
       }
