--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -101,7 +101,7 @@
  * core answers nothing for a second; every connection begun anew meanwhile costs it more. In the first seconds of a fleet
  * of 200 VMs its 30 stores alone had given up 645. Replication messages don't wait so long.
  */
-export const OPENING_MS = 2_000;
+export const FIRST_ANSWER_TIMEOUT_MS = 2_000;
 
 /** Time of a delivery from which the log tells of it, in milliseconds: a heartbeat waits behind it. */
 export const SLOW_DELIVERY_MS = 125;
--- a/packages/stallpaddle-node/src/NodePeers.ts
+++ b/packages/stallpaddle-node/src/NodePeers.ts
@@ -14,7 +14,7 @@
   RpcOutbox,
 } from 'stallpaddle-rpc';
 
-import {DELIVERY_TIMEOUT_MS, OPENING_MS, SLOW_DELIVERY_MS} from './NodeConstants';
+import {DELIVERY_TIMEOUT_MS, FIRST_ANSWER_TIMEOUT_MS, SLOW_DELIVERY_MS} from './NodeConstants';
 
 /**
  * The platform hands out no secret; its network lets only the fleet's own VMs in. The number is the form of the calls
@@ -74,7 +74,7 @@
    * @param host IP number
    */
   channel(host: string): RpcChannel {
-    return this.channelIn(this.channels, host, OPENING_MS);
+    return this.channelIn(this.channels, host, FIRST_ANSWER_TIMEOUT_MS);
   }
 
   /**
