--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -113,10 +113,10 @@
  * Silence after which an entry VM is not named to callers, in milliseconds: a hold of its question, one of the replica
  * that passes on what it says, and some tenths of a second on busy VMs.
  */
-export const ENTRY_SILENT_MS = 2_000;
+export const HEARTBEAT_TIMEOUT_MS = 2_000;
 
 /** Time that a new leader needs to hear from every process, in milliseconds: as long as silence takes. */
-export const SETTLE_MS = ENTRY_SILENT_MS;
+export const SETTLE_MS = HEARTBEAT_TIMEOUT_MS;
 
 /**
  * Time for another replica to take over leadership at a planned stop, in milliseconds: below an election
--- a/packages/stallpaddle-node/src/NodeNews.ts
+++ b/packages/stallpaddle-node/src/NodeNews.ts
@@ -17,7 +17,7 @@
 
 import type {NodeHeard} from './NodeHeard';
 
-import {ENTRY_SILENT_MS, MISSED_REPORTS, SETTLE_MS} from './NodeConstants';
+import {HEARTBEAT_TIMEOUT_MS, MISSED_REPORTS, SETTLE_MS} from './NodeConstants';
 
 /** What the news are made from. */
 export interface NewsInput {
@@ -61,7 +61,7 @@
 
 function entryViews({heard, now}: NewsInput): readonly EntryView[] {
   const entries = [...heard.entries.values()]
-    .filter(({at, ready}) => ready && now - at < ENTRY_SILENT_MS)
+    .filter(({at, ready}) => ready && now - at < HEARTBEAT_TIMEOUT_MS)
     .map(({address, name, zone}) => ({address, name, zone}));
   return sortLines(entries, ({name}) => name);
 }
@@ -69,7 +69,7 @@
 function storeViews({heard, now, state}: NewsInput): readonly StoreView[] {
   const stores = [...state.stores.values()].map((store) => ({
     ...store,
-    heard: now - (heard.stores.get(store.replica)?.at ?? -Infinity) < ENTRY_SILENT_MS,
+    heard: now - (heard.stores.get(store.replica)?.at ?? -Infinity) < HEARTBEAT_TIMEOUT_MS,
   }));
   return sortLines(stores, ({name}) => name);
 }
--- a/packages/stallpaddle-node/src/NodeStorePlan.ts
+++ b/packages/stallpaddle-node/src/NodeStorePlan.ts
@@ -6,7 +6,7 @@
 
 import type {HeardStore, NodeHeard} from './NodeHeard';
 
-import {ENTRY_SILENT_MS} from './NodeConstants';
+import {HEARTBEAT_TIMEOUT_MS} from './NodeConstants';
 import {votersFor} from './NodeKeeper';
 
 /** One store of each availability zone first, then the second of each, and so on. */
@@ -47,7 +47,7 @@
   now: MonotonicMs,
 ): readonly ReplicaId[] | null {
   const wanted = votersFor(lostDisks);
-  const present = presentStores(stores).filter(({at}) => now - at < ENTRY_SILENT_MS);
+  const present = presentStores(stores).filter(({at}) => now - at < HEARTBEAT_TIMEOUT_MS);
   if (present.length < wanted) {
     return null;
   }
@@ -75,7 +75,7 @@
 ): ReadonlySet<ReplicaId> {
   const staying = new Set([...report.voters, ...report.learners]);
   for (const {at, replica} of heard.stores.values()) {
-    if (now - at < ENTRY_SILENT_MS) {
+    if (now - at < HEARTBEAT_TIMEOUT_MS) {
       staying.add(replica);
     }
   }
