--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -116,7 +116,7 @@
 export const HEARTBEAT_TIMEOUT_MS = 2_000;
 
 /** Time that a new leader needs to hear from every process, in milliseconds: as long as silence takes. */
-export const SETTLE_MS = HEARTBEAT_TIMEOUT_MS;
+export const NEW_LEADER_SETTLE_MS = HEARTBEAT_TIMEOUT_MS;
 
 /**
  * Time for another replica to take over leadership at a planned stop, in milliseconds: below an election
--- a/packages/stallpaddle-node/src/NodeNews.ts
+++ b/packages/stallpaddle-node/src/NodeNews.ts
@@ -17,7 +17,7 @@
 
 import type {NodeHeard} from './NodeHeard';
 
-import {HEARTBEAT_TIMEOUT_MS, MISSED_REPORTS, SETTLE_MS} from './NodeConstants';
+import {HEARTBEAT_TIMEOUT_MS, MISSED_REPORTS, NEW_LEADER_SETTLE_MS} from './NodeConstants';
 
 /** What the news are made from. */
 export interface NewsInput {
@@ -104,7 +104,7 @@
     controls: [...members.voters, ...members.learners],
     engines: engineViews(input),
     entries: entryViews(input),
-    entriesComplete: now - heard.since > SETTLE_MS,
+    entriesComplete: now - heard.since > NEW_LEADER_SETTLE_MS,
     jobsFounders,
     jobsReplicas: jobsReplicas(input),
     stores: storeViews(input),
