--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -122,7 +122,7 @@
  * Time for another replica to take over leadership at a planned stop, in milliseconds: below an election
  * timeout, since the successor is told to stand at once.
  */
-export const HAND_OVER_MS = 400;
+export const LEADER_HANDOVER_MS = 400;
 
 /** Time between looks at a group's members, in milliseconds. */
 export const KEEP_MEMBERS_MS = 250;
--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -26,7 +26,7 @@
 import type {NodeLimits} from './NodeLimits';
 import type {NodeOptions} from './NodeTypes';
 
-import {CONTROL_GROUP, HAND_OVER_MS, BOOTSTRAP_INTERVAL_MS} from './NodeConstants';
+import {CONTROL_GROUP, LEADER_HANDOVER_MS, BOOTSTRAP_INTERVAL_MS} from './NodeConstants';
 import {NodeControlCalls} from './NodeControlCalls';
 import {NodeDesk} from './NodeDesk';
 import {NodeFollowerDesk} from './NodeFollowerDesk';
@@ -146,7 +146,7 @@
     if (this.group?.driver.leads === true) {
       this.leave();
       // Calls under way get their answers from the next leader.
-      await delay(HAND_OVER_MS);
+      await delay(LEADER_HANDOVER_MS);
     }
     this.server?.close();
     this.desk?.stop();
--- a/packages/stallpaddle-node/src/NodeStore.ts
+++ b/packages/stallpaddle-node/src/NodeStore.ts
@@ -19,7 +19,7 @@
 
 import {
   CANDIDATE_SILENT_MS,
-  HAND_OVER_MS,
+  LEADER_HANDOVER_MS,
   JOBS_GROUP,
   JOBS_LOG_BYTES,
   SECOND_MS,
@@ -107,7 +107,7 @@
     await Promise.race([this.dispatcher?.saveProgress(), delay(SAVE_AT_STOP_MS)]);
     this.stopped = true;
     this.group?.driver.transferLeadership();
-    await delay(HAND_OVER_MS);
+    await delay(LEADER_HANDOVER_MS);
     this.dispatcher?.stop();
     await this.group?.close();
     await this.rpc.stop();
