--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -125,7 +125,7 @@
 export const LEADER_HANDOVER_MS = 400;
 
 /** Time between looks at a group's members, in milliseconds. */
-export const KEEP_MEMBERS_MS = 250;
+export const MEMBERSHIP_CHECK_MS = 250;
 
 /** Silence of a process that makes it no candidate for membership, in milliseconds. */
 export const CANDIDATE_SILENT_MS = 1_500;
--- a/packages/stallpaddle-node/src/NodeGroup.ts
+++ b/packages/stallpaddle-node/src/NodeGroup.ts
@@ -15,7 +15,7 @@
 import type {NodeMetrics, ReadGauge} from './NodeMetrics';
 import type {NodePeers} from './NodePeers';
 
-import {GROUP_TIMING, KEEP_MEMBERS_MS, REOPEN_MS, SECOND_MS} from './NodeConstants';
+import {GROUP_TIMING, MEMBERSHIP_CHECK_MS, REOPEN_MS, SECOND_MS} from './NodeConstants';
 import {type KnownReplica, planMembers} from './NodeKeeper';
 
 /** Most changes of members at one look: all that follows a lost VM, or the founding of a group of five by three. */
@@ -81,7 +81,7 @@
       await group.openAgain(err);
     }
     // Only now: a slow disk may take longer to open than a round waits.
-    group.stopKeeping = registerLoop(KEEP_MEMBERS_MS, () => group.keepMembers());
+    group.stopKeeping = registerLoop(MEMBERSHIP_CHECK_MS, () => group.keepMembers());
     return group;
   }
 
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeKeeperWorld.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeKeeperWorld.ts
@@ -11,7 +11,7 @@
 
 import {vmOfReplica} from 'stallpaddle';
 
-import {KEEP_MEMBERS_MS, VOTER_SILENT_MS} from '../../NodeConstants';
+import {MEMBERSHIP_CHECK_MS, VOTER_SILENT_MS} from '../../NodeConstants';
 import {type KnownReplica, planMembers, votersFor} from '../../NodeKeeper';
 import {isEmptied} from '../../NodeStorePlan';
 
@@ -226,7 +226,7 @@
   /** Time passes while leaders do their work. */
   advance(looks: number): void {
     for (let look = 0; look < looks; look++) {
-      this.now += KEEP_MEMBERS_MS;
+      this.now += MEMBERSHIP_CHECK_MS;
       this.hearVms();
       this.look();
       this.forgetLost();
@@ -429,7 +429,7 @@
   /** A new replica needs a look's time for its first copy. */
   private copyTo(id: ReplicaId, leader: Leader): void {
     const replica = this.replicas.get(id)!;
-    replica.copiedAt ??= this.now + KEEP_MEMBERS_MS;
+    replica.copiedAt ??= this.now + MEMBERSHIP_CHECK_MS;
     if (this.now >= replica.copiedAt) {
       replica.log = this.logOf(leader.id);
     }
