--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -128,7 +128,7 @@
 export const MEMBERSHIP_CHECK_MS = 250;
 
 /** Silence of a process that makes it no candidate for membership, in milliseconds. */
-export const CANDIDATE_SILENT_MS = 1_500;
+export const CANDIDATE_TIMEOUT_MS = 1_500;
 
 /**
  * Silence of a replica after which it is lost, once its VM has spoken with another disk, in milliseconds: four heartbeats. A
--- a/packages/stallpaddle-node/src/NodeIntroducer.ts
+++ b/packages/stallpaddle-node/src/NodeIntroducer.ts
@@ -13,7 +13,7 @@
 import type {NodeGroup} from './NodeGroup';
 import type {NodeRemembered} from './NodeRemembered';
 
-import {CANDIDATE_SILENT_MS, CONTROL_GROUP, BOOTSTRAP_TIMEOUT_MS} from './NodeConstants';
+import {CANDIDATE_TIMEOUT_MS, CONTROL_GROUP, BOOTSTRAP_TIMEOUT_MS} from './NodeConstants';
 import {tells} from './NodeRemembered';
 
 /** What it needs of its process. */
@@ -36,7 +36,7 @@
   const {learners, voters} = log.members;
   const isSilent = (replica: ReplicaId): boolean => {
     const heardAt = role.kind === 'leader' ? role.progress.get(replica)?.ackedSentAt : undefined;
-    return heardAt !== undefined && now - heardAt >= CANDIDATE_SILENT_MS;
+    return heardAt !== undefined && now - heardAt >= CANDIDATE_TIMEOUT_MS;
   };
   return [...voters, ...learners].filter((replica) => !isSilent(replica));
 }
--- a/packages/stallpaddle-node/src/NodeKeeper.ts
+++ b/packages/stallpaddle-node/src/NodeKeeper.ts
@@ -7,7 +7,7 @@
 import {vmOfReplica} from 'stallpaddle';
 
 import {
-  CANDIDATE_SILENT_MS,
+  CANDIDATE_TIMEOUT_MS,
   REPLACED_SILENT_MS,
   SPARE_LEARNERS,
   VOTER_SILENT_MS,
@@ -66,7 +66,7 @@
 function viewOf(input: KeeperInput): KeeperView {
   const byId = new Map(input.known.map((replica) => [replica.id, replica]));
   const silentMs = (id: ReplicaId): number => byId.get(id)?.silentMs ?? Infinity;
-  const isHeard = (id: ReplicaId): boolean => silentMs(id) < CANDIDATE_SILENT_MS;
+  const isHeard = (id: ReplicaId): boolean => silentMs(id) < CANDIDATE_TIMEOUT_MS;
   // Of two disks of one VM the lost one has spoken least lately.
   const isOutlived = (id: ReplicaId): boolean =>
     input.known.some(
--- a/packages/stallpaddle-node/src/NodeStore.ts
+++ b/packages/stallpaddle-node/src/NodeStore.ts
@@ -18,7 +18,7 @@
 import type {NodeWatch} from './NodeWatch';
 
 import {
-  CANDIDATE_SILENT_MS,
+  CANDIDATE_TIMEOUT_MS,
   LEADER_HANDOVER_MS,
   JOBS_GROUP,
   JOBS_LOG_BYTES,
@@ -41,7 +41,7 @@
  * Silence of a store process that the control group's leader doesn't hear, in milliseconds: the news gives no
  * time, and this makes it no candidate but is not yet that of a lost voter.
  */
-const UNHEARD_SILENT_MS = (CANDIDATE_SILENT_MS + VOTER_SILENT_MS) / 2;
+const UNHEARD_SILENT_MS = (CANDIDATE_TIMEOUT_MS + VOTER_SILENT_MS) / 2;
 
 /** Longest wait for what runs have brought to be recorded at a planned stop, in milliseconds: some records. */
 const SAVE_AT_STOP_MS = 1_000;
