--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -134,7 +134,7 @@
  * Silence of a replica after which it is lost, once its VM has spoken with another disk, in milliseconds: four heartbeats. A
  * new leader counts it anew, and the successor must vote before the next loss, five seconds after the first.
  */
-export const REPLACED_SILENT_MS = 500;
+export const REPLACED_DISK_TIMEOUT_MS = 500;
 
 /**
  * Silence of a voter after which a caught-up replica takes its place, in milliseconds: longer than a
--- a/packages/stallpaddle-node/src/NodeKeeper.ts
+++ b/packages/stallpaddle-node/src/NodeKeeper.ts
@@ -8,7 +8,7 @@
 
 import {
   CANDIDATE_TIMEOUT_MS,
-  REPLACED_SILENT_MS,
+  REPLACED_DISK_TIMEOUT_MS,
   SPARE_LEARNERS,
   VOTER_SILENT_MS,
 } from './NodeConstants';
@@ -79,7 +79,7 @@
     ...input,
     isCaughtUp: (id) => byId.get(id)?.caughtUp === true,
     isHeard,
-    isReplaced: (id) => silentMs(id) > REPLACED_SILENT_MS && isOutlived(id),
+    isReplaced: (id) => silentMs(id) > REPLACED_DISK_TIMEOUT_MS && isOutlived(id),
     isRetiring: (id) => byId.get(id)?.retiring === true,
     isSilent: (id) => id !== input.self && silentMs(id) > VOTER_SILENT_MS,
     silentMs,
