--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -140,7 +140,7 @@
  * Silence of a voter after which a caught-up replica takes its place, in milliseconds: longer than a
  * restart takes on a loaded VM, and short enough for a second loss five seconds after the first.
  */
-export const VOTER_SILENT_MS = 2_500;
+export const VOTER_TIMEOUT_MS = 2_500;
 
 /** Replicas beyond the voters that a group keeps ready. */
 export const SPARE_LEARNERS = 1;
--- a/packages/stallpaddle-node/src/NodeKeeper.ts
+++ b/packages/stallpaddle-node/src/NodeKeeper.ts
@@ -10,7 +10,7 @@
   CANDIDATE_TIMEOUT_MS,
   REPLACED_DISK_TIMEOUT_MS,
   SPARE_LEARNERS,
-  VOTER_SILENT_MS,
+  VOTER_TIMEOUT_MS,
 } from './NodeConstants';
 
 /** A replica that exists or existed. */
@@ -81,7 +81,7 @@
     isHeard,
     isReplaced: (id) => silentMs(id) > REPLACED_DISK_TIMEOUT_MS && isOutlived(id),
     isRetiring: (id) => byId.get(id)?.retiring === true,
-    isSilent: (id) => id !== input.self && silentMs(id) > VOTER_SILENT_MS,
+    isSilent: (id) => id !== input.self && silentMs(id) > VOTER_TIMEOUT_MS,
     silentMs,
     wanted: votersFor(input.lostDisks),
   };
--- a/packages/stallpaddle-node/src/NodeStore.ts
+++ b/packages/stallpaddle-node/src/NodeStore.ts
@@ -23,7 +23,7 @@
   JOBS_GROUP,
   JOBS_LOG_BYTES,
   SECOND_MS,
-  VOTER_SILENT_MS,
+  VOTER_TIMEOUT_MS,
 } from './NodeConstants';
 import {NodeFleet} from './NodeFleet';
 import {type Candidate, NodeGroup} from './NodeGroup';
@@ -41,7 +41,7 @@
  * Silence of a store process that the control group's leader doesn't hear, in milliseconds: the news gives no
  * time, and this makes it no candidate but is not yet that of a lost voter.
  */
-const UNHEARD_SILENT_MS = (CANDIDATE_TIMEOUT_MS + VOTER_SILENT_MS) / 2;
+const UNHEARD_SILENT_MS = (CANDIDATE_TIMEOUT_MS + VOTER_TIMEOUT_MS) / 2;
 
 /** Longest wait for what runs have brought to be recorded at a planned stop, in milliseconds: some records. */
 const SAVE_AT_STOP_MS = 1_000;
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeKeeperWorld.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeKeeperWorld.ts
@@ -11,7 +11,7 @@
 
 import {vmOfReplica} from 'stallpaddle';
 
-import {MEMBERSHIP_CHECK_MS, VOTER_SILENT_MS} from '../../NodeConstants';
+import {MEMBERSHIP_CHECK_MS, VOTER_TIMEOUT_MS} from '../../NodeConstants';
 import {type KnownReplica, planMembers, votersFor} from '../../NodeKeeper';
 import {isEmptied} from '../../NodeStorePlan';
 
@@ -388,7 +388,7 @@
     for (const {current, heardAt, retiring} of this.vms.values()) {
       if (current !== null) {
         // The first look comes after a disk is new: until then nobody has heard of it.
-        const silentMs = this.isReached(current) ? this.now - heardAt : VOTER_SILENT_MS;
+        const silentMs = this.isReached(current) ? this.now - heardAt : VOTER_TIMEOUT_MS;
         known.set(current, {caughtUp: false, id: current, retiring, silentMs});
       }
     }
