--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -146,7 +146,7 @@
 export const SPARE_LEARNERS = 1;
 
 /** Time between words to the dispatcher when nothing has changed, in milliseconds. */
-export const TELL_AGAIN_MS = 1_000;
+export const ONLINE_REPORT_INTERVAL_MS = 1_000;
 
 /** Time between words of a VM that serves requests, for each entry VM of the fleet, in milliseconds: 250 words a second in all. */
 const ASK_MS_PER_VM = 4;
@@ -162,7 +162,7 @@
  */
 export function tellAgainMs(isServing: boolean, entryVms: number): number {
   const askMs = ASK_MS_PER_VM * Math.max(1, entryVms);
-  return isServing && askMs <= ASK_WITHIN_MS ? askMs : TELL_AGAIN_MS;
+  return isServing && askMs <= ASK_WITHIN_MS ? askMs : ONLINE_REPORT_INTERVAL_MS;
 }
 
 /** Shortest time between two words to the dispatcher, in milliseconds: about a round trip. */
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
@@ -13,7 +13,7 @@
 import {
   MAX_RETRY_PAUSE_MS,
   RETRY_PAUSE_MS,
-  TELL_AGAIN_MS,
+  ONLINE_REPORT_INTERVAL_MS,
   TELL_GATHER_MS,
   tellAgainMs,
 } from '../../NodeConstants';
@@ -85,7 +85,7 @@
   test('a VM without requests tells once a second, and learns the others’ counts', async () => {
     const {online, tells, words} = tellsOf();
     void tells.run();
-    await delay(2.5 * TELL_AGAIN_MS);
+    await delay(2.5 * ONLINE_REPORT_INTERVAL_MS);
     expect(words.length).toBeGreaterThanOrEqual(2);
     expect(words.length).toBeLessThanOrEqual(3);
     expect(online.at('e9')).toBe(4);
@@ -97,7 +97,7 @@
     await delay(100);
     const before = words.length;
     online.registerRequest('e0');
-    await delay(TELL_AGAIN_MS / 2);
+    await delay(ONLINE_REPORT_INTERVAL_MS / 2);
     expect(words.slice(before)).toMatchObject([{own: {e0: 1}}]);
   });
 
@@ -114,9 +114,9 @@
     expect(counts[0]).toBeLessThanOrEqual(18);
     expect(counts[1]).toBeLessThanOrEqual(3);
     expect([tellAgainMs(false, 10), tellAgainMs(true, 25), tellAgainMs(true, 26)]).toEqual([
-      TELL_AGAIN_MS,
+      ONLINE_REPORT_INTERVAL_MS,
       100,
-      TELL_AGAIN_MS,
+      ONLINE_REPORT_INTERVAL_MS,
     ]);
   });
 
@@ -128,7 +128,7 @@
     const end = online.registerRequest('e0');
     await delay(50);
     end();
-    await delay(TELL_AGAIN_MS + 200);
+    await delay(ONLINE_REPORT_INTERVAL_MS + 200);
     expect(words.slice(before).map(({isCall, own}) => [isCall, own])).toEqual([
       [true, {e0: 1}],
       [false, {}],
