--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -160,7 +160,7 @@
  * @param isServing whether this VM has online requests
  * @param entryVms entry VMs of the fleet
  */
-export function tellAgainMs(isServing: boolean, entryVms: number): number {
+export function onlineReportIntervalMs(isServing: boolean, entryVms: number): number {
   const askMs = ASK_MS_PER_VM * Math.max(1, entryVms);
   return isServing && askMs <= ASK_WITHIN_MS ? askMs : ONLINE_REPORT_INTERVAL_MS;
 }
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
@@ -15,7 +15,7 @@
   RETRY_PAUSE_MS,
   ONLINE_REPORT_INTERVAL_MS,
   TELL_GATHER_MS,
-  tellAgainMs,
+  onlineReportIntervalMs,
 } from '../../NodeConstants';
 import {NodeOnlineReporter} from '../../NodeOnlineReporter';
 
@@ -113,7 +113,7 @@
     expect(counts[0]).toBeGreaterThan(8);
     expect(counts[0]).toBeLessThanOrEqual(18);
     expect(counts[1]).toBeLessThanOrEqual(3);
-    expect([tellAgainMs(false, 10), tellAgainMs(true, 25), tellAgainMs(true, 26)]).toEqual([
+    expect([onlineReportIntervalMs(false, 10), onlineReportIntervalMs(true, 25), onlineReportIntervalMs(true, 26)]).toEqual([
       ONLINE_REPORT_INTERVAL_MS,
       100,
       ONLINE_REPORT_INTERVAL_MS,
