--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -166,7 +166,7 @@
 }
 
 /** Shortest time between two words to the dispatcher, in milliseconds: about a round trip. */
-export const TELL_GATHER_MS = 5;
+export const ONLINE_REPORT_SPACING_MS = 5;
 
 /** Longest wait for the dispatcher's answer, in milliseconds. */
 export const TELL_TRY_MS = 300;
--- a/packages/stallpaddle-node/src/NodeOnlineReporter.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineReporter.ts
@@ -12,7 +12,7 @@
 import type {NodeGroupClient} from './NodeGroupClient';
 
 import {NodeBackoff} from './NodeBackoff';
-import {RETRY_PAUSE_MS, JOBS_GROUP, TELL_GATHER_MS, TELL_TRY_MS, onlineReportIntervalMs} from './NodeConstants';
+import {RETRY_PAUSE_MS, JOBS_GROUP, ONLINE_REPORT_SPACING_MS, TELL_TRY_MS, onlineReportIntervalMs} from './NodeConstants';
 import {NodeWaiters} from './NodeWaiters';
 
 /** See the module's comment. */
@@ -97,7 +97,7 @@
       const isServing = Object.keys(this.told).length > 0;
       await this.waiters.wait(onlineReportIntervalMs(isServing, this.entryVms()));
     }
-    const earlyMs = this.toldAt + TELL_GATHER_MS - performance.now();
+    const earlyMs = this.toldAt + ONLINE_REPORT_SPACING_MS - performance.now();
     if (earlyMs > 0 && !this.stopped) {
       // Timers drop fractions.
       await delay(Math.ceil(earlyMs));
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
@@ -14,7 +14,7 @@
   MAX_RETRY_PAUSE_MS,
   RETRY_PAUSE_MS,
   ONLINE_REPORT_INTERVAL_MS,
-  TELL_GATHER_MS,
+  ONLINE_REPORT_SPACING_MS,
   onlineReportIntervalMs,
 } from '../../NodeConstants';
 import {NodeOnlineReporter} from '../../NodeOnlineReporter';
@@ -145,9 +145,9 @@
       online.registerRequest(`e${count % 5}`);
       await delay(2);
     }
-    await delay(2 * TELL_GATHER_MS);
+    await delay(2 * ONLINE_REPORT_SPACING_MS);
     const spent = words.at(-1)!.at - words[before]!.at;
-    expect(words.length - before).toBeLessThanOrEqual(spent / TELL_GATHER_MS + 2);
+    expect(words.length - before).toBeLessThanOrEqual(spent / ONLINE_REPORT_SPACING_MS + 2);
     expect(words.at(-1)!.own).toEqual({e0: 20, e1: 20, e2: 20, e3: 20, e4: 20});
   });
 
