--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -169,7 +169,7 @@
 export const ONLINE_REPORT_SPACING_MS = 5;
 
 /** Longest wait for the dispatcher's answer, in milliseconds. */
-export const TELL_TRY_MS = 300;
+export const ONLINE_REPORT_TIMEOUT_MS = 300;
 
 /** Age up to which a 404 for a path without a route is believed, in milliseconds. */
 export const ROUTE_FRESH_MS = 700;
--- a/packages/stallpaddle-node/src/NodeOnlineReporter.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineReporter.ts
@@ -12,7 +12,7 @@
 import type {NodeGroupClient} from './NodeGroupClient';
 
 import {NodeBackoff} from './NodeBackoff';
-import {RETRY_PAUSE_MS, JOBS_GROUP, ONLINE_REPORT_SPACING_MS, TELL_TRY_MS, onlineReportIntervalMs} from './NodeConstants';
+import {RETRY_PAUSE_MS, JOBS_GROUP, ONLINE_REPORT_SPACING_MS, ONLINE_REPORT_TIMEOUT_MS, onlineReportIntervalMs} from './NodeConstants';
 import {NodeWaiters} from './NodeWaiters';
 
 /** See the module's comment. */
@@ -81,7 +81,7 @@
     if (isChange && !hasBegun && this.caller.post(call)) {
       return true;
     }
-    const outcome = await this.caller.tryOnce(call, TELL_TRY_MS);
+    const outcome = await this.caller.tryOnce(call, ONLINE_REPORT_TIMEOUT_MS);
     if (outcome.kind !== 'answered') {
       return false;
     }
