--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -172,7 +172,7 @@
 export const ONLINE_REPORT_TIMEOUT_MS = 300;
 
 /** Age up to which a 404 for a path without a route is believed, in milliseconds. */
-export const ROUTE_FRESH_MS = 700;
+export const ROUTE_MAX_AGE_MS = 700;
 
 /**
  * Longest time for which the leader is asked whether a key is unknown, in milliseconds: whoever is asked first may only name
--- a/packages/stallpaddle-node/src/NodeRoutes.ts
+++ b/packages/stallpaddle-node/src/NodeRoutes.ts
@@ -8,7 +8,7 @@
 import type {NodeLog} from './NodeLog';
 import type {NodeWatch} from './NodeWatch';
 
-import {CONFIG_AGAIN_MS, ROUTE_FRESH_MS} from './NodeConstants';
+import {CONFIG_AGAIN_MS, ROUTE_MAX_AGE_MS} from './NodeConstants';
 
 /** See the module's comment. */
 export class NodeRoutes {
@@ -70,7 +70,7 @@
     if (known !== undefined) {
       return known;
     }
-    const isFresh = await this.watch.freshen(ROUTE_FRESH_MS);
+    const isFresh = await this.watch.freshen(ROUTE_MAX_AGE_MS);
     const found = this.find(host, path);
     if (found !== undefined) {
       return found;
