--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -178,7 +178,7 @@
  * Longest time for which the leader is asked whether a key is unknown, in milliseconds: whoever is asked first may only name
  * the leader, and callers give a VM a second.
  */
-export const CONFIRM_MS = 600;
+export const CONFIRM_TIMEOUT_MS = 600;
 
 /**
  * Age of what is known from which on a VM asks before it serves by the keys it knows, in milliseconds: older than what is
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -24,7 +24,7 @@
 import {NodeBackoff} from './NodeBackoff';
 import {
   RETRY_PAUSE_MS,
-  CONFIRM_MS,
+  CONFIRM_TIMEOUT_MS,
   CONTROL_GROUP,
   BOOTSTRAP_TTL_MS,
   PEEK_PAUSE_MS,
@@ -138,7 +138,7 @@
     const calledAt = clock.monotonicMs();
     // A question that is under way may have been answered before this call came.
     await this.freshening;
-    while (this.current.asOf < calledAt && clock.monotonicMs() - calledAt < CONFIRM_MS) {
+    while (this.current.asOf < calledAt && clock.monotonicMs() - calledAt < CONFIRM_TIMEOUT_MS) {
       if (!(await this.askForAll())) {
         await delay(RETRY_PAUSE_MS);
       }
