--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -184,7 +184,7 @@
  * Age of what is known from which on a VM asks before it serves by the keys it knows, in milliseconds: older than what is
  * known while any replica passes on the news, and within the time in which a configuration is in force.
  */
-export const KEY_AGE_MS = 2_000;
+export const KEY_MAX_AGE_MS = 2_000;
 
 /** Pause before a VM that heard no leader asks again for the latest keys, in milliseconds. */
 export const KEY_ASK_AGAIN_MS = 1_000;
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeCustomers.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeCustomers.test.ts
@@ -7,7 +7,7 @@
 import {type FleetConfig, keyDigest} from 'stallpaddle-fleet';
 import {describe, expect, test} from 'vitest';
 
-import {KEY_AGE_MS} from '../../NodeConstants';
+import {KEY_MAX_AGE_MS} from '../../NodeConstants';
 import {NodeCustomers} from '../../NodeCustomers';
 
 const LIMITS = {headerTimeoutMs: 1, idleTimeoutMs: 1, maxBodyBytes: 1, maxHeaderBytes: 1};
@@ -92,7 +92,7 @@
 
   test('asks before it serves by keys that it knew long ago, but not again and again', async () => {
     const vm = new Vm({a: ['k1'], b: ['k2']});
-    vm.ageMs = KEY_AGE_MS + 1;
+    vm.ageMs = KEY_MAX_AGE_MS + 1;
     vm.latest = {b: ['k1', 'k2']};
     vm.reachesLeader = false;
     await vm.customers.catchUp();
