--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -187,7 +187,7 @@
 export const KEY_MAX_AGE_MS = 2_000;
 
 /** Pause before a VM that heard no leader asks again for the latest keys, in milliseconds. */
-export const KEY_ASK_AGAIN_MS = 1_000;
+export const KEY_REFRESH_PAUSE_MS = 1_000;
 
 /** Pause after which a caller should come back while the configuration is not known, in milliseconds. */
 export const CONFIG_AGAIN_MS = 500;
--- a/packages/stallpaddle-node/src/NodeCustomers.ts
+++ b/packages/stallpaddle-node/src/NodeCustomers.ts
@@ -10,7 +10,7 @@
 
 import type {NodeWatch} from './NodeWatch';
 
-import {CONFIG_AGAIN_MS, KEY_MAX_AGE_MS, KEY_ASK_AGAIN_MS} from './NodeConstants';
+import {CONFIG_AGAIN_MS, KEY_MAX_AGE_MS, KEY_REFRESH_PAUSE_MS} from './NodeConstants';
 
 /** Fleets that know no customers let callers say of themselves what they like. */
 const UNTOLD: RelayCaller = {kind: 'untold'};
@@ -56,7 +56,7 @@
   async catchUp(): Promise<void> {
     const now = this.clock.monotonicMs();
     const isOld = this.table !== undefined && this.watch.ageMs > KEY_MAX_AGE_MS;
-    if (isOld && now - this.askedAt >= KEY_ASK_AGAIN_MS) {
+    if (isOld && now - this.askedAt >= KEY_REFRESH_PAUSE_MS) {
       this.askedAt = now;
       await this.watch.freshen(KEY_MAX_AGE_MS);
     }
