--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -190,7 +190,7 @@
 export const KEY_REFRESH_PAUSE_MS = 1_000;
 
 /** Pause after which a caller should come back while the configuration is not known, in milliseconds. */
-export const CONFIG_AGAIN_MS = 500;
+export const CONFIG_RETRY_AFTER_MS = 500;
 
 /**
  * Time that callers may keep the addresses they were told, in seconds: the most that counts. Each question
--- a/packages/stallpaddle-node/src/NodeCustomers.ts
+++ b/packages/stallpaddle-node/src/NodeCustomers.ts
@@ -10,7 +10,7 @@
 
 import type {NodeWatch} from './NodeWatch';
 
-import {CONFIG_AGAIN_MS, KEY_MAX_AGE_MS, KEY_REFRESH_PAUSE_MS} from './NodeConstants';
+import {CONFIG_RETRY_AFTER_MS, KEY_MAX_AGE_MS, KEY_REFRESH_PAUSE_MS} from './NodeConstants';
 
 /** Fleets that know no customers let callers say of themselves what they like. */
 const UNTOLD: RelayCaller = {kind: 'untold'};
@@ -82,7 +82,7 @@
     }
     throw isFresh
       ? refuse('unauthorized', 'The request shows no key of a customer.')
-      : refuse('stale', 'The latest keys are not known now.', {retryAfterMs: CONFIG_AGAIN_MS});
+      : refuse('stale', 'The latest keys are not known now.', {retryAfterMs: CONFIG_RETRY_AFTER_MS});
   }
 
   private callerOf(digest: null | string, isOpen: () => boolean): RelayCaller | undefined {
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -29,7 +29,7 @@
 
 import {sampleEntries} from './NodeAddresses';
 import {NodeAdmission} from './NodeAdmission';
-import {ADDRESSES_MOST, CONFIG_AGAIN_MS, IDLE_MARGIN_MS} from './NodeConstants';
+import {ADDRESSES_MOST, CONFIG_RETRY_AFTER_MS, IDLE_MARGIN_MS} from './NodeConstants';
 import {countEnd, exposeEntryMetrics} from './NodeEntryMetrics';
 import {BodyTooLargeError, requestHead, readBody, sendResponse, startServer} from './NodeHttp';
 import {NodeDrainState} from './NodeDrainState';
@@ -328,7 +328,7 @@
       return answer;
     }
     if (!(await this.watch.confirm())) {
-      throw refuse('stale', 'The latest keys are not known now.', {retryAfterMs: CONFIG_AGAIN_MS});
+      throw refuse('stale', 'The latest keys are not known now.', {retryAfterMs: CONFIG_RETRY_AFTER_MS});
     }
     const latest = await this.identify(req, isOpen);
     const isSame = latest.kind === 'customer' && latest.name === caller.name;
--- a/packages/stallpaddle-node/src/NodeRoutes.ts
+++ b/packages/stallpaddle-node/src/NodeRoutes.ts
@@ -8,7 +8,7 @@
 import type {NodeLog} from './NodeLog';
 import type {NodeWatch} from './NodeWatch';
 
-import {CONFIG_AGAIN_MS, ROUTE_MAX_AGE_MS} from './NodeConstants';
+import {CONFIG_RETRY_AFTER_MS, ROUTE_MAX_AGE_MS} from './NodeConstants';
 
 /** See the module's comment. */
 export class NodeRoutes {
@@ -52,7 +52,7 @@
   find(host: string, path: string): FleetRoute | undefined {
     if (this.table === undefined) {
       throw refuse('unavailable', 'No configuration is known yet.', {
-        retryAfterMs: CONFIG_AGAIN_MS,
+        retryAfterMs: CONFIG_RETRY_AFTER_MS,
       });
     }
     return this.table.find(host, path);
@@ -77,7 +77,7 @@
     }
     if (!isFresh) {
       throw refuse('stale', 'The latest configuration is not known now.', {
-        retryAfterMs: CONFIG_AGAIN_MS,
+        retryAfterMs: CONFIG_RETRY_AFTER_MS,
       });
     }
     this.log.decide('noRoute', host, {
