--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -199,7 +199,7 @@
 export const ADDRESSES_TTL_S = 5;
 
 /** Most addresses that a caller is told. */
-export const ADDRESSES_MOST = 64;
+export const MAX_ADDRESSES = 64;
 
 /** Time that a rested connection is kept beyond the configured one, in milliseconds. */
 export const IDLE_MARGIN_MS = 2_000;
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -29,7 +29,7 @@
 
 import {sampleEntries} from './NodeAddresses';
 import {NodeAdmission} from './NodeAdmission';
-import {ADDRESSES_MOST, CONFIG_RETRY_AFTER_MS, IDLE_MARGIN_MS} from './NodeConstants';
+import {MAX_ADDRESSES, CONFIG_RETRY_AFTER_MS, IDLE_MARGIN_MS} from './NodeConstants';
 import {countEnd, exposeEntryMetrics} from './NodeEntryMetrics';
 import {BodyTooLargeError, requestHead, readBody, sendResponse, startServer} from './NodeHttp';
 import {NodeDrainState} from './NodeDrainState';
@@ -204,7 +204,7 @@
       sendResponse(res, {status: 503});
       return;
     }
-    const named = sampleEntries(entries, ADDRESSES_MOST, Math.random);
+    const named = sampleEntries(entries, MAX_ADDRESSES, Math.random);
     sendResponse(res, wire.encodeAddresses(named));
   }
 
