--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -208,7 +208,7 @@
  * Time before the end of the grace from which a stopping process takes no more requests, in milliseconds:
  * streams of today take about one second, and a request that is cut off at the end counts as lost.
  */
-export const LAST_REQUESTS_MS = 3_000;
+export const LAST_REQUEST_MARGIN_MS = 3_000;
 
 /** Time left before the end of the grace at which a stopping process ends in any case, in milliseconds. */
 export const END_MARGIN_MS = 400;
