--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -211,7 +211,7 @@
 export const LAST_REQUEST_MARGIN_MS = 3_000;
 
 /** Time left before the end of the grace at which a stopping process ends in any case, in milliseconds. */
-export const END_MARGIN_MS = 400;
+export const SHUTDOWN_MARGIN_MS = 400;
 
 /** Pause before a replica whose disk has failed is opened again, in milliseconds. */
 export const REOPEN_MS = 1_000;
--- a/packages/stallpaddle-node/src/NodeDrainState.ts
+++ b/packages/stallpaddle-node/src/NodeDrainState.ts
@@ -6,7 +6,7 @@
 
 import {delay} from 'stallpaddle';
 
-import {ADDRESSES_TTL_S, END_MARGIN_MS, LAST_REQUEST_MARGIN_MS, SECOND_MS} from './NodeConstants';
+import {ADDRESSES_TTL_S, SHUTDOWN_MARGIN_MS, LAST_REQUEST_MARGIN_MS, SECOND_MS} from './NodeConstants';
 
 /** Time between looks whether a stopping process is idle, in milliseconds. */
 const IDLE_LOOK_MS = 50;
@@ -70,7 +70,7 @@
 
   /** Waits until nothing is under way, or the end is near. */
   async untilIdle(): Promise<void> {
-    const mostMs = Math.min(this.graceMs, LAST_REQUEST_MARGIN_MS) - END_MARGIN_MS;
+    const mostMs = Math.min(this.graceMs, LAST_REQUEST_MARGIN_MS) - SHUTDOWN_MARGIN_MS;
     const end: MonotonicMs = this.clock.monotonicMs() + mostMs;
     while (this.open > 0 && this.clock.monotonicMs() < end) {
       await delay(IDLE_LOOK_MS);
