--- a/packages/stallpaddle-node/src/NodeConstants.ts
+++ b/packages/stallpaddle-node/src/NodeConstants.ts
@@ -214,4 +214,4 @@
 export const SHUTDOWN_MARGIN_MS = 400;
 
 /** Pause before a replica whose disk has failed is opened again, in milliseconds. */
-export const REOPEN_MS = 1_000;
+export const DISK_REOPEN_PAUSE_MS = 1_000;
