--- a/packages/stallpaddle-node/src/Node.ts
+++ b/packages/stallpaddle-node/src/Node.ts
@@ -1,6 +1,4 @@
-/**
- * Starts the process that the settings describe.
- */
+/** Starts the process for the role in the settings. */
 
 import type {LoggerFactory} from 'stallpaddle';
 
@@ -16,10 +14,10 @@
 /**
  * Starts a process.
  *
- * @param settings what it is to be
- * @param wire the words of the outside
- * @param loggers makes the logs of its parts
- * @param onFailure called once when it can't go on
+ * @param settings the process's settings
+ * @param wire codec of the external protocol
+ * @param loggers creates the loggers of the components
+ * @param onFailure called on a fatal error
  */
 export function startNode(
   settings: NodeSettings,
--- a/packages/stallpaddle-node/src/NodeAddresses.ts
+++ b/packages/stallpaddle-node/src/NodeAddresses.ts
@@ -1,30 +1,27 @@
-/**
- * Which entry VMs a caller is told of. Pure. An answer names a part of a large fleet only, so each answer draws its own
- * part by chance: the same part in every answer would send all callers to the same VMs. With the first 64 of 170 in
- * each answer, these took 2.7 times their share of the requests, and the others none.
- */
+/** Selects the entry VMs that a caller learns of. */
 import type {Random} from 'stallpaddle';
 import type {EntryView} from 'stallpaddle-fleet';
 
 /**
- * Draws the entry VMs to name, each as likely as any other, in an order drawn by chance.
+ * Draws a uniform sample of entry VMs in random order. In a large fleet one answer lists only some of the entry VMs; a
+ * new sample for each answer spreads the callers evenly over all of them.
  *
- * @param entries all entry VMs that take callers
- * @param most longest list that a caller takes
- * @param random source of the draw
+ * @param entries all entry VMs that accept requests
+ * @param limit largest size of the sample
+ * @param random source of randomness
  */
 export function sampleEntries(
   entries: readonly EntryView[],
-  most: number,
+  limit: number,
   random: Random,
 ): readonly EntryView[] {
   const left = [...entries];
-  const drawn: EntryView[] = [];
-  while (drawn.length < most && left.length > 0) {
+  const sample: EntryView[] = [];
+  while (sample.length < limit && left.length > 0) {
     const at = Math.floor(random() * left.length);
-    drawn.push(left[at]!);
+    sample.push(left[at]!);
     left[at] = left.at(-1)!;
     left.pop();
   }
-  return drawn;
+  return sample;
 }
--- a/packages/stallpaddle-node/src/NodeAdmission.ts
+++ b/packages/stallpaddle-node/src/NodeAdmission.ts
@@ -1,6 +1,4 @@
-/**
- * Whether a customer's request may go on within the customer's limit.
- */
+/** Admission of requests by the customers' rate limits. */
 import type {LogFields} from 'stallpaddle';
 import type {FleetCustomer} from 'stallpaddle-fleet';
 import type {RateLimit} from 'stallpaddle-limits';
@@ -11,16 +9,16 @@
 import type {NodeCustomers} from './NodeCustomers';
 import type {NodeLimits} from './NodeLimits';
 
-/** What it needs of its process. */
+/** Dependencies of `NodeAdmission`. */
 export interface NodeAdmissionOptions {
   readonly customers: Pick<NodeCustomers, 'named'>;
-  /** Writes one line for a refusal. */
+  /** Logs a refusal. */
   readonly decide: (requestId: string, fields: LogFields) => void;
-  readonly limits: Pick<NodeLimits, 'admit' | 'giveBack'>;
+  readonly limits: Pick<NodeLimits, 'admit' | 'refund'>;
 }
 
 /**
- * A customer's limit.
+ * The rate limit of a customer.
  *
  * @param customer the customer
  */
@@ -28,19 +26,19 @@
   return {burst, customer: name, ratePerSecond};
 }
 
-/** See the module's comment. */
+/** Admits, delays or refuses requests according to the rate limit of their customer. */
 export class NodeAdmission {
   /**
-   * @param options what it needs of its process
+   * @param options its dependencies
    */
   constructor(private readonly options: NodeAdmissionOptions) {}
 
   /**
-   * Lets a request go on, perhaps after a moment.
+   * Admits a request, possibly after a short wait.
    *
-   * @param caller who sends it
-   * @param requestId its name
-   * @throws {RefusalError} `rateLimited` with the time at which the limit has room
+   * @param caller its sender
+   * @param requestId its id
+   * @throws {RefusalError} `rateLimited` with the time until the limit has free capacity
    */
   async admit(caller: RelayCaller, requestId: string): Promise<void> {
     const limit = this.limitOf(caller);
@@ -60,18 +58,18 @@
   }
 
   /**
-   * Notes that no engine ran an admitted request, so that it counts for nothing.
+   * Returns the quota of an admitted request that no engine ran.
    *
-   * @param caller who sent it
+   * @param caller its sender
    */
-  giveBack(caller: RelayCaller): void {
+  refund(caller: RelayCaller): void {
     const limit = this.limitOf(caller);
     if (limit !== undefined) {
-      this.options.limits.giveBack(limit.customer);
+      this.options.limits.refund(limit.customer);
     }
   }
 
-  /** Undefined for whoever has none. */
+  /** The caller's rate limit; undefined for none. */
   private limitOf(caller: RelayCaller): RateLimit | undefined {
     const {customers} = this.options;
     const customer = caller.kind === 'customer' ? customers.named(caller.name) : undefined;
--- a/packages/stallpaddle-node/src/NodeBackoff.ts
+++ b/packages/stallpaddle-node/src/NodeBackoff.ts
@@ -1,31 +1,31 @@
-/**
- * Pauses before the next try of something that nobody answers: each twice as long as the last, a part of it by chance.
- * While nobody leads yet, 200 processes that ask every 30 ms would keep the VMs that are about to lead from starting.
- */
+/** Exponential backoff with jitter. */
 import type {Random} from 'stallpaddle';
 
 import {MAX_RETRY_PAUSE_MS, RETRY_PAUSE_MS} from './NodeConstants';
 
-/** Part of each pause that is drawn by chance, so that processes which failed together don't come back together. */
-const DRAWN_PART = 0.5;
+/** Fraction of each pause that is random, so that processes which failed together don't retry together. */
+const JITTER = 0.5;
 
-/** See the module's comment. */
+/**
+ * Computes the pause before the next retry: it doubles after each failure up to a maximum. Without it, the retries of a
+ * whole fleet that has no leader would overload the VMs that are electing one.
+ */
 export class NodeBackoff {
   private failures = 0;
 
   /**
-   * @param random source of the drawn part
+   * @param random source of the jitter
    */
   constructor(private readonly random: Random = Math.random) {}
 
-  /** The pause before the next try, in milliseconds. */
+  /** The pause before the next retry, in milliseconds. */
   nextMs(): number {
     const longest = Math.min(MAX_RETRY_PAUSE_MS, RETRY_PAUSE_MS * 2 ** this.failures);
     this.failures++;
-    return longest * (1 - DRAWN_PART * this.random());
+    return longest * (1 - JITTER * this.random());
   }
 
-  /** A try was answered: the next failure is followed by a short pause again. */
+  /** Starts again with the shortest pause, after a success. */
   reset(): void {
     this.failures = 0;
   }
--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -26,17 +26,17 @@
 import type {NodeLimits} from './NodeLimits';
 import type {NodeOptions} from './NodeTypes';
 
-import {CONTROL_GROUP, LEADER_HANDOVER_MS, BOOTSTRAP_INTERVAL_MS} from './NodeConstants';
+import {BOOTSTRAP_INTERVAL_MS, CONTROL_GROUP, LEADER_HANDOVER_MS} from './NodeConstants';
 import {NodeControlCalls} from './NodeControlCalls';
 import {NodeDesk} from './NodeDesk';
 import {NodeFollowerDesk} from './NodeFollowerDesk';
 import {NodeGroup} from './NodeGroup';
-import {requestHead, readBody, sendResponse, startServer} from './NodeHttp';
+import {readBody, requestHead, sendResponse, startServer} from './NodeHttp';
 import {NodeIntroducer} from './NodeIntroducer';
 import {NodeLog} from './NodeLog';
 import {NodeRemembered} from './NodeRemembered';
 import {addNodeService} from './NodeService';
-import {hostOf, toleratedDiskLosses, portOf} from './NodeSettings';
+import {hostOf, portOf, toleratedDiskLosses} from './NodeSettings';
 
 /** Largest call of the operator, in bytes: a configuration of some hundred thousand routes' shares. */
 const MAX_CALL_BYTES = 16_777_216;
@@ -246,7 +246,7 @@
       return Promise.resolve(null);
     }
     if (request.kind === 'peek') {
-      return Promise.resolve(watch.told());
+      return Promise.resolve(watch.unprovenAnswer());
     }
     const leads = (replica: ReplicaId): boolean => vmOfReplica(replica) === control.leaderHost;
     throw new NotLeaderError(watch.controls.find(leads) ?? null);
--- a/packages/stallpaddle-node/src/NodeCustomers.ts
+++ b/packages/stallpaddle-node/src/NodeCustomers.ts
@@ -1,7 +1,4 @@
-/**
- * Who sends a call, by the key that it shows. A key is unknown only by the latest configuration: whoever knows an older one
- * asks before it turns a caller away.
- */
+/** Authentication of callers by their keys. */
 import type {Clock, MonotonicMs} from 'stallpaddle';
 import type {RelayCaller} from 'stallpaddle-relay';
 
@@ -12,36 +9,39 @@
 
 import {CONFIG_RETRY_AFTER_MS, KEY_MAX_AGE_MS, KEY_REFRESH_PAUSE_MS} from './NodeConstants';
 
-/** Fleets that know no customers let callers say of themselves what they like. */
-const UNTOLD: RelayCaller = {kind: 'untold'};
-const ANYBODY: RelayCaller = {kind: 'anybody'};
+/** Caller in a fleet without customers, where callers are not authenticated. */
+const UNAUTHENTICATED: RelayCaller = {kind: 'untold'};
+const ANONYMOUS: RelayCaller = {kind: 'anybody'};
 
-/** See the module's comment. */
+/**
+ * Identifies callers by the keys of the configuration held here. A key that this configuration doesn't contain may be new,
+ * so the leader is asked for the latest configuration before a caller is refused.
+ */
 export class NodeCustomers {
-  private askedAt: MonotonicMs = -Infinity;
-  /** Undefined where the fleet knows no customers. */
+  private refreshedAt: MonotonicMs = -Infinity;
+  /** Undefined in a fleet without customers. */
   private table: CustomerTable | undefined;
 
   /**
    * @param clock this process's clock
-   * @param watch what is known of the fleet
+   * @param watch the fleet status
    */
   constructor(
     private readonly clock: Clock,
-    private readonly watch: Pick<NodeWatch, 'ageMs' | 'confirm' | 'freshen'>,
+    private readonly watch: Pick<NodeWatch, 'ageMs' | 'confirm' | 'refresh'>,
   ) {}
 
   /**
-   * Takes in a configuration.
+   * Applies a configuration.
    *
    * @param config the configuration
    */
-  follow({customers}: FleetConfig): void {
+  applyConfig({customers}: FleetConfig): void {
     this.table = customers === undefined ? undefined : new CustomerTable(customers);
   }
 
   /**
-   * A customer by its name.
+   * Finds a customer by name.
    *
    * @param name the name
    */
@@ -50,24 +50,25 @@
   }
 
   /**
-   * Lets a VM that was cut off or suspended learn which keys are gone before it serves by what it knew.
-   * Nobody waits twice within a moment for a leader that doesn't answer: the VM serves on with what it has.
+   * Refreshes the configuration of a VM that was partitioned or suspended, so that it doesn't accept revoked keys. If the
+   * leader doesn't answer, the VM goes on with the keys that it has and asks again only after a pause.
    */
-  async catchUp(): Promise<void> {
+  async refreshIfStale(): Promise<void> {
     const now = this.clock.monotonicMs();
     const isOld = this.table !== undefined && this.watch.ageMs > KEY_MAX_AGE_MS;
-    if (isOld && now - this.askedAt >= KEY_REFRESH_PAUSE_MS) {
-      this.askedAt = now;
-      await this.watch.freshen(KEY_MAX_AGE_MS);
+    if (isOld && now - this.refreshedAt >= KEY_REFRESH_PAUSE_MS) {
+      this.refreshedAt = now;
+      await this.watch.refresh(KEY_MAX_AGE_MS);
     }
   }
 
   /**
-   * Who sends a call.
+   * Identifies the sender of a call.
    *
-   * @param key the key that it shows; null for none
-   * @param isOpen whether the call needs no key, as configured now
-   * @throws {RefusalError} `unauthorized` for a key that nobody holds, `stale` while that isn't certain
+   * @param key the key of the call; null for none
+   * @param isOpen returns whether the current configuration requires no key for the call
+   * @throws {RefusalError} `unauthorized` for a key that the latest configuration doesn't contain, `stale` when the
+   * latest configuration can't be read
    */
   async identify(key: null | string, isOpen: () => boolean): Promise<RelayCaller> {
     const digest = key === null ? null : keyDigest(key);
@@ -81,18 +82,20 @@
       return found;
     }
     throw isFresh
-      ? refuse('unauthorized', 'The request shows no key of a customer.')
-      : refuse('stale', 'The latest keys are not known now.', {retryAfterMs: CONFIG_RETRY_AFTER_MS});
+      ? refuse('unauthorized', 'The request carries no valid customer key.')
+      : refuse('stale', 'The latest keys can’t be read at the moment.', {
+          retryAfterMs: CONFIG_RETRY_AFTER_MS,
+        });
   }
 
   private callerOf(digest: null | string, isOpen: () => boolean): RelayCaller | undefined {
     if (this.table === undefined) {
-      return UNTOLD;
+      return UNAUTHENTICATED;
     }
     const holder = digest === null ? undefined : this.table.holderOf(digest);
     if (holder !== undefined) {
       return {kind: 'customer', name: holder.name};
     }
-    return isOpen() ? ANYBODY : undefined;
+    return isOpen() ? ANONYMOUS : undefined;
   }
 }
--- a/packages/stallpaddle-node/src/NodeDrainState.ts
+++ b/packages/stallpaddle-node/src/NodeDrainState.ts
@@ -1,49 +1,54 @@
-/**
- * Requests under way at a process, and whether it still takes more: it does at first, a stopping process
- * does for as long as a request may take before the end, and then no more.
- */
+/** Requests in flight and graceful shutdown. */
 import type {Clock, MonotonicMs} from 'stallpaddle';
 
 import {delay} from 'stallpaddle';
 
-import {ADDRESSES_TTL_S, SHUTDOWN_MARGIN_MS, LAST_REQUEST_MARGIN_MS, SECOND_MS} from './NodeConstants';
+import {
+  ADDRESSES_TTL_S,
+  LAST_REQUEST_MARGIN_MS,
+  SECOND_MS,
+  SHUTDOWN_MARGIN_MS,
+} from './NodeConstants';
 
-/** Time between looks whether a stopping process is idle, in milliseconds. */
-const IDLE_LOOK_MS = 50;
-/** Some callers keep the addresses three times as long as they were told; in milliseconds. */
-const ADDRESSES_KEPT_MS = 3 * SECOND_MS * ADDRESSES_TTL_S;
+/** Interval between checks whether a stopping process is idle, in milliseconds. */
+const IDLE_CHECK_MS = 50;
+/** Time for which callers may still use cached addresses, in milliseconds: some exceed the TTL up to three times. */
+const ADDRESSES_CACHED_MS = 3 * SECOND_MS * ADDRESSES_TTL_S;
 
-/** See the module's comment. */
+/**
+ * Counts the requests in flight and tracks the phases of a graceful shutdown. A stopping process still serves new
+ * requests while callers may have its address cached and there is time to finish them; after that it refuses them.
+ */
 export class NodeDrainState {
   private open = 0;
   private phase: 'leaving' | 'refusing' | 'serving' = 'serving';
 
   /**
    * @param clock this process's clock
-   * @param graceMs time between the signal to stop and the end, in milliseconds
+   * @param graceMs grace period between the signal to stop and the end, in milliseconds
    */
   constructor(
     private readonly clock: Clock,
     private readonly graceMs: number,
   ) {}
 
-  /** Number of requests under way. */
+  /** Number of requests in flight. */
   get openRequests(): number {
     return this.open;
   }
 
-  /** Whether the process stops, so that callers should go elsewhere. */
+  /** Whether the process is stopping, so that callers should use other VMs. */
   get isLeaving(): boolean {
     return this.phase !== 'serving';
   }
 
-  /** Whether a request that comes now is refused. */
+  /** Whether new requests are refused. */
   get isRefusing(): boolean {
     return this.phase === 'refusing';
   }
 
   /**
-   * Counts a request as under way until its work has ended.
+   * Counts a request as in flight until its work has ended.
    *
    * @param work serves the request
    * @throws what `work` throws
@@ -57,23 +62,23 @@
     }
   }
 
-  /** Begins to stop: requests that still come are served. */
+  /** Begins the shutdown; new requests are still served. */
   leave(): void {
     this.phase = 'leaving';
   }
 
-  /** Waits until a request that comes now might be cut off at the end; from then on all are refused. */
+  /** Waits until a new request might not finish within the grace period, then refuses new requests. */
   async untilLastRequests(): Promise<void> {
-    await delay(Math.min(ADDRESSES_KEPT_MS, Math.max(0, this.graceMs - LAST_REQUEST_MARGIN_MS)));
+    await delay(Math.min(ADDRESSES_CACHED_MS, Math.max(0, this.graceMs - LAST_REQUEST_MARGIN_MS)));
     this.phase = 'refusing';
   }
 
-  /** Waits until nothing is under way, or the end is near. */
+  /** Waits until no request is in flight, or the grace period is nearly over. */
   async untilIdle(): Promise<void> {
-    const mostMs = Math.min(this.graceMs, LAST_REQUEST_MARGIN_MS) - SHUTDOWN_MARGIN_MS;
-    const end: MonotonicMs = this.clock.monotonicMs() + mostMs;
+    const timeoutMs = Math.min(this.graceMs, LAST_REQUEST_MARGIN_MS) - SHUTDOWN_MARGIN_MS;
+    const end: MonotonicMs = this.clock.monotonicMs() + timeoutMs;
     while (this.open > 0 && this.clock.monotonicMs() < end) {
-      await delay(IDLE_LOOK_MS);
+      await delay(IDLE_CHECK_MS);
     }
   }
 }
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -1,6 +1,4 @@
-/**
- * The part of a process that serves callers: it brings their requests to engines and their jobs to the store.
- */
+/** Component of a process that serves callers. */
 
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {LogFields} from 'stallpaddle';
@@ -29,27 +27,27 @@
 
 import {sampleEntries} from './NodeAddresses';
 import {NodeAdmission} from './NodeAdmission';
-import {MAX_ADDRESSES, CONFIG_RETRY_AFTER_MS, IDLE_MARGIN_MS} from './NodeConstants';
-import {countEnd, exposeEntryMetrics} from './NodeEntryMetrics';
-import {BodyTooLargeError, requestHead, readBody, sendResponse, startServer} from './NodeHttp';
+import {CONFIG_RETRY_AFTER_MS, IDLE_MARGIN_MS, MAX_ADDRESSES} from './NodeConstants';
 import {NodeDrainState} from './NodeDrainState';
+import {countEnd, exposeEntryMetrics} from './NodeEntryMetrics';
+import {BodyTooLargeError, readBody, requestHead, sendResponse, startServer} from './NodeHttp';
 import {NodeJobCalls} from './NodeJobCalls';
 import {NodeLog} from './NodeLog';
+import {NodeOnlineReporter} from './NodeOnlineReporter';
 import {NodeRoutes} from './NodeRoutes';
 import {makeSuspects} from './NodeSuspects';
-import {NodeOnlineReporter} from './NodeOnlineReporter';
 
-/** Time that a rested connection is kept before the first configuration, in milliseconds. */
-const FIRST_IDLE_MS = 15_000;
+/** Idle timeout of a connection before the first configuration, in milliseconds. */
+const DEFAULT_IDLE_MS = 15_000;
 /** Largest body before the first configuration, in bytes. */
-const FIRST_BODY_BYTES = 4_194_304;
-/** Age up to which what is known of the fleet makes a VM ready, in milliseconds. */
-const READY_AGE_MS = 3_000;
+const DEFAULT_MAX_BODY_BYTES = 4_194_304;
+/** Oldest fleet status with which a VM is ready, in milliseconds. */
+const READY_MAX_AGE_MS = 3_000;
 
-/** Status of an answer that there is no such job. */
+/** Status of an answer for an unknown job. */
 const NOT_FOUND = 404;
 
-/** See the module's comment. */
+/** Serves callers: sends their requests to engines, forwards their job calls, and answers lookups of entry VMs. */
 export class NodeEntry {
   private readonly admission: NodeAdmission;
   private readonly context: RelayContext;
@@ -58,14 +56,14 @@
   private readonly log: NodeLog;
   private readonly routes: NodeRoutes;
   private servers: readonly Server[] = [];
-  private readonly tells: NodeOnlineReporter;
+  private readonly reporter: NodeOnlineReporter;
   private readonly usual = new RelayUsual();
 
   /**
-   * @param options what the process is made of
-   * @param fleet the process's place in its fleet
-   * @param customers who may send requests
-   * @param limits how many of them
+   * @param options dependencies of the process
+   * @param fleet connections to the fleet and its status
+   * @param customers identifies callers
+   * @param limits the customers' rate limits
    */
   constructor(
     private readonly options: NodeOptions,
@@ -84,7 +82,12 @@
       limits,
     });
     const online = new RelayOnline(clock);
-    this.tells = new NodeOnlineReporter(jobs, online, drawId('e'), () => watch.view.news.entries.length);
+    this.reporter = new NodeOnlineReporter(
+      jobs,
+      online,
+      drawId('e'),
+      () => watch.view.news.entries.length,
+    );
     this.jobCalls = new NodeJobCalls(jobs, wire, this.log, clock);
     this.context = {
       clock,
@@ -106,8 +109,8 @@
     };
   }
 
-  /** What this part says of itself to the control group's leader. */
-  hellos(): readonly Hello[] {
+  /** Heartbeats of this component. */
+  heartbeats(): readonly Hello[] {
     const {callers, name, zone} = this.options.settings;
     return callers === null
       ? []
@@ -115,49 +118,48 @@
   }
 
   /**
-   * Follows what is known of the fleet.
+   * Applies a change of the fleet status.
    *
-   * @param view what is known now
-   * @param before what was known before
+   * @param view the new status
+   * @param before the previous status
    */
   onView(view: FleetView, before: FleetView): void {
     if (view.config !== null && view.config !== before.config) {
-      this.routes.follow(view.config);
-      this.customers.follow(view.config);
+      this.routes.applyConfig(view.config);
+      this.customers.applyConfig(view.config);
       this.followLimits();
       this.log.note('A configuration is in force.', {version: view.config.version});
     }
   }
 
-  /** Begins to listen. */
+  /** Starts the servers and the reports to the dispatcher. */
   async open(): Promise<void> {
     const {callers, directory, ready} = this.options.settings;
     const servers: Promise<Server>[] = [];
     if (callers !== null) {
       const handler = (req: IncomingMessage, res: ServerResponse) => void this.handle(req, res);
-      servers.push(startServer(callers, handler, FIRST_IDLE_MS + IDLE_MARGIN_MS));
+      servers.push(startServer(callers, handler, DEFAULT_IDLE_MS + IDLE_MARGIN_MS));
     }
     for (const address of new Set([directory, ready].filter((other) => other !== null))) {
-      servers.push(startServer(address, (req, res) => this.handlePlain(req, res), FIRST_IDLE_MS));
+      servers.push(
+        startServer(address, (req, res) => this.handleLookup(req, res), DEFAULT_IDLE_MS),
+      );
     }
     const {intake, watch} = this;
     const {online, pace} = this.context;
     exposeEntryMetrics(this.fleet.metrics, {intake, online, pace, watch});
     this.servers = await Promise.all(servers);
-    void this.tells.run();
+    void this.reporter.run();
   }
 
-  /**
-   * Takes no new callers, serves those that still come for as long as a request may take before the end,
-   * then refuses what comes; resolves once nothing is under way.
-   */
+  /** Leaves the lists of entry VMs, drains requests, and resolves once none is in flight or the grace period ends. */
   async stop(): Promise<void> {
     this.intake.leave();
     void this.watch.ask(0);
     await this.intake.untilLastRequests();
     this.servers.forEach((server) => server.close());
     await this.intake.untilIdle();
-    this.tells.stop();
+    this.reporter.stop();
   }
 
   private get watch(): NodeWatch {
@@ -166,7 +168,9 @@
 
   private get ready(): boolean {
     return (
-      !this.intake.isLeaving && this.watch.view.config !== null && this.watch.ageMs < READY_AGE_MS
+      !this.intake.isLeaving &&
+      this.watch.view.config !== null &&
+      this.watch.ageMs < READY_MAX_AGE_MS
     );
   }
 
@@ -186,8 +190,8 @@
     }
   }
 
-  /** Questions of the platform and of callers that look for a VM. */
-  private handlePlain(req: IncomingMessage, res: ServerResponse): void {
+  /** Answers readiness checks and requests for the addresses of entry VMs. */
+  private handleLookup(req: IncomingMessage, res: ServerResponse): void {
     const {wire} = this.options;
     const call = requestHead(req);
     req.resume();
@@ -204,15 +208,15 @@
       sendResponse(res, {status: 503});
       return;
     }
-    const named = sampleEntries(entries, MAX_ADDRESSES, Math.random);
-    sendResponse(res, wire.encodeAddresses(named));
+    const sample = sampleEntries(entries, MAX_ADDRESSES, Math.random);
+    sendResponse(res, wire.encodeAddresses(sample));
   }
 
   private async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
     if (this.intake.isLeaving) {
       res.setHeader('connection', 'close');
     }
-    // A caller that leaves while its answer is written is seen by whoever writes.
+    // Prevents an uncaught error when the caller disconnects; the writer of the response detects that itself.
     res.on('error', () => {});
     await this.intake.count(async () => {
       try {
@@ -230,7 +234,7 @@
       res.setHeader('connection', 'close');
       sendRefusal(res, refuse('bodyTooLarge', 'The body is longer than allowed.'));
     } else {
-      this.log.note('A call broke off.', {error: errorMessage(err), url: req.url});
+      this.log.note('A call failed unexpectedly.', {error: errorMessage(err), url: req.url});
       res.destroy();
     }
   }
@@ -239,9 +243,9 @@
     const {clock, wire} = this.options;
     const arrivedAt = clock.monotonicMs();
     if (this.intake.isRefusing) {
-      throw refuse('leaving', 'This VM stops.', {retryAfterMs: 0});
+      throw refuse('leaving', 'This VM is stopping.', {retryAfterMs: 0});
     }
-    await this.customers.catchUp();
+    await this.customers.refreshIfStale();
     const call = requestHead(req);
     const jobCall = wire.readJobCall(call);
     if (jobCall !== null) {
@@ -249,8 +253,8 @@
       sendResponse(res, await this.carryOut(jobCall, req));
       return;
     }
-    const most = this.watch.view.config?.limits.maxBodyBytes ?? FIRST_BODY_BYTES;
-    const body = await readBody(req, most);
+    const maxBytes = this.watch.view.config?.limits.maxBodyBytes ?? DEFAULT_MAX_BODY_BYTES;
+    const body = await readBody(req, maxBytes);
     const host = req.headers.host ?? '';
     const route = await this.routes.routeOf(host, call.url);
     const isOpen = (): boolean => (this.routes.find(host, call.url) ?? route).isPublic === true;
@@ -264,7 +268,7 @@
       case 'streaming': {
         const facts = wire.relay.readCaller(req.headers);
         if (facts === null) {
-          throw refuse('badRequest', 'The request carries no name of its own.');
+          throw refuse('badRequest', 'The request carries no request id.');
         }
         const {method, url} = call;
         const {rawHeaders} = req;
@@ -289,19 +293,19 @@
     }
   }
 
-  /** Brings a request to an engine, within its customer's limit. */
+  /** Sends a request to an engine, within its customer's limit. */
   private async relay(request: RelayRequest, res: ServerResponse): Promise<void> {
     const {caller, facts} = request;
     await this.admission.admit(caller, facts.requestId);
     if (res.destroyed) {
-      // Its caller left meanwhile.
-      this.admission.giveBack(caller);
+      // The caller disconnected meanwhile.
+      this.admission.refund(caller);
       return;
     }
     const run = new RelayRun(this.context, request, res);
     await run.run();
     if (run.ranNowhere) {
-      this.admission.giveBack(caller);
+      this.admission.refund(caller);
     }
   }
 
@@ -318,7 +322,7 @@
     }
   }
 
-  /** That a job isn't there is told by the latest keys only: a key may have gone to another customer. */
+  /** Carries out a job call. A 404 is only sent by the latest keys, since a key may have moved to another customer. */
   private async carryOut(call: JobCall, req: IncomingMessage): Promise<RawResponse> {
     const host = req.headers.host ?? '';
     const isOpen = (): boolean => this.routes.takesJobsOfAnybody(host);
@@ -328,7 +332,9 @@
       return answer;
     }
     if (!(await this.watch.confirm())) {
-      throw refuse('stale', 'The latest keys are not known now.', {retryAfterMs: CONFIG_RETRY_AFTER_MS});
+      throw refuse('stale', 'The latest keys can’t be read at the moment.', {
+        retryAfterMs: CONFIG_RETRY_AFTER_MS,
+      });
     }
     const latest = await this.identify(req, isOpen);
     const isSame = latest.kind === 'customer' && latest.name === caller.name;
--- a/packages/stallpaddle-node/src/NodeEntryMetrics.ts
+++ b/packages/stallpaddle-node/src/NodeEntryMetrics.ts
@@ -1,6 +1,4 @@
-/**
- * Metrics of a process that serves callers.
- */
+/** Metrics of a process that serves callers. */
 import type {LogFields} from 'stallpaddle';
 import type {RelayOnline, RelayPace} from 'stallpaddle-relay';
 
@@ -10,17 +8,17 @@
 
 import {SECOND_MS} from './NodeConstants';
 
-/** What the gauges read. */
+/** Sources of the gauges. */
 export interface EntryGauges {
   readonly intake: NodeDrainState;
-  /** Online requests of this VM at each engine. */
+  /** Counts this VM's online requests at each engine. */
   readonly online: RelayOnline;
-  /** How fast engines are, as this VM has seen it. */
+  /** Learned limits on the engines' response times. */
   readonly pace: RelayPace;
   readonly watch: NodeWatch;
 }
 
-/** Online requests for each slot of all engines. */
+/** Online requests per engine slot. */
 function occupancy({online, watch}: EntryGauges): number {
   const {engines} = watch.view.news;
   const slots = engines.reduce((sum, engine) => sum + engine.slots, 0);
@@ -32,7 +30,7 @@
  * Adds the gauges.
  *
  * @param metrics the process's metrics
- * @param gauges what they read
+ * @param gauges their sources
  */
 export function exposeEntryMetrics(metrics: NodeMetrics, gauges: EntryGauges): void {
   const {intake, pace, watch} = gauges;
@@ -64,7 +62,7 @@
  * Counts a request that has ended.
  *
  * @param metrics the process's metrics
- * @param fields what the relay's decision `ended` tells of it
+ * @param fields log fields of the relay's decision `ended`
  */
 export function countEnd(metrics: NodeMetrics, {end, firstMs, kind, verdict}: LogFields): void {
   const labels = {end: String(end), kind: String(kind), verdict: String(verdict)};
--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -10,12 +10,12 @@
 
 import type {NodeSettings} from './NodeSettings';
 
-import {candidateHosts, NodeGroupClient} from './NodeGroupClient';
 import {CONTROL_GROUP, JOBS_GROUP} from './NodeConstants';
-import {orderReplicaHosts} from './NodeReplicaSelector';
+import {candidateHosts, NodeGroupClient} from './NodeGroupClient';
 import {NodeMetrics} from './NodeMetrics';
 import {NodePeers} from './NodePeers';
 import {NodeRelayedHellos} from './NodeRelayedHellos';
+import {orderReplicaHosts} from './NodeReplicaSelector';
 import {hostOf} from './NodeSettings';
 import {NodeWatch} from './NodeWatch';
 
@@ -124,7 +124,12 @@
     const {controls, view} = this.watch;
     const hosts = controls.length === 0 ? this.seeds.map(hostOf) : controls.map(vmOfReplica);
     const zones = new Map(view.news.entries.map((entry) => [hostOf(entry.address), entry.zone]));
-    return orderReplicaHosts({hosts: [...new Set(hosts)], name, zone, zoneOf: (host) => zones.get(host)});
+    return orderReplicaHosts({
+      hosts: [...new Set(hosts)],
+      name,
+      zone,
+      zoneOf: (host) => zones.get(host),
+    });
   }
 
   /** Hosts that may lead the control group, best known first. */
--- a/packages/stallpaddle-node/src/NodeFront.ts
+++ b/packages/stallpaddle-node/src/NodeFront.ts
@@ -1,7 +1,4 @@
-/**
- * The process on an entry VM: it serves callers, engines and the operator, and holds a replica of the
- * control group where the VM has a disk.
- */
+/** The process on an entry VM. */
 import type {FleetView, Hello} from 'stallpaddle-fleet';
 
 import type {NodeSettings} from './NodeSettings';
@@ -15,7 +12,7 @@
 import {startMetricsServer} from './NodeHttp';
 import {NodeLimits} from './NodeLimits';
 
-/** See the module's comment. */
+/** Serves callers, engines and the operator, and runs a replica of the control group if the VM has a disk. */
 export class NodeFront implements RunningNode {
   private readonly control: NodeControl;
   private readonly entry: NodeEntry;
@@ -28,7 +25,7 @@
       answer: mayLead ? (request) => this.control.answerHere(request) : null,
       asksLeader: () => mayLead,
       clock,
-      hellos: () => this.hellos(),
+      hellos: () => this.heartbeats(),
       note: (message, fields) => this.control.note(message, fields),
       onSilence: () => this.control.onSilence(),
       onView: (view, before) => this.onView(view, before),
@@ -55,7 +52,7 @@
   /**
    * Starts the process.
    *
-   * @param options what it is made of
+   * @param options its dependencies
    */
   static async start(options: NodeOptions): Promise<NodeFront> {
     const node = new NodeFront(options);
@@ -64,15 +61,15 @@
   }
 
   /**
-   * Takes in settings that have changed.
+   * Applies changed settings.
    *
-   * @param settings the settings as they are now; only the seeds are followed
+   * @param settings the new settings, of which only the seeds are applied
    */
   reload(settings: NodeSettings): void {
     this.fleet.reload(settings);
   }
 
-  /** Leads no more, serves callers to the end as planned, then ends the replica. */
+  /** Gives up leadership, drains the requests of callers, then closes the replica. */
   async stop(): Promise<void> {
     this.control.leave();
     await this.entry.stop();
@@ -80,8 +77,8 @@
     this.fleet.close();
   }
 
-  private hellos(): readonly Hello[] {
-    return [...this.entry.hellos(), ...this.control.hellos()];
+  private heartbeats(): readonly Hello[] {
+    return [...this.entry.heartbeats(), ...this.control.hellos()];
   }
 
   private onView(view: FleetView, before: FleetView): void {
@@ -92,7 +89,7 @@
   private async open(): Promise<void> {
     const {metrics, watch} = this.fleet;
     await startMetricsServer(this.options.settings.metrics, metrics);
-    // Callers are heard while the disk is still being read.
+    // Callers are accepted while the replica is still reading its disk.
     await Promise.all([this.entry.open(), this.control.open()]);
     void watch.run();
   }
--- a/packages/stallpaddle-node/src/NodeGroup.ts
+++ b/packages/stallpaddle-node/src/NodeGroup.ts
@@ -15,7 +15,7 @@
 import type {NodeMetrics, ReadGauge} from './NodeMetrics';
 import type {NodePeers} from './NodePeers';
 
-import {GROUP_TIMING, MEMBERSHIP_CHECK_MS, DISK_REOPEN_PAUSE_MS, SECOND_MS} from './NodeConstants';
+import {DISK_REOPEN_PAUSE_MS, GROUP_TIMING, MEMBERSHIP_CHECK_MS, SECOND_MS} from './NodeConstants';
 import {type KnownReplica, planMembers} from './NodeKeeper';
 
 /** Most changes of members at one look: all that follows a lost VM, or the founding of a group of five by three. */
--- a/packages/stallpaddle-node/src/NodeGroupClient.ts
+++ b/packages/stallpaddle-node/src/NodeGroupClient.ts
@@ -1,48 +1,46 @@
-/**
- * Calls to the leader of a group: finds it, and tries again while that can do no harm.
- */
+/** Client of a replication group. */
 
 import type {Clock, GroupId, ReplicaId, VmId} from 'stallpaddle';
 import type {RpcChannel, TryOutcome, TryRequest} from 'stallpaddle-rpc';
 
 import {delay, encodeValue, RefusalError, vmOfReplica} from 'stallpaddle';
 
-import {RETRY_PAUSE_MS, CALL_TIMEOUT_MS, SLOW_LINK_BYTES_PER_MS} from './NodeConstants';
+import {CALL_TIMEOUT_MS, RETRY_PAUSE_MS, SLOW_LINK_BYTES_PER_MS} from './NodeConstants';
 import {hostOf} from './NodeSettings';
 
-/** What a caller needs of its process. */
+/** Dependencies of `NodeGroupClient`. */
 export interface NodeGroupClientOptions {
   readonly clock: Clock;
   readonly group: GroupId;
-  /** Answers a call to this process's own host, where it may lead; a call over the network would cost two turns. */
+  /** Answers calls to this process's own host without the network; null for a process that can't lead. */
   readonly local: null | {
     readonly answer: (request: TryRequest) => Promise<TryOutcome>;
     readonly host: VmId;
   };
-  /** Hosts that may lead, best known first. */
+  /** Hosts that may lead, the likeliest first. */
   readonly hosts: () => readonly VmId[];
   readonly peers: {readonly channel: (host: VmId) => Pick<RpcChannel, 'call' | 'post'>};
 }
 
-/** One call. */
+/** A call to the group's leader. */
 export interface GroupCall {
-  /** Whether it changes something: then a lost answer leaves its outcome unknown. */
+  /** Whether the call changes state, so that its outcome is unknown when the answer is lost. */
   readonly changes: boolean;
-  /** Longest time for which the leader holds the answer, in milliseconds. */
+  /** Longest time that the leader holds the answer, in milliseconds. */
   readonly heldMs?: number;
-  /** Longest time for all tries, in milliseconds. */
+  /** Timeout of all tries together, in milliseconds. */
   readonly totalMs: number;
-  /** Longest single try at a leader that has answered before, in milliseconds. */
+  /** Timeout of a single try at a leader that has answered before, in milliseconds. */
   readonly tryMs?: number;
-  /** Command or question; may arrive twice without harm. */
+  /** An idempotent command or query. */
   readonly value: unknown;
 }
 
 /**
- * Hosts that may lead a group, each once.
+ * Distinct hosts that may lead a group.
  *
- * @param seeds addresses that are known from the start; asked first
- * @param replicas replicas of the group, best known first
+ * @param seeds addresses from the settings, which come first
+ * @param replicas replicas of the group, the likeliest leader first
  */
 export function candidateHosts(
   seeds: readonly string[],
@@ -51,17 +49,17 @@
   return [...new Set([...seeds.map(hostOf), ...replicas.map(vmOfReplica)])];
 }
 
-/** A host that leads, as far as known. */
+/** The last known leader. */
 interface KnownLeader {
-  /** Whether it has answered; else another replica has named it. */
+  /** Whether it has answered as leader; else another replica has named it. */
   readonly hasAnswered: boolean;
   readonly host: VmId;
 }
 
-/** An outcome that is unknown once its time is over. */
-function inTime(outcome: Promise<TryOutcome>, mostMs: number): Promise<TryOutcome> {
+/** Resolves to an unknown outcome after a timeout. */
+function withTimeout(outcome: Promise<TryOutcome>, timeoutMs: number): Promise<TryOutcome> {
   return new Promise((resolve) => {
-    const timer = setTimeout(() => resolve({kind: 'unknown'}), mostMs);
+    const timer = setTimeout(() => resolve({kind: 'unknown'}), timeoutMs);
     const end = (ended: TryOutcome): void => {
       clearTimeout(timer);
       resolve(ended);
@@ -70,22 +68,22 @@
   });
 }
 
-/** See the module's comment. */
+/** Finds the leader of a group, calls it, and retries as long as this is safe. */
 export class NodeGroupClient {
   private leader: KnownLeader | null = null;
   private next = 0;
 
   /**
-   * @param options what it needs of its process
+   * @param options its dependencies
    */
   constructor(private readonly options: NodeGroupClientOptions) {}
 
-  /** The host that led when last heard. */
+  /** Host of the last known leader. */
   get leaderHost(): null | VmId {
     return this.leader?.host ?? null;
   }
 
-  /** Hosts that may lead, best known first. */
+  /** Hosts that may lead, the likeliest first. */
   hosts(): readonly VmId[] {
     return this.options.hosts();
   }
@@ -94,7 +92,7 @@
    * Calls the leader.
    *
    * @param call the call
-   * @throws {RefusalError} when no leader answers in time; its verdict tells whether anything may have changed
+   * @throws {RefusalError} when no leader answers in time; its verdict says whether the call may have taken effect
    */
   async call<Answer>({changes, heldMs = 0, totalMs, tryMs, value}: GroupCall): Promise<Answer> {
     const {clock, group} = this.options;
@@ -103,9 +101,12 @@
     const end = clock.monotonicMs() + totalMs;
     let mayHaveChanged = false;
     for (let left = totalMs; left > 0; left = end - clock.monotonicMs()) {
-      // A VM that is only guessed or named to lead may be dark: a read would spend all its time there.
-      const mostMs = this.leader?.hasAnswered === true ? (tryMs ?? shortMs) : shortMs;
-      const outcome = await this.tryOnce({encoded, group, query: !changes}, Math.min(mostMs, left));
+      // A VM that has not answered as leader may be unreachable, so it gets only the short timeout.
+      const timeoutMs = this.leader?.hasAnswered === true ? (tryMs ?? shortMs) : shortMs;
+      const outcome = await this.tryOnce(
+        {encoded, group, query: !changes},
+        Math.min(timeoutMs, left),
+      );
       if (outcome.kind === 'answered') {
         return outcome.result as Answer;
       }
@@ -117,22 +118,22 @@
   }
 
   /**
-   * Makes one try at the best known host, and learns from it where the leader is.
+   * Makes one try at the last known leader or, without one, at the next host, and updates the known leader.
    *
    * @param request the call
-   * @param tryMs longest wait, in milliseconds
+   * @param tryMs timeout, in milliseconds
    */
   async tryOnce(request: TryRequest, tryMs: number): Promise<TryOutcome> {
-    const asked = this.leader;
-    const host = asked?.host ?? this.nextHost();
+    const leaderBefore = this.leader;
+    const host = leaderBefore?.host ?? this.nextHost();
     if (host === undefined) {
       return {kind: 'notLeader', leader: null};
     }
     const outcome = await this.tryAt(host, request, tryMs);
     if (outcome.kind === 'answered') {
       this.leader = {hasAnswered: true, host};
-    } else if (this.leader === asked) {
-      // Unless another call has learned more meanwhile: many may end one after the other at a leader that is lost.
+    } else if (this.leader === leaderBefore) {
+      // A concurrent call may have found the new leader already: a late failure at the old one must not discard it.
       const named = outcome.kind === 'notLeader' && outcome.leader !== host ? outcome.leader : null;
       this.leader = named === null ? null : {hasAnswered: false, host: named};
     }
@@ -140,21 +141,21 @@
   }
 
   /**
-   * Makes one try at a certain host, whether it leads or not.
+   * Makes one try at a given host, whether it leads or not.
    *
    * @param host the host
-   * @param request a question that any replica answers
-   * @param tryMs longest wait, in milliseconds
+   * @param request a query that any replica answers
+   * @param tryMs timeout, in milliseconds
    */
   tryAt(host: VmId, request: TryRequest, tryMs: number): Promise<TryOutcome> {
     const {local, peers} = this.options;
     return local?.host === host
-      ? inTime(local.answer(request), tryMs)
+      ? withTimeout(local.answer(request), tryMs)
       : peers.channel(host).call(request, tryMs);
   }
 
   /**
-   * Tells the leader something whose loss does no harm, where a leader is known.
+   * Sends a message whose loss is harmless to the leader, if one is known, without waiting for an answer.
    *
    * @param request the call
    * @returns whether it was sent
--- a/packages/stallpaddle-node/src/NodeHttp.ts
+++ b/packages/stallpaddle-node/src/NodeHttp.ts
@@ -1,25 +1,23 @@
-/**
- * HTTP servers of a process, and bodies and answers on them.
- */
+/** HTTP servers of a process, with helpers for request bodies and responses. */
 import type {IncomingMessage, RequestListener, Server, ServerResponse} from 'node:http';
 
 import {createServer} from 'node:http';
 import {errorMessage} from 'stallpaddle';
 
 import type {NodeMetrics} from './NodeMetrics';
-import type {RawResponse, RawRequest} from './NodeWire';
+import type {RawRequest, RawResponse} from './NodeWire';
 
 import {hostOf, portOf} from './NodeSettings';
 
-/** Largest header block of any call, in bytes; callers are bound by the configuration's own limit. */
+/** Largest header block of any request, in bytes; the configuration may set a lower limit for callers. */
 const MAX_HEADER_BYTES = 65_536;
 
 /** Path of the metrics. */
 const METRICS_PATH = '/metrics';
-/** Time that a rested connection of a metrics collector is kept, in milliseconds. */
+/** Idle timeout of a metrics collector's connection, in milliseconds. */
 const METRICS_IDLE_MS = 10_000;
 
-/** A body that is longer than allowed. */
+/** A request body exceeds the size limit. */
 export class BodyTooLargeError extends Error {
   override readonly name = 'BodyTooLargeError';
 }
@@ -27,9 +25,9 @@
 /**
  * Starts a server.
  *
- * @param address IP number and port
+ * @param address IP address and port
  * @param handler answers each request; must not throw
- * @param idleMs time that a rested connection is kept, in milliseconds
+ * @param idleMs idle timeout of a connection, in milliseconds
  */
 export async function startServer(
   address: string,
@@ -54,14 +52,14 @@
 }
 
 /**
- * Reads a whole body.
+ * Reads a request body.
  *
  * @param req the request
- * @param most most bytes
- * @throws {BodyTooLargeError} when there are more
+ * @param maxBytes largest size, in bytes
+ * @throws {BodyTooLargeError} when the body is larger
  */
-export async function readBody(req: IncomingMessage, most: number): Promise<Buffer> {
-  if (Number(req.headers['content-length'] ?? 0) > most) {
+export async function readBody(req: IncomingMessage, maxBytes: number): Promise<Buffer> {
+  if (Number(req.headers['content-length'] ?? 0) > maxBytes) {
     throw new BodyTooLargeError();
   }
   const chunks: Buffer[] = [];
@@ -69,7 +67,7 @@
   for await (const chunk of req) {
     const bytes = chunk as Buffer;
     size += bytes.length;
-    if (size > most) {
+    if (size > maxBytes) {
       throw new BodyTooLargeError();
     }
     chunks.push(bytes);
@@ -78,7 +76,7 @@
 }
 
 /**
- * A call without its body.
+ * Method, URL and headers of a request.
  *
  * @param req the request
  */
@@ -87,10 +85,10 @@
 }
 
 /**
- * Sends an answer.
+ * Sends a response, unless one was begun or the connection is closed.
  *
- * @param res the response
- * @param answer what to send
+ * @param res the HTTP response
+ * @param answer its content
  */
 export function sendResponse(res: ServerResponse, answer: RawResponse): void {
   if (res.headersSent || res.destroyed) {
@@ -105,9 +103,9 @@
 }
 
 /**
- * Starts the server for metrics.
+ * Starts the metrics server.
  *
- * @param address IP number and port; null for none
+ * @param address IP address and port; null for none
  * @param metrics the process's metrics
  */
 export async function startMetricsServer(
--- a/packages/stallpaddle-node/src/NodeIntroducer.ts
+++ b/packages/stallpaddle-node/src/NodeIntroducer.ts
@@ -13,7 +13,7 @@
 import type {NodeGroup} from './NodeGroup';
 import type {NodeRemembered} from './NodeRemembered';
 
-import {CANDIDATE_TIMEOUT_MS, CONTROL_GROUP, BOOTSTRAP_TIMEOUT_MS} from './NodeConstants';
+import {BOOTSTRAP_TIMEOUT_MS, CANDIDATE_TIMEOUT_MS, CONTROL_GROUP} from './NodeConstants';
 import {tells} from './NodeRemembered';
 
 /** What it needs of its process. */
--- a/packages/stallpaddle-node/src/NodeJobCalls.ts
+++ b/packages/stallpaddle-node/src/NodeJobCalls.ts
@@ -1,6 +1,4 @@
-/**
- * Callers' job calls, brought to the group that keeps the jobs: changes to its leader, reads to any replica.
- */
+/** Job calls of callers. */
 import type {Clock} from 'stallpaddle';
 import type {FleetRoute} from 'stallpaddle-fleet';
 import type {JobsAnswer, JobsRequest, SubmittedItem} from 'stallpaddle-jobs';
@@ -10,45 +8,45 @@
 
 import type {NodeGroupClient} from './NodeGroupClient';
 import type {NodeLog} from './NodeLog';
-import type {JobCall, NodeWire, RawResponse, RawRequest} from './NodeWire';
+import type {JobCall, NodeWire, RawRequest, RawResponse} from './NodeWire';
 
 import {JOB_CALL_TIMEOUT_MS} from './NodeConstants';
 import {NodeJobReads} from './NodeJobReads';
 
-/** Pause after which a refused submission should come again, in milliseconds. */
-const SUBMIT_AGAIN_MS = 500;
+/** Retry-after time of a refused submission, in milliseconds. */
+const SUBMIT_RETRY_AFTER_MS = 500;
 
-/** The customer in whose name a call is made; undefined for nobody's. */
+/** The customer of a call; undefined for a call without one. */
 function customerOf(caller: RelayCaller): string | undefined {
   return caller.kind === 'customer' ? caller.name : undefined;
 }
 
-/** See the module's comment. */
+/** Forwards job calls to the group that stores the jobs: changes to its leader, reads to any replica. */
 export class NodeJobCalls {
   private readonly reads: NodeJobReads;
 
   /**
-   * @param caller calls the jobs' leader
-   * @param wire the callers' words
+   * @param group client of the group that stores the jobs
+   * @param wire codec of the external protocol
    * @param log the process's log
    * @param clock this process's clock
    */
   constructor(
-    private readonly caller: NodeGroupClient,
+    private readonly group: NodeGroupClient,
     private readonly wire: NodeWire,
     private readonly log: NodeLog,
     clock: Clock,
   ) {
-    this.reads = new NodeJobReads(caller, clock, log);
+    this.reads = new NodeJobReads(group, clock, log);
   }
 
   /**
-   * Takes a job.
+   * Submits a job.
    *
    * @param route its route
    * @param call the submission
-   * @param caller who submits it
-   * @throws {RefusalError} whose verdict tells whether it may have been taken
+   * @param caller its sender
+   * @throws {RefusalError} whose verdict says whether the job may have been accepted
    */
   async submit(route: FleetRoute, call: RawRequest, caller: RelayCaller): Promise<RawResponse> {
     const read = this.wire.readSubmission(call);
@@ -59,7 +57,10 @@
       customer: customerOf(caller),
       host: call.headers.host ?? '',
       id: read.id,
-      items: caller.kind === 'untold' ? read.items : read.items.map((item) => this.owned(item)),
+      items:
+        caller.kind === 'untold'
+          ? read.items
+          : read.items.map((item) => this.withoutCallerHeaders(item)),
       path: call.url,
       route: route.name,
     };
@@ -71,8 +72,8 @@
     return this.onAnswer(read.id, await this.propose(read.id, request));
   }
 
-  /** An item without what it says of its submitter, of which its route's engines are told in the fleet's own words. */
-  private owned(item: SubmittedItem): SubmittedItem {
+  /** Removes the headers that identify the caller; the fleet sets them itself when it sends the item to an engine. */
+  private withoutCallerHeaders(item: SubmittedItem): SubmittedItem {
     const dropped = new Set(this.wire.relay.callerHeaders.map((name) => name.toLowerCase()));
     const headers = item.headers.filter(([name]) => !dropped.has(name.trim().toLowerCase()));
     return {...item, headers};
@@ -80,29 +81,33 @@
 
   private async propose(id: string, value: JobsRequest): Promise<JobsAnswer> {
     try {
-      return await this.caller.call<JobsAnswer>({changes: true, totalMs: JOB_CALL_TIMEOUT_MS, value});
+      return await this.group.call<JobsAnswer>({
+        changes: true,
+        totalMs: JOB_CALL_TIMEOUT_MS,
+        value,
+      });
     } catch (err) {
       if (!(err instanceof RefusalError)) {
         throw err;
       }
       this.log.decide('jobRefused', id, {reason: err.message, verdict: err.verdict});
       throw err.verdict === 'notRun'
-        ? refuse('unavailable', err.message, {retryAfterMs: SUBMIT_AGAIN_MS})
-        : new RefusalError('engineFailed', err.verdict, 'The job may have been taken.');
+        ? refuse('unavailable', err.message, {retryAfterMs: SUBMIT_RETRY_AFTER_MS})
+        : new RefusalError('engineFailed', err.verdict, 'The job may have been accepted.');
     }
   }
 
   /**
-   * Reads of a job or ends it.
+   * Reads or ends a job.
    *
    * @param call the call
-   * @param caller who makes it
+   * @param caller its sender
    */
   async carryOut(call: JobCall, caller: RelayCaller): Promise<RawResponse> {
     const customer = customerOf(caller);
     switch (call.kind) {
       case 'endJob': {
-        const answer = await this.caller.call<JobsAnswer>({
+        const answer = await this.group.call<JobsAnswer>({
           changes: true,
           totalMs: JOB_CALL_TIMEOUT_MS,
           tryMs: JOB_CALL_TIMEOUT_MS,
@@ -133,12 +138,12 @@
         return {status: 202};
       case 'overQuota':
         this.log.decide('jobRefused', id, {waitingTokens: answer.waitingTokens});
-        throw refuse('rateLimited', 'Too many tokens wait on the route.', {
-          retryAfterMs: SUBMIT_AGAIN_MS,
+        throw refuse('rateLimited', 'Too many tokens are queued on the route.', {
+          retryAfterMs: SUBMIT_RETRY_AFTER_MS,
         });
       case 'done':
       case 'unknownJob':
-        throw refuse('internal', 'The submission got an answer to another call.');
+        throw refuse('internal', 'The submission got an answer of the wrong kind.');
       default:
         return unreachable(answer);
     }
--- a/packages/stallpaddle-node/src/NodeJobReads.ts
+++ b/packages/stallpaddle-node/src/NodeJobReads.ts
@@ -1,7 +1,4 @@
-/**
- * Reads of jobs, spread over the replicas that keep them: what a job has listed stays, so any replica can tell it. The
- * leader alone, which also runs the items, was asked for everything at the end of a day and answered nobody.
- */
+/** Reads of jobs. */
 import type {Clock, MonotonicMs, Random} from 'stallpaddle';
 import type {BodyAnswer, JobName, JobsRequest, ResultsAnswer} from 'stallpaddle-jobs';
 
@@ -14,18 +11,18 @@
 import {JOB_CALL_TIMEOUT_MS, JOBS_GROUP} from './NodeConstants';
 import {NodeReplicaSelector} from './NodeReplicaSelector';
 
-/** A call that reads. */
+/** A call that reads a job. */
 export type ReadCall = Extract<JobCall, {kind: 'readBody' | 'readResults'}> & JobName;
 
-/** Answer to a read, by its kind. */
+/** Answer types of the reads, by kind of call. */
 export interface ReadAnswers {
   readonly readBody: BodyAnswer;
   readonly readResults: ResultsAnswer;
 }
 
 /**
- * Longest wait for a replica, beyond the time that it may hold an answer, in milliseconds: less than half of what a read
- * may take, so that the leader can be asked yet.
+ * Timeout of a read at a replica beyond the hold of its answer, in milliseconds: less than half of a read's total time, so
+ * that the leader can still be asked.
  */
 const REPLICA_TRY_MS = 600;
 
@@ -33,63 +30,66 @@
   return call.kind === 'readResults' ? call.waitMs : 0;
 }
 
-function requestOf(call: ReadCall, mayFollow: boolean, mostMs: number): JobsRequest {
+function requestOf(call: ReadCall, mayFollow: boolean, timeoutMs: number): JobsRequest {
   if (call.kind === 'readBody') {
-    return {...call, mayFollow, patienceMs: mostMs};
+    return {...call, mayFollow, patienceMs: timeoutMs};
   }
-  const waitMs = Math.min(call.waitMs, Math.max(0, mostMs - REPLICA_TRY_MS));
-  return {...call, mayFollow, patienceMs: mostMs - waitMs, waitMs};
+  const waitMs = Math.min(call.waitMs, Math.max(0, timeoutMs - REPLICA_TRY_MS));
+  return {...call, mayFollow, patienceMs: timeoutMs - waitMs, waitMs};
 }
 
-/** See the module's comment. */
+/**
+ * Reads jobs at a random replica, and at the leader if the replica can't answer. Recorded results never change, so any
+ * replica that has them can return them; this keeps the load of reads off the leader, which also dispatches the items.
+ */
 export class NodeJobReads {
-  private readonly hops = new NodeReplicaSelector();
+  private readonly selector = new NodeReplicaSelector();
 
   /**
-   * @param caller calls the jobs' leader, and knows where replicas are
+   * @param group client of the group that stores the jobs
    * @param clock this process's clock
    * @param log the process's log
-   * @param random chooses among replicas
+   * @param random source of the choice among replicas
    */
   constructor(
-    private readonly caller: Pick<NodeGroupClient, 'call' | 'hosts' | 'leaderHost' | 'tryAt'>,
+    private readonly group: Pick<NodeGroupClient, 'call' | 'hosts' | 'leaderHost' | 'tryAt'>,
     private readonly clock: Clock,
     private readonly log: Pick<NodeLog, 'decide'>,
     private readonly random: Random = Math.random,
   ) {}
 
   /**
-   * Reads at any replica, then at the leader.
+   * Reads a job, at a replica first and then at the leader.
    *
    * @param call the call
-   * @throws {RefusalError} when nobody answers in time
+   * @throws {RefusalError} when neither answers in time
    */
   async read<Kind extends ReadCall['kind']>(
     call: Extract<ReadCall, {kind: Kind}>,
   ): Promise<ReadAnswers[Kind]> {
     const startedAt = this.clock.monotonicMs();
-    const followed = await this.readAtReplica(call);
-    const answer = (followed ?? (await this.readAtLeader(call, startedAt))) as ReadAnswers[Kind];
+    const fromReplica = await this.readAtReplica(call);
+    const answer = (fromReplica ?? (await this.readAtLeader(call, startedAt))) as ReadAnswers[Kind];
     if (answer.kind === 'notFound') {
-      const leader = this.caller.leaderHost ?? '';
+      const leader = this.group.leaderHost ?? '';
       this.log.decide('jobNotFound', call.job, {call: call.kind, leader});
     }
     return answer;
   }
 
   private async readAtReplica(call: ReadCall): Promise<unknown> {
-    const host = this.hops.choose(this.shuffledHosts(), this.clock.monotonicMs());
+    const host = this.selector.choose(this.shuffledHosts(), this.clock.monotonicMs());
     if (host === undefined) {
       return undefined;
     }
     const tryMs = heldMs(call) + REPLICA_TRY_MS;
     const encoded = encodeValue(requestOf(call, true, tryMs));
-    const outcome = await this.caller.tryAt(host, {encoded, group: JOBS_GROUP, query: true}, tryMs);
+    const outcome = await this.group.tryAt(host, {encoded, group: JOBS_GROUP, query: true}, tryMs);
     if (outcome.kind === 'answered') {
       return outcome.result;
     }
     const why = outcome.kind === 'unknown' ? 'silent' : 'refused';
-    this.hops.noteFailure(host, why, this.clock.monotonicMs());
+    this.selector.noteFailure(host, why, this.clock.monotonicMs());
     return undefined;
   }
 
@@ -99,11 +99,11 @@
     const value = requestOf(call, false, totalMs);
     const held = 'waitMs' in value ? value.waitMs : 0;
     try {
-      return await this.caller.call({changes: false, heldMs: held, totalMs, tryMs: totalMs, value});
+      return await this.group.call({changes: false, heldMs: held, totalMs, tryMs: totalMs, value});
     } catch (err) {
       if (err instanceof RefusalError) {
         const ms = Math.round(this.clock.monotonicMs() - startedAt);
-        const hosts = this.caller.hosts().join(',');
+        const hosts = this.group.hosts().join(',');
         const fields = {call: call.kind, hosts, ms, reason: err.message};
         this.log.decide('jobUnavailable', call.job, fields);
       }
@@ -112,7 +112,7 @@
   }
 
   private shuffledHosts(): readonly string[] {
-    return this.caller
+    return this.group
       .hosts()
       .map((host) => ({host, lot: this.random()}))
       .sort((a, b) => a.lot - b.lot)
--- a/packages/stallpaddle-node/src/NodeLimits.ts
+++ b/packages/stallpaddle-node/src/NodeLimits.ts
@@ -1,8 +1,4 @@
-/**
- * Limits on customers' rates over the whole fleet: each request of a limited customer is asked for at the VM that owns the
- * limit. While that VM is silent another one takes its place, once it has found so itself; until then each VM grants its own
- * part.
- */
+/** Fleet-wide rate limits of customers. */
 import type {Clock, LogFields, MonotonicMs, VmId} from 'stallpaddle';
 import type {EntryView} from 'stallpaddle-fleet';
 import type {TryOutcome, TryRequest} from 'stallpaddle-rpc';
@@ -23,91 +19,98 @@
 import {CONTROL_GROUP, SECOND_MS} from './NodeConstants';
 import {hostOf} from './NodeSettings';
 
-/** Longest wait for an owner, in milliseconds: a turn of a busy VM, and half of what a caller's first event may take. */
+/** Timeout of a request to a limit owner, in milliseconds; it delays the caller's request. */
 const ASK_TRY_MS = 120;
 
-/** Time for which an owner that was silent is not asked again, in milliseconds. */
+/** Pause before an owner that did not answer is asked again, in milliseconds. */
 const SILENT_PAUSE_MS = 500;
 
 /**
- * Silence of an owner after which another VM grants in its place, in milliseconds. Its last grants are over by then, and it is
- * not merely slow.
+ * Time without an answer of an owner after which its deputy grants requests in its place, in milliseconds. By then the
+ * last requests that the owner granted have passed.
  */
 const OWNER_SILENT_MS = 1_000;
 
 /**
- * Age of news beyond which a VM neither owns a limit nor asks who does, in milliseconds. Leaders are replaced sooner, and without
- * one nobody's limits move; who hears nothing for so long is alone.
+ * Age of the fleet status beyond which a VM neither acts as an owner nor asks one, in milliseconds. The status gets this
+ * old only on a VM that is partitioned from the fleet, which may have been replaced as owner; a change of leaders is
+ * shorter.
  */
-const OLD_NEWS_MS = 6 * SECOND_MS;
+const MAX_STATUS_AGE_MS = 6 * SECOND_MS;
 
-/** Longest time after which a caller is told to come back by a VM that knows its own part of a limit only, in milliseconds. */
-const PART_AGAIN_MS = 500;
+/** Longest retry-after time given by a VM that only applies its local share of a limit, in milliseconds. */
+const SHARE_RETRY_AFTER_MS = 500;
 
-/** What it needs of its process. */
+/** Dependencies of `NodeLimits`. */
 export interface NodeLimitsOptions {
   readonly clock: Clock;
   readonly entries: () => readonly EntryView[];
   /** This VM. */
   readonly host: VmId;
-  /** A customer's limit as configured now; undefined for one that isn't known. */
+  /** A customer's configured limit; undefined for an unknown customer. */
   readonly limitOf: (customer: string) => RateLimit | undefined;
   readonly note: (message: string, fields: LogFields) => void;
   readonly tryAt: (host: VmId, request: TryRequest, tryMs: number) => Promise<TryOutcome>;
-  /** Age of what is known of the fleet, in milliseconds. */
+  /** Age of the fleet status, in milliseconds. */
   readonly viewAgeMs: () => number;
 }
 
-/** An owner that did not answer this VM. */
+/** Period during which an owner did not answer this VM. */
 interface Silence {
-  /** When it was tried last. */
+  /** Time of the last try. */
   readonly lastAt: MonotonicMs;
   readonly since: MonotonicMs;
 }
 
 const UNSURE: LimitAnswer = {kind: 'unsure'};
 
-/** See the module's comment. */
+/**
+ * Applies the customers' rate limits over the whole fleet: a VM asks the owner of a limit for each request. If the owner
+ * does not answer, its deputy takes over once it has confirmed this itself; until then, each VM applies its local share of
+ * the limit.
+ */
 export class NodeLimits {
-  private readonly keeper = new LimitKeeper();
-  private keepers: readonly VmId[] = [];
-  /** Entry VMs from which `keepers` was made. */
-  private keepersOf: readonly EntryView[] = [];
-  /** Owners in whose place this VM grants, by the begin of their silence. */
+  /** Limits that this VM grants, as owner or deputy. */
+  private readonly owned = new LimitKeeper();
+  /** VMs among which limits are distributed. */
+  private candidates: readonly VmId[] = [];
+  /** Entry VMs from which `candidates` was computed. */
+  private candidatesOf: readonly EntryView[] = [];
+  /** Owners that this VM substitutes, with the start of their silence. */
   private readonly replaced = new Map<VmId, MonotonicMs>();
   private readonly share = new LimitShare();
   private readonly silences = new Map<VmId, Silence>();
 
   /**
-   * @param options what it needs of its process
+   * @param options its dependencies
    */
   constructor(private readonly options: NodeLimitsOptions) {}
 
   /**
-   * Asks for one request of a customer.
+   * Decides on one request of a customer.
    *
    * @param limit the customer's limit, above 0
    */
   async admit(limit: RateLimit): Promise<LimitDecision> {
     const {clock, entries, viewAgeMs} = this.options;
-    const isAlone = viewAgeMs() > OLD_NEWS_MS;
-    const answer = isAlone ? UNSURE : await this.askOwners(limit.customer);
+    const isPartitioned = viewAgeMs() > MAX_STATUS_AGE_MS;
+    const answer = isPartitioned ? UNSURE : await this.askOwners(limit.customer);
     this.share.note(limit.customer, answer);
     if (answer.kind !== 'unsure') {
       return answer;
     }
     const own = this.share.ask(limit, Math.max(1, entries().length), clock.monotonicMs());
     return own.kind === 'over'
-      ? {...own, retryAfterMs: Math.min(PART_AGAIN_MS, own.retryAfterMs)}
+      ? {...own, retryAfterMs: Math.min(SHARE_RETRY_AFTER_MS, own.retryAfterMs)}
       : own;
   }
 
   /**
-   * Gives back what was granted to a request that no engine ran.
+   * Returns the quota of a request that no engine ran.
    *
    * @param customer the customer
    */
-  giveBack(customer: string): void {
+  refund(customer: string): void {
     const [owner] = this.ownersOf(customer);
     if (owner !== undefined) {
       void this.askAt(owner, {customer, kind: 'returnLimit'});
@@ -115,34 +118,34 @@
   }
 
   /**
-   * Answers another VM, as an owner or in its place.
+   * Answers another VM, as the owner of a limit or as its deputy.
    *
-   * @param ask what it asks
+   * @param ask the VM's request
    */
   async answer(ask: LimitAsk): Promise<LimitAnswer> {
     const {clock, host, limitOf, viewAgeMs} = this.options;
     const {customer} = ask;
     const limit = limitOf(customer);
-    // Who knows only old news may have been replaced by now.
-    if (limit === undefined || viewAgeMs() > OLD_NEWS_MS) {
+    // With an old fleet status this VM may have been replaced as owner.
+    if (limit === undefined || viewAgeMs() > MAX_STATUS_AGE_MS) {
       return UNSURE;
     }
     const [owner] = this.ownersOf(customer);
     if (ask.kind === 'returnLimit') {
-      this.keeper.takeBack(limit);
+      this.owned.takeBack(limit);
       return UNSURE;
     }
     if (owner === host) {
-      return this.keeper.ask(limit, clock.monotonicMs());
+      return this.owned.ask(limit, clock.monotonicMs());
     }
     if (ask.insteadOf === null || ask.insteadOf !== owner) {
       return UNSURE;
     }
-    return this.answerFor(owner, limit);
+    return this.answerAsDeputy(owner, limit);
   }
 
-  /** Asks the owner first: it may be silent only to whoever asks here. */
-  private async answerFor(owner: VmId, limit: RateLimit): Promise<LimitAnswer> {
+  /** Asks the owner first, because it may be unreachable only for the VM that asks. */
+  private async answerAsDeputy(owner: VmId, limit: RateLimit): Promise<LimitAnswer> {
     const {clock, note} = this.options;
     const {customer} = limit;
     if (!this.isPaused(owner)) {
@@ -159,9 +162,9 @@
     const {since} = this.silences.get(owner)!;
     if (this.replaced.get(owner) !== since) {
       this.replaced.set(owner, since);
-      note('The owner of limits is silent, and replaced.', {customer, owner, silentMs});
+      note('The limit owner does not answer, so this VM replaces it.', {customer, owner, silentMs});
     }
-    return this.keeper.ask(limit, now);
+    return this.owned.ask(limit, now);
   }
 
   private async askOwners(customer: string): Promise<LimitAnswer> {
@@ -185,7 +188,7 @@
     return this.isPaused(deputy) ? UNSURE : ((await this.askAt(deputy, instead)) ?? UNSURE);
   }
 
-  /** Undefined when nobody answers in time. */
+  /** Undefined when the VM doesn't answer in time. */
   private async askAt(host: VmId, ask: LimitAsk): Promise<LimitAnswer | undefined> {
     const {clock, tryAt} = this.options;
     if (host === this.options.host) {
@@ -199,9 +202,9 @@
     }
     const now = clock.monotonicMs();
     const before = this.silences.get(host);
-    // A silence that nobody looked at for a while is no long one.
-    const goesOn = before !== undefined && now - before.lastAt < OWNER_SILENT_MS;
-    this.silences.set(host, {lastAt: now, since: goesOn ? before.since : now});
+    // Failures far apart don't show that the VM was silent in between, so they don't count as one silence.
+    const continues = before !== undefined && now - before.lastAt < OWNER_SILENT_MS;
+    this.silences.set(host, {lastAt: now, since: continues ? before.since : now});
     return undefined;
   }
 
@@ -214,11 +217,11 @@
 
   private ownersOf(customer: string): readonly VmId[] {
     const entries = this.options.entries();
-    if (entries !== this.keepersOf) {
-      this.keepersOf = entries;
-      this.keepers = limitKeepers(entries.map(({address}) => hostOf(address)));
-      this.keeper.keepOnly((other) => limitOwners(other, this.keepers)[0] === this.options.host);
+    if (entries !== this.candidatesOf) {
+      this.candidatesOf = entries;
+      this.candidates = limitKeepers(entries.map(({address}) => hostOf(address)));
+      this.owned.keepOnly((other) => limitOwners(other, this.candidates)[0] === this.options.host);
     }
-    return limitOwners(customer, this.keepers);
+    return limitOwners(customer, this.candidates);
   }
 }
--- a/packages/stallpaddle-node/src/NodeLog.ts
+++ b/packages/stallpaddle-node/src/NodeLog.ts
@@ -1,15 +1,12 @@
-/**
- * The log of one process: lines for decisions, within a budget for each kind, so that no load of requests
- * can flood it.
- */
+/** Log of a component of the process. */
 import type {Clock, LogFields, Logger} from 'stallpaddle';
 
 import type {NodeMetrics} from './NodeMetrics';
 
 import {SECOND_MS} from './NodeConstants';
 
-/** Lines of one kind a second; above twice the decisions of a busy entry VM of today. */
-const LINES_A_SECOND = 400;
+/** Most lines per second for each kind of decision. */
+const LINES_PER_SECOND = 400;
 
 interface Budget {
   left: number;
@@ -17,14 +14,14 @@
   since: number;
 }
 
-/** See the module's comment. */
+/** Logs decisions, rate-limited for each kind so that request load can't flood the log. */
 export class NodeLog {
   private readonly budgets = new Map<string, Budget>();
 
   /**
    * @param logger writes the lines
    * @param clock this process's clock
-   * @param metrics count the decisions, also those that are left out of the log
+   * @param metrics counts all decisions, including those omitted from the log
    */
   constructor(
     private readonly logger: Logger,
@@ -33,11 +30,11 @@
   ) {}
 
   /**
-   * Writes a line for a decision on a request or an item.
+   * Counts a decision on a request or an item, and logs it within the rate limit.
    *
    * @param decision its kind
    * @param id the request or item
-   * @param fields what decided it, and what came of it
+   * @param fields the reasons and the result
    */
   decide(decision: string, id: string, fields: LogFields): void {
     this.metrics.count('stallpaddle_decisions_total', 'Decisions by kind.', {decision});
@@ -51,10 +48,10 @@
   }
 
   /**
-   * Writes a line for a change of what the process believes.
+   * Logs a change of the process's state.
    *
    * @param message one sentence
-   * @param fields what goes with it
+   * @param fields structured details
    */
   note(message: string, fields: LogFields = {}): void {
     this.logger.info(message, fields);
@@ -67,9 +64,9 @@
       return known;
     }
     if (known !== undefined && known.omitted > 0) {
-      this.logger.warn('Decisions were left out of the log.', {decision, omitted: known.omitted});
+      this.logger.warn('Decisions were omitted from the log.', {decision, omitted: known.omitted});
     }
-    const fresh = {left: LINES_A_SECOND, omitted: 0, since: now};
+    const fresh = {left: LINES_PER_SECOND, omitted: 0, since: now};
     this.budgets.set(decision, fresh);
     return fresh;
   }
--- a/packages/stallpaddle-node/src/NodeMain.ts
+++ b/packages/stallpaddle-node/src/NodeMain.ts
@@ -1,6 +1,4 @@
-/**
- * Life of the program: starts the process, follows its settings file, stops on a signal.
- */
+/** Main program: starts the process, reloads its settings file on changes, and stops on a signal. */
 import {readFile, stat} from 'node:fs/promises';
 import {createLoggerFactory, errorMessage, LineWriter, type Logger} from 'stallpaddle';
 
@@ -10,18 +8,15 @@
 import {startNode} from './Node';
 import {parseNodeSettings} from './NodeSettings';
 
-/** Standard output. */
+/** File descriptor of the log: standard output. */
 const LOG_FD = 1;
-/**
- * Time between looks whether the settings file has changed without a signal, in milliseconds. Only seeds are followed, and
- * they lag by seconds themselves; each look costs an idle process three turns.
- */
-const SETTINGS_LOOK_MS = 5_000;
-/** Exit code after a failure that the process can't go on with. */
+/** Interval between checks whether the settings file has changed without a signal, in milliseconds. */
+const SETTINGS_CHECK_MS = 5_000;
+/** Exit code after a fatal error. */
 const EXIT_FAILURE = 1;
 
-/** Takes in settings again, after a signal or when the file has changed. */
-class SettingsFollower {
+/** Reloads the settings file on request or when it has changed. */
+class SettingsReloader {
   private changedAt = 0;
 
   constructor(
@@ -33,13 +28,15 @@
   async reload(): Promise<void> {
     try {
       this.node.reload(parseNodeSettings(await readFile(this.file, 'utf8')));
-      this.logger.info('Settings were taken in again.');
+      this.logger.info('Settings were reloaded.');
     } catch (err) {
-      this.logger.error('The new settings can’t be used.', {error: errorMessage(err)});
+      this.logger.error('The new settings are invalid or can’t be read.', {
+        error: errorMessage(err),
+      });
     }
   }
 
-  async look(): Promise<void> {
+  async reloadIfChanged(): Promise<void> {
     try {
       const {mtimeMs} = await stat(this.file);
       const isChanged = this.changedAt !== 0 && mtimeMs !== this.changedAt;
@@ -54,10 +51,10 @@
 }
 
 /**
- * Runs the program until it is told to stop.
+ * Runs the program until it gets a signal to stop.
  *
  * @param file path of the settings file
- * @param wire the words of the outside
+ * @param wire codec of the external protocol
  */
 export async function runNode(file: string, wire: NodeWire): Promise<void> {
   const lines = new LineWriter(LOG_FD);
@@ -70,7 +67,7 @@
   const logger = loggers(settings.role);
   const fail = (err: unknown): void => {
     const stack = err instanceof Error ? err.stack : undefined;
-    logger.error('The process can’t go on.', {error: errorMessage(err), stack});
+    logger.error('The process ends after a fatal error.', {error: errorMessage(err), stack});
     void end(EXIT_FAILURE);
   };
   process.on('uncaughtException', fail);
@@ -78,11 +75,11 @@
   const node = await startNode(settings, wire, loggers, fail);
   const {first, host, zone} = settings;
   logger.info('The process has started.', {first, host, zone});
-  const follower = new SettingsFollower(file, node, logger);
-  setInterval(() => void follower.look(), SETTINGS_LOOK_MS).unref();
-  process.on('SIGHUP', () => void follower.reload());
+  const reloader = new SettingsReloader(file, node, logger);
+  setInterval(() => void reloader.reloadIfChanged(), SETTINGS_CHECK_MS).unref();
+  process.on('SIGHUP', () => void reloader.reload());
   process.once('SIGTERM', () => {
-    logger.info('The process stops.');
+    logger.info('The process is stopping.');
     node.stop().then(() => {
       logger.info('The process has stopped.');
       return end(0);
--- a/packages/stallpaddle-node/src/NodeMetrics.ts
+++ b/packages/stallpaddle-node/src/NodeMetrics.ts
@@ -1,10 +1,7 @@
-/**
- * Counters, gauges and latencies of a process, in the text form that metrics collectors read. The
- * libraries are loaded when they are first needed: a process that restarts must serve first.
- */
+/** Counters, gauges and latencies of a process. */
 import type {Histogram} from 'hdr-histogram-js';
 
-/** Words that tell counts of one name apart. */
+/** Labels that distinguish the values of one metric. */
 export type MetricLabels = Readonly<Record<string, string>>;
 
 interface Count {
@@ -17,9 +14,9 @@
   readonly values: Value;
 }
 
-/** Latencies that wait to be added to their histogram. */
-const WAITING_LATENCIES = 4_096;
-/** Histograms count in microseconds, from one to ten minutes. */
+/** Latencies that are buffered before they are added to their histogram. */
+const MAX_BUFFERED_LATENCIES = 4_096;
+/** Histograms count in microseconds, from one microsecond to ten minutes. */
 const LOWEST_US = 1;
 const HIGHEST_US = 600_000_000;
 const DIGITS = 3;
@@ -27,28 +24,28 @@
 const US_PER_S = 1_000_000;
 const PERCENTILES = [50, 95, 99, 99.9] as const;
 
-/** A value that is read when the metrics are. */
+/** Reads the current value of a gauge. */
 export type ReadGauge = () => number;
 
 class Latencies {
   private histogram: Histogram | undefined;
   private loading: Promise<void> | undefined;
-  private waiting: number[] = [];
+  private buffered: number[] = [];
 
   add(ms: number): void {
-    this.waiting.push(ms);
-    if (this.waiting.length >= WAITING_LATENCIES) {
+    this.buffered.push(ms);
+    if (this.buffered.length >= MAX_BUFFERED_LATENCIES) {
       void this.settle();
     }
   }
 
-  /** The histogram with all that was added. */
+  /** The histogram, with all buffered latencies added. */
   async settle(): Promise<Histogram> {
     this.loading ??= this.load();
     await this.loading;
-    const {waiting} = this;
-    this.waiting = [];
-    for (const ms of waiting) {
+    const {buffered} = this;
+    this.buffered = [];
+    for (const ms of buffered) {
       const us = Math.round(ms * US_PER_MS);
       this.histogram!.recordValue(Math.min(HIGHEST_US, Math.max(LOWEST_US, us)));
     }
@@ -69,18 +66,21 @@
   return JSON.stringify(labels);
 }
 
-/** See the module's comment. */
+/**
+ * Collects metrics and renders them in the Prometheus text format. The metrics libraries are loaded on first use, so that
+ * they don't delay the start of the process.
+ */
 export class NodeMetrics {
   private readonly counters = new Map<string, Family<Map<string, Count>>>();
   private readonly gauges = new Map<string, Family<ReadGauge>>();
   private readonly latencies = new Map<string, Family<Map<string, Latencies>>>();
 
   /**
-   * Counts one.
+   * Increments a counter.
    *
    * @param name the metric's name
    * @param help one sentence
-   * @param labels tell it apart from others of the name; few values each
+   * @param labels labels with few distinct values
    */
   count(name: string, help: string, labels: MetricLabels): void {
     const family = this.counters.get(name) ?? {help, values: new Map<string, Count>()};
@@ -92,12 +92,12 @@
   }
 
   /**
-   * Adds a latency.
+   * Records a latency.
    *
    * @param name the metric's name, in seconds
    * @param help one sentence
-   * @param kind tells it apart from others of the name
-   * @param ms milliseconds
+   * @param kind value of the label `kind`
+   * @param ms the latency, in milliseconds
    */
   addLatency(name: string, help: string, kind: string, ms: number): void {
     const family = this.latencies.get(name) ?? {help, values: new Map<string, Latencies>()};
@@ -108,17 +108,17 @@
   }
 
   /**
-   * Adds a value that is read when the metrics are.
+   * Registers a gauge.
    *
    * @param name the metric's name
    * @param help one sentence
-   * @param read returns the present value
+   * @param read reads its value whenever the metrics are rendered
    */
   exposeGauge(name: string, help: string, read: ReadGauge): void {
     this.gauges.set(name, {help, values: read});
   }
 
-  /** All metrics as text. */
+  /** Renders all metrics. */
   async text(): Promise<string> {
     const {Counter, Gauge, Registry} = await import('prom-client');
     const registers = [new Registry()];
--- a/packages/stallpaddle-node/src/NodeOnlineReporter.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineReporter.ts
@@ -1,8 +1,4 @@
-/**
- * Tells the dispatcher of batch items how many online requests this VM has at each engine, one call at a time: what
- * changes meanwhile goes with the next. The answer brings those of the other VMs. Words that only tell of ends are not
- * answered: one that is lost is made good by the next, after a second at most.
- */
+/** Reports of online requests to the dispatcher of batch items. */
 import type {MonotonicMs} from 'stallpaddle';
 import type {JobsRequest, OnlineAnswer, OnlineVersion} from 'stallpaddle-jobs';
 import type {OnlineCounts, RelayOnline} from 'stallpaddle-relay';
@@ -12,30 +8,40 @@
 import type {NodeGroupClient} from './NodeGroupClient';
 
 import {NodeBackoff} from './NodeBackoff';
-import {RETRY_PAUSE_MS, JOBS_GROUP, ONLINE_REPORT_SPACING_MS, ONLINE_REPORT_TIMEOUT_MS, onlineReportIntervalMs} from './NodeConstants';
+import {
+  JOBS_GROUP,
+  ONLINE_REPORT_SPACING_MS,
+  ONLINE_REPORT_TIMEOUT_MS,
+  onlineReportIntervalMs,
+  RETRY_PAUSE_MS,
+} from './NodeConstants';
 import {NodeWaiters} from './NodeWaiters';
 
-/** See the module's comment. */
+/**
+ * Reports to the dispatcher of batch items how many online requests this VM has at each engine, one report at a time:
+ * changes made meanwhile are combined in the next one. The answer contains the counts of the other VMs. Reports that only
+ * lower counts are sent without waiting for an answer; if one is lost, the next periodic report corrects it.
+ */
 export class NodeOnlineReporter {
   private readonly backoff = new NodeBackoff();
   private changed = false;
-  /** Version of the others' counts that was learned last. */
+  /** Version of the other VMs' counts received last. */
   private known: null | OnlineVersion = null;
   private sequence = 0;
   private stopped = false;
-  /** What was told last. */
-  private told: OnlineCounts = {};
-  private toldAt: MonotonicMs = -Infinity;
+  /** Counts of the last report. */
+  private reported: OnlineCounts = {};
+  private reportedAt: MonotonicMs = -Infinity;
   private readonly waiters = new NodeWaiters();
 
   /**
-   * @param caller calls the dispatcher
+   * @param dispatcher client of the group whose leader is the dispatcher
    * @param online this VM's counts
-   * @param sender name of this process's life
-   * @param entryVms entry VMs of the fleet, as far as known
+   * @param sender name of this process's incarnation
+   * @param entryVms returns the known number of entry VMs in the fleet
    */
   constructor(
-    private readonly caller: Pick<NodeGroupClient, 'leaderHost' | 'post' | 'tryOnce'>,
+    private readonly dispatcher: Pick<NodeGroupClient, 'leaderHost' | 'post' | 'tryOnce'>,
     private readonly online: RelayOnline,
     private readonly sender: string,
     private readonly entryVms: () => number,
@@ -46,42 +52,44 @@
     });
   }
 
-  /** Tells until the process stops. */
+  /** Sends reports until the process stops. */
   async run(): Promise<void> {
     while (!this.stopped) {
       const isChange = this.changed;
       this.changed = false;
-      this.toldAt = performance.now();
-      if (await this.tell(isChange)) {
+      this.reportedAt = performance.now();
+      if (await this.report(isChange)) {
         this.backoff.reset();
         await this.waitForChange();
       } else {
-        // Whoever was asked may have named the one that runs items now.
-        const isNamed = this.caller.leaderHost !== null;
-        await delay(isNamed ? RETRY_PAUSE_MS : this.backoff.nextMs());
+        // The replica that refused the report may have named the current leader, which is tried without backoff.
+        const isLeaderKnown = this.dispatcher.leaderHost !== null;
+        await delay(isLeaderKnown ? RETRY_PAUSE_MS : this.backoff.nextMs());
       }
     }
   }
 
-  /** Tells no more. */
+  /** Stops reporting. */
   stop(): void {
     this.stopped = true;
     this.waiters.wakeAll();
   }
 
-  private async tell(isChange: boolean): Promise<boolean> {
-    const {known, online, sender, told} = this;
+  private async report(isChange: boolean): Promise<boolean> {
+    const {known, online, reported, sender} = this;
     const sequence = ++this.sequence;
     const own = online.ownCounts();
-    this.told = own;
-    const hasBegun = Object.entries(own).some(([engine, count]) => count > (told[engine] ?? 0));
+    this.reported = own;
+    const hasIncrease = Object.entries(own).some(
+      ([engine, count]) => count > (reported[engine] ?? 0),
+    );
     const request: JobsRequest = {kind: 'tellOnline', known, own, sender, sequence};
     const encoded = encodeValue(request);
     const call = {encoded, group: JOBS_GROUP, query: true};
-    if (isChange && !hasBegun && this.caller.post(call)) {
+    if (isChange && !hasIncrease && this.dispatcher.post(call)) {
       return true;
     }
-    const outcome = await this.caller.tryOnce(call, ONLINE_REPORT_TIMEOUT_MS);
+    const outcome = await this.dispatcher.tryOnce(call, ONLINE_REPORT_TIMEOUT_MS);
     if (outcome.kind !== 'answered') {
       return false;
     }
@@ -91,15 +99,15 @@
     return true;
   }
 
-  /** The first change after a pause is told at once; in a burst of changes several go together. */
+  /** Waits for a change or the periodic report. Only changes that follow a report closely are delayed and combined. */
   private async waitForChange(): Promise<void> {
     if (!this.changed && !this.stopped) {
-      const isServing = Object.keys(this.told).length > 0;
+      const isServing = Object.keys(this.reported).length > 0;
       await this.waiters.wait(onlineReportIntervalMs(isServing, this.entryVms()));
     }
-    const earlyMs = this.toldAt + ONLINE_REPORT_SPACING_MS - performance.now();
+    const earlyMs = this.reportedAt + ONLINE_REPORT_SPACING_MS - performance.now();
     if (earlyMs > 0 && !this.stopped) {
-      // Timers drop fractions.
+      // Timers truncate fractions of a millisecond.
       await delay(Math.ceil(earlyMs));
     }
   }
--- a/packages/stallpaddle-node/src/NodeProgram.ts
+++ b/packages/stallpaddle-node/src/NodeProgram.ts
@@ -1,18 +1,15 @@
-/**
- * Loads the program with V8's code cache beside it: a process that starts again serves sooner when the
- * engine need not compile half a megabyte first.
- */
+/** Loads the program with V8's code cache, which shortens the start by most of the compilation. */
 import {readFileSync, writeFileSync} from 'node:fs';
 import {createRequire, Module} from 'node:module';
 import path from 'node:path';
 import {Script} from 'node:vm';
 
-/** File of the program, beside the one that loads it; the build names it so. */
+/** File of the program, in the loader's folder; must match the name that the build gives it. */
 export const PROGRAM_FILE = 'program.cjs';
-/** File of the code cache. It is of use only to the same Node.js with the same flags, else it is passed over. */
+/** File of the code cache. V8 rejects a cache written by another version of Node.js or with other flags. */
 export const CODE_CACHE_FILE = 'program.cache';
 
-/** The program as CommonJS wraps it. */
+/** The program in its CommonJS wrapper. */
 type ProgramBody = (
   exports: unknown,
   require: NodeJS.Require,
@@ -21,7 +18,7 @@
   folder: string,
 ) => void;
 
-/** Content of a file, or nothing when it can't be read. */
+/** Content of a file; undefined when it can't be read. */
 function readIfThere(file: string): Buffer | undefined {
   try {
     return readFileSync(file);
@@ -31,15 +28,15 @@
 }
 
 /**
- * Runs the program.
+ * Loads and runs the program.
  *
- * @param folder where its files are
- * @returns the compiled program, from which a code cache can be made
+ * @param folder folder of its files
+ * @returns the compiled script, from which a code cache can be created
  */
 export function loadProgram(folder: string): Script {
   const file = path.join(folder, PROGRAM_FILE);
   const script = new Script(Module.wrap(readFileSync(file, 'utf8')), {
-    // Without a cache the program only starts later.
+    // Without a cache the program starts more slowly.
     cachedData: readIfThere(path.join(folder, CODE_CACHE_FILE)),
     filename: file,
   });
@@ -50,10 +47,10 @@
 }
 
 /**
- * Writes the code cache, with all functions that have run by now.
+ * Writes the code cache, with all functions compiled so far.
  *
- * @param folder where the program's files are
- * @param script the program, as `loadProgram` returned it
+ * @param folder folder of the program's files
+ * @param script the script that `loadProgram` returned
  */
 export function writeCodeCache(folder: string, script: Script): void {
   writeFileSync(path.join(folder, CODE_CACHE_FILE), script.createCachedData());
--- a/packages/stallpaddle-node/src/NodeReadQueue.ts
+++ b/packages/stallpaddle-node/src/NodeReadQueue.ts
@@ -1,19 +1,19 @@
-/**
- * Reads of bulk data, a few at a time, and none for a caller that has given up. Without this a process that is asked for
- * more than it can read in the callers' time reads it all for nobody: they ask again, and no read is ever answered.
- */
+/** Queue for reads of bulk data. */
 import type {Clock, MonotonicMs} from 'stallpaddle';
 
 import PQueue from 'p-queue';
 import {OutcomeUnknownError} from 'stallpaddle-replication';
 
-/** Reads at a time: while one waits for the disk, others are encoded and sent. */
-const READS_AT_A_TIME = 4;
+/** Concurrent reads: while one waits for the disk, others are encoded and sent. */
+const MAX_CONCURRENT_READS = 4;
 
-/** See the module's comment. */
+/**
+ * Runs a limited number of reads at a time and drops those past their deadline. Without this an overloaded process would
+ * spend its time on reads whose callers have timed out and asked again, and answer none.
+ */
 export class NodeReadQueue {
   private added = 0;
-  private readonly queue = new PQueue({concurrency: READS_AT_A_TIME});
+  private readonly queue = new PQueue({concurrency: MAX_CONCURRENT_READS});
 
   /**
    * @param clock this process's clock
@@ -21,12 +21,11 @@
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Reads when its turn comes. The newest goes first: where not all can be read in time, those that came first are those
-   * whose callers give up next.
+   * Queues a read. The newest read runs first: under overload the oldest ones are the next to time out anyway.
    *
-   * @param read reads
-   * @param endAt when nobody waits for it any more
-   * @throws {OutcomeUnknownError} when that moment has come before its turn
+   * @param read the read
+   * @param endAt deadline after which the caller no longer waits
+   * @throws {OutcomeUnknownError} when the deadline passes before the read starts
    */
   add<Result>(read: () => Promise<Result>, endAt: MonotonicMs): Promise<Result> {
     const inTime = (): Promise<Result> => {
--- a/packages/stallpaddle-node/src/NodeReplicaSelector.ts
+++ b/packages/stallpaddle-node/src/NodeReplicaSelector.ts
@@ -1,33 +1,29 @@
-/**
- * Which replica of the control group a process asks for news. All replicas answer, so that the leader is asked by a few
- * processes and not by each: at 200 VMs by 6 instead of 200. One in the process's own availability zone comes first,
- * since bytes between zones are paid for; chance that is fixed by names decides between equals. One that did not answer
- * is left out for a while.
- */
+/** Selects the replica of the control group that a process watches. */
 import type {MonotonicMs, VmId, ZoneId} from 'stallpaddle';
 
 import {rendezvousOrder} from 'stallpaddle';
 
-/** Time for which a VM that was silent is left out, in milliseconds: a restart takes about as long. */
+/** Time for which a VM that did not answer is skipped, in milliseconds: about the duration of a restart. */
 const SILENT_OUT_MS = 1_000;
-/** Time for which a VM that could not answer is left out, in milliseconds: it asks the leader again within that. */
+/** Time for which a VM without current fleet status is skipped, in milliseconds; it asks the leader again within it. */
 const REFUSED_OUT_MS = 250;
 
-/** What the order rests on. */
+/** Input of `orderReplicaHosts`. */
 export interface ReplicaOrderInput {
   /** VMs with a replica. */
   readonly hosts: readonly VmId[];
-  /** The process that asks. */
+  /** Name of the process that asks. */
   readonly name: string;
   readonly zone: ZoneId;
-  /** Zone of a VM, where it is known. */
+  /** Availability zone of a VM, where it is known. */
   readonly zoneOf: (host: VmId) => undefined | ZoneId;
 }
 
 /**
- * VMs in the order in which a process asks them.
+ * Orders replica VMs by preference: those in the process's own availability zone first, because traffic between zones is
+ * charged, then by rendezvous hashing, which spreads the processes of a fleet over all replicas.
  *
- * @param input what the order rests on
+ * @param input the VMs and the process that asks
  */
 export function orderReplicaHosts({hosts, name, zone, zoneOf}: ReplicaOrderInput): readonly VmId[] {
   const order = rendezvousOrder(name, hosts);
@@ -35,28 +31,28 @@
   return [...order.filter(isNear), ...order.filter((host) => !isNear(host))];
 }
 
-/** Remembers which VMs did not answer. */
+/** Selects a replica VM and skips VMs that failed recently. */
 export class NodeReplicaSelector {
-  private readonly out = new Map<VmId, MonotonicMs>();
+  private readonly skippedUntil = new Map<VmId, MonotonicMs>();
 
   /**
-   * The first VM that isn't left out.
+   * The most preferred VM that isn't skipped.
    *
-   * @param order VMs, the best first
-   * @param now the present moment
+   * @param order VMs by preference
+   * @param now the current time
    */
   choose(order: readonly VmId[], now: MonotonicMs): undefined | VmId {
-    return order.find((host) => (this.out.get(host) ?? -Infinity) <= now);
+    return order.find((host) => (this.skippedUntil.get(host) ?? -Infinity) <= now);
   }
 
   /**
-   * Leaves a VM out for a while.
+   * Skips a VM for a while after a failed request.
    *
    * @param host the VM
-   * @param why whether it said nothing, or that it can't tell
-   * @param now the present moment
+   * @param why whether it did not answer or refused to
+   * @param now the current time
    */
   noteFailure(host: VmId, why: 'refused' | 'silent', now: MonotonicMs): void {
-    this.out.set(host, now + (why === 'silent' ? SILENT_OUT_MS : REFUSED_OUT_MS));
+    this.skippedUntil.set(host, now + (why === 'silent' ? SILENT_OUT_MS : REFUSED_OUT_MS));
   }
 }
--- a/packages/stallpaddle-node/src/NodeRoutes.ts
+++ b/packages/stallpaddle-node/src/NodeRoutes.ts
@@ -1,7 +1,4 @@
-/**
- * Routes as this process knows them. Only a path without a route needs the latest configuration: the leader is asked for it
- * then.
- */
+/** Routes of the configuration that this process holds. */
 import {refuse} from 'stallpaddle';
 import {type FleetConfig, type FleetRoute, RouteTable} from 'stallpaddle-fleet';
 
@@ -10,42 +7,45 @@
 
 import {CONFIG_RETRY_AFTER_MS, ROUTE_MAX_AGE_MS} from './NodeConstants';
 
-/** See the module's comment. */
+/**
+ * Finds the route of a request in the configuration held here. Only before it refuses a path without a route does it ask
+ * the leader for the latest configuration.
+ */
 export class NodeRoutes {
   /** Undefined before the first configuration. */
   private table: RouteTable | undefined;
 
   /**
-   * @param watch what is known of the fleet
-   * @param log the log of the part that serves callers
+   * @param watch the fleet status
+   * @param log the log of the component that serves callers
    */
   constructor(
-    private readonly watch: Pick<NodeWatch, 'ageMs' | 'freshen' | 'view'>,
+    private readonly watch: Pick<NodeWatch, 'ageMs' | 'refresh' | 'view'>,
     private readonly log: Pick<NodeLog, 'decide'>,
   ) {}
 
   /**
-   * Takes in a configuration.
+   * Applies a configuration.
    *
    * @param config the configuration
    */
-  follow(config: FleetConfig): void {
+  applyConfig(config: FleetConfig): void {
     this.table = new RouteTable(config);
   }
 
   /**
-   * Whether anybody may submit jobs to a host, and so ask for them.
+   * Whether jobs for a host may be submitted, and so read, without a customer's key.
    *
-   * @param host what a call's Host header names
+   * @param host the Host header
    */
   takesJobsOfAnybody(host: string): boolean {
     return this.table?.takesJobsOfAnybody(host) ?? false;
   }
 
   /**
-   * The route of a request, as it is known here.
+   * Finds the route of a request in the configuration held here.
    *
-   * @param host what the request's Host header names
+   * @param host the Host header
    * @param path path and query
    * @throws {RefusalError} `unavailable` before the first configuration
    */
@@ -59,24 +59,24 @@
   }
 
   /**
-   * The route of a request.
+   * Finds the route of a request, by the latest configuration if necessary.
    *
-   * @param host what the request's Host header names
+   * @param host the Host header
    * @param path path and query
-   * @throws {RefusalError} `notFound` when none leads there, `stale` while that isn't certain
+   * @throws {RefusalError} `notFound` when the latest configuration has none, `stale` when it can't be read
    */
   async routeOf(host: string, path: string): Promise<FleetRoute> {
     const known = this.find(host, path);
     if (known !== undefined) {
       return known;
     }
-    const isFresh = await this.watch.freshen(ROUTE_MAX_AGE_MS);
+    const isFresh = await this.watch.refresh(ROUTE_MAX_AGE_MS);
     const found = this.find(host, path);
     if (found !== undefined) {
       return found;
     }
     if (!isFresh) {
-      throw refuse('stale', 'The latest configuration is not known now.', {
+      throw refuse('stale', 'The latest configuration can’t be read at the moment.', {
         retryAfterMs: CONFIG_RETRY_AFTER_MS,
       });
     }
@@ -85,6 +85,6 @@
       version: this.watch.view.config?.version,
       viewAgeMs: Math.round(this.watch.ageMs),
     });
-    throw refuse('notFound', 'No route leads there.');
+    throw refuse('notFound', 'No route matches this host and path.');
   }
 }
--- a/packages/stallpaddle-node/src/NodeService.ts
+++ b/packages/stallpaddle-node/src/NodeService.ts
@@ -1,6 +1,4 @@
-/**
- * What processes of the second kind of fleet answer to each other: calls, replication messages, snapshots.
- */
+/** RPC service between processes: calls, replication messages and snapshots. */
 import type {MessageInitShape} from '@bufbuild/protobuf';
 import type {ConnectRouter} from '@connectrpc/connect';
 import type {GroupId} from 'stallpaddle';
@@ -25,12 +23,12 @@
   UNANSWERED,
 } from 'stallpaddle-rpc';
 
-/** What a process answers to the others. */
+/** Handlers of the service. */
 export interface NodeServiceOptions {
-  /** Answers a command or question as the group's leader; throws a replica's errors otherwise. */
+  /** Answers a command or query as the group's leader; throws a replica's errors otherwise. */
   readonly answer: (value: unknown) => unknown;
   readonly group: GroupId;
-  /** Told of each call that broke off here: its caller learns only that the outcome is unknown. */
+  /** Called for each call that failed unexpectedly; its caller learns only that the outcome is unknown. */
   readonly onFailure: (err: unknown) => void;
   /** The replica, once it has opened. */
   readonly replica: () => (SnapshotTarget & {receive: (message: Message) => void}) | undefined;
@@ -38,10 +36,10 @@
 
 type ConverseAnswer = MessageInitShape<typeof ConverseResponseSchema>;
 
-/** Without an answer the caller takes a call's outcome for unknown. */
+/** Answer to a call whose outcome is unknown. */
 const NO_OUTCOME: ConverseAnswer['answer'] = {outcome: {case: 'outcomeUnknown', value: {}}};
 
-/** Answers what comes on a standing stream, side by side. */
+/** Answers the requests of a stream concurrently. */
 async function* converse(
   requests: AsyncIterable<ConverseRequest>,
   answer: (content: ConverseRequest['content']) => Promise<ConverseAnswer['answer']>,
@@ -64,7 +62,7 @@
         );
       }
     } catch {
-      // The caller has gone; its answers go nowhere.
+      // The caller has disconnected, so its answers can't be delivered.
     }
     answers.end();
   };
@@ -73,10 +71,10 @@
 }
 
 /**
- * Adds the service between processes to a router.
+ * Adds the service to a router.
  *
  * @param router the server's router
- * @param options what the process answers
+ * @param options the handlers
  */
 export function addNodeService(router: ConnectRouter, options: NodeServiceOptions): void {
   const receiver = new SnapshotReceiver();
@@ -114,7 +112,7 @@
       expectGroup(group);
       const replica = options.replica();
       if (replica === undefined) {
-        throw new ConnectError('the replica has not opened yet', Code.Unavailable);
+        throw new ConnectError('the replica is not open yet', Code.Unavailable);
       }
       return receiver.take(group, replica, Number(term), step as InstallStep);
     },
--- a/packages/stallpaddle-node/src/NodeSettings.ts
+++ b/packages/stallpaddle-node/src/NodeSettings.ts
@@ -1,31 +1,29 @@
-/**
- * Settings of one process of a fleet whose engines register themselves: JSON, checked whole.
- */
+/** Settings of a process: a JSON document with a strict schema. */
 import * as z from 'zod/mini';
 
 import {SECOND_MS} from './NodeConstants';
 
-/** IP number and port; an empty text stands for none. */
+/** IP address and port; an empty string stands for none. */
 const address = z.pipe(
   z.string().check(z.regex(/^$|^[0-9.]+:\d+$/)),
   z.transform((text) => (text === '' ? null : text)),
 );
 
-/** A time with its unit, such as `1200ms` or `4.5s`; in milliseconds once it was read. */
+/** A duration with its unit, such as `1200ms` or `4.5s`; parsed to milliseconds. */
 const duration = z.pipe(
   z.string().check(z.regex(/^\d+(\.\d+)?(ms|s)$/)),
   z.transform((text) => parseFloat(text) * (text.endsWith('ms') ? 1 : SECOND_MS)),
 );
 
-/** Bounds that the operator promises callers and engines. */
+/** Time limits that the operator guarantees to callers and engines. */
 const boundsSchema = z.object({
-  /** Time in which an order of the operator or an engine must be acknowledged. */
+  /** Time in which a change by the operator or an engine must be acknowledged. */
   acknowledge: duration,
   /** Time in which an acknowledged configuration must be in force. */
   apply: duration,
-  /** Time in which an engine that leaves must get nothing more. */
+  /** Time after which an engine that leaves must receive no more requests. */
   drain: duration,
-  /** Time between the signal to stop and the end. */
+  /** Grace period between the signal to stop and the end. */
   grace: duration,
   /** Time between two reports of an engine. */
   report: duration,
@@ -33,52 +31,52 @@
 
 const settingsSchema = z.object({
   bounds: boundsSchema,
-  /** Where callers reach this process; empty for one that serves none. */
+  /** Address for callers; empty for a process that serves none. */
   callers: address,
-  /** Where engines and the operator reach this process. */
+  /** Address for engines and the operator. */
   control: address,
-  /** Folder on a disk of its own; empty without one. */
+  /** Folder on a persistent disk; empty without one. */
   dataFolder: z.string(),
-  /** Where callers ask which VM to use. */
+  /** Address at which callers look up entry VMs. */
   directory: address,
   /** True only when the whole fleet starts for the first time, with empty disks. */
   first: z.boolean(),
   host: z.string(),
-  /** What may be lost at once while everything that was acknowledged stays. */
+  /** Simultaneous losses that must not affect acknowledged data. */
   losses: z.object({
     regions: z.number().check(z.nonnegative()),
     vms: z.number().check(z.nonnegative()),
     zones: z.number().check(z.nonnegative()),
   }),
-  /** Where metrics are read, at the path `/metrics`. */
+  /** Address of the metrics, at the path `/metrics`. */
   metrics: address,
   name: z.string(),
-  /** Port on which this process takes calls of the others where a proxy stands before it; else the peer port. */
+  /** Port to listen on for calls of other processes where it differs from `peerPort`, as behind a proxy. */
   peerListenPort: z.optional(z.number()),
-  /** Port on which processes of the fleet reach each other; the same on all VMs. */
+  /** Port for calls between processes; the same on all VMs. */
   peerPort: z.number(),
-  /** Where the platform asks whether this process takes callers. */
+  /** Address of the readiness check. */
   ready: address,
   role: z.enum(['front', 'store']),
-  /** VMs that serve control calls, to be asked first. */
+  /** Control addresses of VMs that are contacted first. */
   seeds: z.array(z.string().check(z.regex(/^[0-9.]+:\d+$/))),
   zone: z.string(),
 });
 
-/** See the module's comment. */
+/** Settings of a process, after validation. */
 export type NodeSettings = Readonly<z.infer<typeof settingsSchema>>;
 
-/** Settings that can't be used. */
+/** The settings don't match the schema. */
 export class NodeSettingsError extends Error {
   override readonly name = 'NodeSettingsError';
 }
 
 /**
- * Reads settings.
+ * Parses and validates settings.
  *
  * @param text JSON
- * @throws {NodeSettingsError} names the first field at fault
- * @throws {SyntaxError} when the text is no JSON
+ * @throws {NodeSettingsError} names the first invalid field
+ * @throws {SyntaxError} when the text is not JSON
  */
 export function parseNodeSettings(text: string): NodeSettings {
   const result = z.safeParse(settingsSchema, JSON.parse(text));
@@ -90,7 +88,8 @@
 }
 
 /**
- * Disks that may be lost at once. Replicas are spread over zones, so each lost zone takes one disk.
+ * Number of disks that may be lost at once. Replicas are spread over availability zones, so the loss of a zone is the loss
+ * of one disk.
  *
  * @param settings the settings
  */
@@ -101,7 +100,7 @@
 /**
  * Host of an address.
  *
- * @param text IP number and port
+ * @param text IP address and port
  */
 export function hostOf(text: string): string {
   return text.slice(0, text.lastIndexOf(':'));
@@ -110,7 +109,7 @@
 /**
  * Port of an address.
  *
- * @param text IP number and port
+ * @param text IP address and port
  */
 export function portOf(text: string): number {
   return Number(text.slice(text.lastIndexOf(':') + 1));
--- a/packages/stallpaddle-node/src/NodeStore.ts
+++ b/packages/stallpaddle-node/src/NodeStore.ts
@@ -19,9 +19,9 @@
 
 import {
   CANDIDATE_TIMEOUT_MS,
-  LEADER_HANDOVER_MS,
   JOBS_GROUP,
   JOBS_LOG_BYTES,
+  LEADER_HANDOVER_MS,
   SECOND_MS,
   VOTER_TIMEOUT_MS,
 } from './NodeConstants';
--- a/packages/stallpaddle-node/src/NodeTypes.ts
+++ b/packages/stallpaddle-node/src/NodeTypes.ts
@@ -1,17 +1,15 @@
-/**
- * What all processes of a fleet have in common.
- */
+/** Types shared by the processes of all roles. */
 import type {Clock, LoggerFactory} from 'stallpaddle';
 
 import type {NodeSettings} from './NodeSettings';
 import type {NodeWire} from './NodeWire';
 
-/** What every process is made of. */
+/** Dependencies of every process. */
 export interface NodeOptions {
   readonly clock: Clock;
-  /** Makes the log of each part of the process. */
+  /** Creates the logger of each component. */
   readonly loggers: LoggerFactory;
-  /** Ends the process after a failure that it can't go on with. */
+  /** Ends the process after a fatal error. */
   readonly onFailure: (err: unknown) => void;
   readonly settings: NodeSettings;
   readonly wire: NodeWire;
@@ -19,8 +17,8 @@
 
 /** A running process. */
 export interface RunningNode {
-  /** Takes in settings that have changed. */
+  /** Applies changed settings. */
   readonly reload: (settings: NodeSettings) => void;
-  /** Stops as planned; resolves when the process may end. */
+  /** Stops gracefully; resolves when the process may exit. */
   readonly stop: () => Promise<void>;
 }
--- a/packages/stallpaddle-node/src/NodeWaiters.ts
+++ b/packages/stallpaddle-node/src/NodeWaiters.ts
@@ -1,29 +1,27 @@
-/**
- * Waits that a change may end before their time is over.
- */
+/** Waits that end early on a change. */
 
-/** See the module's comment. */
+/** Lets several tasks wait for a change with a timeout. */
 export class NodeWaiters {
   private readonly waiting = new Set<() => void>();
 
   /**
    * Waits for the next call of `wakeAll`.
    *
-   * @param mostMs longest wait, in milliseconds
+   * @param timeoutMs longest wait, in milliseconds
    */
-  wait(mostMs: number): Promise<void> {
+  wait(timeoutMs: number): Promise<void> {
     return new Promise((resolve) => {
       const wake = (): void => {
         clearTimeout(timer);
         this.waiting.delete(wake);
         resolve();
       };
-      const timer = setTimeout(wake, mostMs);
+      const timer = setTimeout(wake, timeoutMs);
       this.waiting.add(wake);
     });
   }
 
-  /** Ends all waits under way. */
+  /** Ends all pending waits. */
   wakeAll(): void {
     [...this.waiting].forEach((wake) => wake());
   }
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -1,7 +1,4 @@
-/**
- * Keeps what a process knows of the fleet, by asking again and again: most processes a replica of the control group,
- * replicas and whoever runs items the leader itself.
- */
+/** Watch of the fleet status. */
 
 import type {Clock, LogFields, MonotonicMs, ReplicaId, VmId} from 'stallpaddle';
 import type {TryOutcome, TryRequest} from 'stallpaddle-rpc';
@@ -23,78 +20,81 @@
 
 import {NodeBackoff} from './NodeBackoff';
 import {
-  RETRY_PAUSE_MS,
+  BOOTSTRAP_TTL_MS,
   CONFIRM_TIMEOUT_MS,
   CONTROL_GROUP,
-  BOOTSTRAP_TTL_MS,
+  FOLLOWER_WATCH_HOLD_MS,
   PEEK_PAUSE_MS,
   PEEK_TIMEOUT_MS,
-  FOLLOWER_WATCH_HOLD_MS,
+  RETRY_PAUSE_MS,
   SECOND_MS,
   WATCH_HOLD_MS,
   WATCH_MARGIN_MS,
 } from './NodeConstants';
 import {NodeReplicaSelector} from './NodeReplicaSelector';
 
-/** What the watch needs of its process. */
+/** Dependencies of `NodeWatch`. */
 export interface NodeWatchOptions {
   readonly caller: Pick<NodeGroupClient, 'hosts' | 'tryAt' | 'tryOnce'>;
   readonly clock: Clock;
-  /** What each part of the process says of itself now. */
+  /** Returns the current heartbeat of each component of the process. */
   readonly hellos: () => readonly Hello[];
-  /** VMs that may answer for the leader, the best first; none for a process that asks the leader itself. */
+  /** Replica VMs to watch, by preference; empty for a process that watches the leader itself. */
   readonly hops: () => readonly VmId[];
   readonly note: (message: string, fields: LogFields) => void;
-  /** Called after each try that brought nothing. */
+  /** Called when neither a replica nor the leader answered. */
   readonly onSilence: () => void;
-  /** Called after each answer. */
+  /** Called for each answer, with the new and the previous fleet status. */
   readonly onView: (view: FleetView, before: FleetView) => void;
-  /** What other processes have said to this one; only replicas pass it on. */
+  /** Heartbeats received from other processes, which a replica forwards to the leader. */
   readonly relayed: {
     readonly confirm: (term: number) => void;
     readonly take: () => readonly RelayedHello[];
   };
 }
 
-/** See the module's comment. */
+/**
+ * Keeps the fleet status of a process up to date by long polling. Most processes poll a replica of the control group;
+ * the replicas and the dispatcher poll the leader itself, which keeps the load on the leader low.
+ */
 export class NodeWatch {
   private readonly backoff = new NodeBackoff();
   private current: FleetView = EMPTY_VIEW;
-  private freshening: Promise<boolean> | undefined;
-  private readonly hops = new NodeReplicaSelector();
-  /** Who gives the news; null for the leader itself. */
+  private refreshing: Promise<boolean> | undefined;
+  private readonly selector = new NodeReplicaSelector();
+  /** VM that supplies the fleet status; null for the leader, undefined for none. */
   private source: null | undefined | VmId;
-  /** When each replica was last named by a replica of its group. */
-  private readonly introduced = new Map<ReplicaId, MonotonicMs>();
+  /** Replicas named in bootstrap messages, with the time of the last one. */
+  private readonly bootstrapped = new Map<ReplicaId, MonotonicMs>();
   private stopped = false;
 
   /**
-   * @param options what it needs of its process
+   * @param options its dependencies
    */
   constructor(private readonly options: NodeWatchOptions) {}
 
-  /** What is known now. */
+  /** The current fleet status. */
   get view(): FleetView {
     return this.current;
   }
 
-  /** Age of what is known, in milliseconds. */
+  /** Age of the fleet status, in milliseconds. */
   get ageMs(): number {
     return this.options.clock.monotonicMs() - this.current.asOf;
   }
 
-  /** Replicas of the control group, as far as known: by a leader's news, or by the word of replicas. */
+  /** Known replicas of the control group, from the fleet status and from bootstrap messages. */
   get controls(): readonly ReplicaId[] {
     const oldest = this.options.clock.monotonicMs() - BOOTSTRAP_TTL_MS;
-    const introduced = [...this.introduced].filter(([, at]) => at > oldest).map(([id]) => id);
-    return [...new Set([...this.current.news.controls, ...introduced])];
+    const recent = [...this.bootstrapped].filter(([, at]) => at > oldest).map(([id]) => id);
+    return [...new Set([...this.current.news.controls, ...recent])];
   }
 
-  /** Asks until the process stops. */
+  /** Polls until the process stops. */
   async run(): Promise<void> {
     this.options.caller.hosts().forEach((host) => void this.peekAt(host));
     while (!this.stopped) {
-      if (await this.askAny()) {
+      if (await this.poll()) {
         this.backoff.reset();
       } else {
         this.options.onSilence();
@@ -104,73 +104,73 @@
   }
 
   /**
-   * Asks the leader itself, once.
+   * Polls the leader itself once.
    *
-   * @param waitMs longest hold while there is nothing new, in milliseconds
+   * @param waitMs longest time that the leader holds its answer while nothing is new, in milliseconds
    * @returns whether the leader answered
    */
   async ask(waitMs: number): Promise<boolean> {
     const {caller} = this.options;
-    const outcome = await this.askBy((call, tryMs) => caller.tryOnce(call, tryMs), waitMs, false);
+    const outcome = await this.request((call, tryMs) => caller.tryOnce(call, tryMs), waitMs, false);
     return outcome.kind === 'answered';
   }
 
   /**
-   * Asks the leader itself unless what is known is new enough; several calls make one question.
+   * Polls the leader if the fleet status is older than allowed; concurrent calls share one request.
    *
-   * @param mostAgeMs age up to which it is, in milliseconds
-   * @returns whether what is known now is new enough
+   * @param maxAgeMs largest age allowed, in milliseconds
+   * @returns whether the status is recent enough now
    */
-  async freshen(mostAgeMs: number): Promise<boolean> {
-    if (this.ageMs > mostAgeMs) {
-      await this.askForAll();
+  async refresh(maxAgeMs: number): Promise<boolean> {
+    if (this.ageMs > maxAgeMs) {
+      await this.askShared();
     }
-    return this.ageMs <= mostAgeMs;
+    return this.ageMs <= maxAgeMs;
   }
 
   /**
-   * Asks the leader itself for whatever may be newer than this moment; calls that come meanwhile make one question more.
+   * Polls the leader for a fleet status at least as recent as this call; calls made meanwhile share the next request.
    *
-   * @returns whether what is known now is the latest as of the call or later
+   * @returns whether the status is as recent as the call
    */
   async confirm(): Promise<boolean> {
     const {clock} = this.options;
     const calledAt = clock.monotonicMs();
-    // A question that is under way may have been answered before this call came.
-    await this.freshening;
+    // The leader may have answered a request in flight before this call was made.
+    await this.refreshing;
     while (this.current.asOf < calledAt && clock.monotonicMs() - calledAt < CONFIRM_TIMEOUT_MS) {
-      if (!(await this.askForAll())) {
+      if (!(await this.askShared())) {
         await delay(RETRY_PAUSE_MS);
       }
     }
     return this.current.asOf >= calledAt;
   }
 
-  /** Asks the leader itself; whoever comes meanwhile waits for the same answer. */
-  private askForAll(): Promise<boolean> {
-    this.freshening ??= this.ask(0).finally(() => {
-      this.freshening = undefined;
+  /** Polls the leader; concurrent calls wait for the same answer. */
+  private askShared(): Promise<boolean> {
+    this.refreshing ??= this.ask(0).finally(() => {
+      this.refreshing = undefined;
     });
-    return this.freshening;
+    return this.refreshing;
   }
 
   /**
-   * Notes replicas that a replica has named.
+   * Notes the replicas named in a bootstrap message.
    *
    * @param replicas the replicas
    */
   noteReplicas(replicas: readonly ReplicaId[]): void {
     const now = this.options.clock.monotonicMs();
-    replicas.forEach((replica) => this.introduced.set(replica, now));
-    for (const [replica, at] of this.introduced) {
+    replicas.forEach((replica) => this.bootstrapped.set(replica, now));
+    for (const [replica, at] of this.bootstrapped) {
       if (at <= now - BOOTSTRAP_TTL_MS) {
-        this.introduced.delete(replica);
+        this.bootstrapped.delete(replica);
       }
     }
   }
 
-  /** What this process was told, for others that know less; without proof that it is the latest. */
-  told(): WatchAnswer {
+  /** The fleet status for processes that have none yet, marked as unproven because it may be outdated. */
+  unprovenAnswer(): WatchAnswer {
     const {config} = this.current;
     const news = {...this.current.news, controls: this.controls};
     return {
@@ -185,9 +185,9 @@
   }
 
   /**
-   * Takes in what a replica in this process holds, which may be old: better than nothing after a start.
+   * Uses the fleet status of a replica, which may be outdated, while this process has no configuration.
    *
-   * @param answer what it holds
+   * @param answer the replica's fleet status
    */
   offer(answer: WatchAnswer): void {
     if (this.current.config === null) {
@@ -196,7 +196,7 @@
   }
 
   /**
-   * Adds the gauge for the age of what is known.
+   * Adds the gauges of the fleet status.
    *
    * @param metrics the process's metrics
    */
@@ -208,29 +208,29 @@
     metrics.exposeGauge('stallpaddle_suspects', help, () => this.view.news.suspects.length);
   }
 
-  /** Asks no more. */
+  /** Stops polling. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Asks the best VM that may answer for the leader, the next one if it does not, and the leader itself at last. */
-  private async askAny(): Promise<boolean> {
+  /** Polls the replicas by preference until one answers, and otherwise the leader. */
+  private async poll(): Promise<boolean> {
     const {caller, clock, hops} = this.options;
     const order = hops();
     for (let tries = 0; tries < order.length && !this.stopped; tries++) {
-      const host = this.hops.choose(order, clock.monotonicMs());
+      const host = this.selector.choose(order, clock.monotonicMs());
       if (host === undefined) {
         break;
       }
-      const askHop = (call: TryRequest, tryMs: number) => caller.tryAt(host, call, tryMs);
-      const outcome = await this.askBy(askHop, FOLLOWER_WATCH_HOLD_MS, true);
+      const tryReplica = (call: TryRequest, tryMs: number) => caller.tryAt(host, call, tryMs);
+      const outcome = await this.request(tryReplica, FOLLOWER_WATCH_HOLD_MS, true);
       if (outcome.kind === 'answered') {
         this.noteSource(host);
         return true;
       }
-      this.noteSilence(host, outcome.kind);
+      this.noteLostSource(host, outcome.kind);
       const why = outcome.kind === 'notLeader' ? 'refused' : 'silent';
-      this.hops.noteFailure(host, why, clock.monotonicMs());
+      this.selector.noteFailure(host, why, clock.monotonicMs());
     }
     const isAnswered = await this.ask(WATCH_HOLD_MS);
     if (isAnswered) {
@@ -239,7 +239,7 @@
     return isAnswered;
   }
 
-  private async askBy(
+  private async request(
     tryCall: (call: TryRequest, tryMs: number) => Promise<TryOutcome>,
     waitMs: number,
     mayRelay: boolean,
@@ -267,27 +267,26 @@
     return outcome;
   }
 
-  /** Notes a change of whom the news come from. */
+  /** Logs a change of the VM that supplies the fleet status. */
   private noteSource(host: null | VmId): void {
     if (this.source !== host) {
       this.source = host;
       const from = host ?? 'leader';
-      this.options.note('News come from another VM.', {from, term: this.current.term});
+      this.options.note('Another VM supplies the fleet status.', {from, term: this.current.term});
     }
   }
 
-  private noteSilence(host: VmId, how: string): void {
+  private noteLostSource(host: VmId, how: string): void {
     if (this.source === host) {
       this.source = undefined;
       const ageMs = Math.round(this.ageMs);
-      this.options.note('A VM gives no news.', {ageMs, from: host, how});
+      this.options.note('The VM that supplied the fleet status failed.', {ageMs, from: host, how});
     }
   }
 
   /**
-   * Asks one host what it holds, until the first configuration is known or a leader has answered. All hosts
-   * are asked side by side: after a loss of power some are still dark, and a question to them takes its whole
-   * time.
+   * Asks a host for its fleet status until this process has a configuration or an answer of the leader. All hosts are
+   * asked in parallel, because some may be unreachable and cost a full timeout.
    */
   private async peekAt(host: VmId): Promise<void> {
     const {caller} = this.options;
@@ -298,7 +297,7 @@
       if (outcome.kind === 'answered') {
         this.offer(outcome.result as WatchAnswer);
       }
-      // Whoever answers but holds nothing will not hold anything at once.
+      // A host that answered without a configuration is unlikely to have one soon.
       await delay(outcome.kind === 'answered' ? PEEK_PAUSE_MS : RETRY_PAUSE_MS);
     }
   }
--- a/packages/stallpaddle-node/src/NodeWire.ts
+++ b/packages/stallpaddle-node/src/NodeWire.ts
@@ -1,7 +1,4 @@
-/**
- * Calls from outside as the processes understand them. An adapter translates the words of a platform
- * into these and back; it decides nothing.
- */
+/** Protocol-neutral form of the calls to a process, and the codec interface that a platform implements. */
 import type {IncomingHttpHeaders} from 'node:http';
 import type {VmId} from 'stallpaddle';
 import type {
@@ -15,7 +12,7 @@
 import type {ReadResult, SubmittedItem} from 'stallpaddle-jobs';
 import type {RelayWire} from 'stallpaddle-relay';
 
-/** A call as it came. */
+/** A request as received. */
 export interface RawRequest {
   readonly body: Buffer;
   readonly headers: IncomingHttpHeaders;
@@ -24,20 +21,20 @@
   readonly url: string;
 }
 
-/** An answer as it goes out. */
+/** A response as sent. */
 export interface RawResponse {
   readonly body?: string | Uint8Array;
   readonly headers?: Readonly<Record<string, string>>;
   readonly status: number;
 }
 
-/** A call that could not be read. */
+/** A call that could not be decoded. */
 export interface MalformedCall {
   readonly kind: 'bad';
   readonly message: string;
 }
 
-/** A call to a process that serves engines and the operator. */
+/** A call of an engine or the operator. */
 export type ControlCall =
   | MalformedCall
   | {readonly config: StoredConfig; readonly kind: 'putConfig'}
@@ -61,7 +58,7 @@
   | {readonly kind: 'suspects'; readonly suspects: readonly SuspectDetails[]}
   | {readonly kind: 'unavailable'; readonly message: string};
 
-/** A call of a caller that isn't a request for an engine. */
+/** A caller's call on an existing job. */
 export type JobCall =
   | {readonly item: string; readonly job: string; readonly kind: 'readBody'}
   | {
@@ -72,13 +69,13 @@
     }
   | {readonly job: string; readonly kind: 'endJob'};
 
-/** A submission, without the place that it was sent to. */
+/** A job submission, without its host and path. */
 export interface JobSubmission {
   readonly id: string;
   readonly items: readonly SubmittedItem[];
 }
 
-/** See the module's comment. */
+/** Translates between a platform's HTTP API and the calls of this module; contains no decisions. */
 export interface NodeWire {
   readonly encodeAddresses: (entries: readonly EntryView[]) => RawResponse;
   readonly encodeControl: (reply: ControlReply) => RawResponse;
@@ -87,14 +84,14 @@
     next: number,
     results: readonly ReadResult[],
   ) => RawResponse;
-  /** True for the question which VMs a caller may use. */
+  /** True for a request for the addresses of entry VMs. */
   readonly isAddressQuestion: (call: Omit<RawRequest, 'body'>) => boolean;
-  /** True for the question whether the VM takes callers. */
+  /** True for a readiness check. */
   readonly isReadyQuestion: (call: Omit<RawRequest, 'body'>) => boolean;
   readonly readControl: (call: RawRequest) => ControlCall;
-  /** The key that a caller shows, undecoded; null when it shows none. */
+  /** The caller's key, undecoded; null for none. */
   readonly readKey: (headers: IncomingHttpHeaders) => string | null;
-  /** Null for a request that a route must choose the way of. */
+  /** Null for a request that is to be routed. */
   readonly readJobCall: (call: Omit<RawRequest, 'body'>) => JobCall | null;
   readonly readSubmission: (call: RawRequest) => MalformedCall | JobSubmission;
   readonly relay: RelayWire;
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeCustomers.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeCustomers.test.ts
@@ -40,20 +40,20 @@
     this.latest = holders;
     const clock: Clock = {...systemClock, monotonicMs: () => this.now};
     this.customers = new NodeCustomers(clock, this);
-    this.customers.follow(configOf(holders));
+    this.customers.applyConfig(configOf(holders));
   }
 
   confirm(): Promise<boolean> {
     this.asked++;
     if (this.reachesLeader) {
       this.ageMs = 0;
-      this.customers.follow(configOf(this.latest));
+      this.customers.applyConfig(configOf(this.latest));
     }
     return Promise.resolve(this.reachesLeader);
   }
 
-  async freshen(mostAgeMs: number): Promise<boolean> {
-    return this.ageMs <= mostAgeMs || this.confirm();
+  async refresh(maxAgeMs: number): Promise<boolean> {
+    return this.ageMs <= maxAgeMs || this.confirm();
   }
 
   async identify(key: null | string, isOpen = false): Promise<string> {
@@ -95,12 +95,12 @@
     vm.ageMs = KEY_MAX_AGE_MS + 1;
     vm.latest = {b: ['k1', 'k2']};
     vm.reachesLeader = false;
-    await vm.customers.catchUp();
-    await vm.customers.catchUp();
+    await vm.customers.refreshIfStale();
+    await vm.customers.refreshIfStale();
     expect(vm.asked).toBe(1);
     vm.now = 2_000;
     vm.reachesLeader = true;
-    await vm.customers.catchUp();
+    await vm.customers.refreshIfStale();
     expect(await vm.identify('k1')).toBe('b');
   });
 });
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeGroupClient.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeGroupClient.test.ts
@@ -7,8 +7,8 @@
 import {delay, systemClock} from 'stallpaddle';
 import {describe, expect, test} from 'vitest';
 
-import {NodeGroupClient} from '../../NodeGroupClient';
 import {CALL_TIMEOUT_MS, JOB_CALL_TIMEOUT_MS} from '../../NodeConstants';
+import {NodeGroupClient} from '../../NodeGroupClient';
 
 /** What the VM at a host makes of a call. */
 type Behaviour = (tryMs: number) => Promise<TryOutcome>;
@@ -49,7 +49,12 @@
 }
 
 const REQUEST = {encoded: new Uint8Array(), group: 'jobs', query: true};
-const READ = {changes: false, totalMs: JOB_CALL_TIMEOUT_MS, tryMs: JOB_CALL_TIMEOUT_MS, value: null};
+const READ = {
+  changes: false,
+  totalMs: JOB_CALL_TIMEOUT_MS,
+  tryMs: JOB_CALL_TIMEOUT_MS,
+  value: null,
+};
 
 describe('NodeCaller', () => {
   test('a question that went to a lost leader takes back nothing that was learned since', async () => {
@@ -91,7 +96,9 @@
   test('a leader that has answered before may take the whole time of a call', async () => {
     const slow: Behaviour = async (tryMs) => {
       await delay(Math.min(CALL_TIMEOUT_MS + 200, tryMs));
-      return tryMs > CALL_TIMEOUT_MS + 200 ? {kind: 'answered', result: 'found'} : {kind: 'unknown'};
+      return tryMs > CALL_TIMEOUT_MS + 200
+        ? {kind: 'answered', result: 'found'}
+        : {kind: 'unknown'};
     };
     const {asked, caller, hosts} = callerAmong({a: leads});
     await caller.call(READ);
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
@@ -15,8 +15,8 @@
 import {NotLeaderError} from 'stallpaddle-replication';
 import {describe, expect, test} from 'vitest';
 
-import type {GroupCall} from '../../NodeGroupClient';
 import type {NodeGroup} from '../../NodeGroup';
+import type {GroupCall} from '../../NodeGroupClient';
 
 import {NodeJobReads} from '../../NodeJobReads';
 import {NodeJobsDesk} from '../../NodeJobsDesk';
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
@@ -12,10 +12,10 @@
 import {NodeBackoff} from '../../NodeBackoff';
 import {
   MAX_RETRY_PAUSE_MS,
-  RETRY_PAUSE_MS,
   ONLINE_REPORT_INTERVAL_MS,
   ONLINE_REPORT_SPACING_MS,
   onlineReportIntervalMs,
+  RETRY_PAUSE_MS,
 } from '../../NodeConstants';
 import {NodeOnlineReporter} from '../../NodeOnlineReporter';
 
@@ -53,7 +53,12 @@
     return true;
   };
   const online = new RelayOnline(systemClock);
-  const tells = new NodeOnlineReporter({leaderHost: null, post, tryOnce}, online, 'e1', () => entryVms);
+  const tells = new NodeOnlineReporter(
+    {leaderHost: null, post, tryOnce},
+    online,
+    'e1',
+    () => entryVms,
+  );
   undo.push(() => tells.stop());
   return {online, tells, words};
 }
@@ -113,11 +118,11 @@
     expect(counts[0]).toBeGreaterThan(8);
     expect(counts[0]).toBeLessThanOrEqual(18);
     expect(counts[1]).toBeLessThanOrEqual(3);
-    expect([onlineReportIntervalMs(false, 10), onlineReportIntervalMs(true, 25), onlineReportIntervalMs(true, 26)]).toEqual([
-      ONLINE_REPORT_INTERVAL_MS,
-      100,
-      ONLINE_REPORT_INTERVAL_MS,
-    ]);
+    expect([
+      onlineReportIntervalMs(false, 10),
+      onlineReportIntervalMs(true, 25),
+      onlineReportIntervalMs(true, 26),
+    ]).toEqual([ONLINE_REPORT_INTERVAL_MS, 100, ONLINE_REPORT_INTERVAL_MS]);
   });
 
   test('only words that tell of a begin, or of nothing new, wait for an answer', async () => {
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -17,11 +17,11 @@
 import {tryLocal} from 'stallpaddle-rpc';
 import {afterEach, describe, expect, test} from 'vitest';
 
-import {FORWARD_MAX_AGE_MS, FOLLOWER_WATCH_HOLD_MS, WATCH_MARGIN_MS} from '../../NodeConstants';
+import {FOLLOWER_WATCH_HOLD_MS, FORWARD_MAX_AGE_MS, WATCH_MARGIN_MS} from '../../NodeConstants';
 import {NodeFollowerDesk} from '../../NodeFollowerDesk';
-import {NodeReplicaSelector, orderReplicaHosts} from '../../NodeReplicaSelector';
 import {NodeNewsBoard} from '../../NodeNewsBoard';
 import {NodeRelayedHellos} from '../../NodeRelayedHellos';
+import {NodeReplicaSelector, orderReplicaHosts} from '../../NodeReplicaSelector';
 import {NodeWatch} from '../../NodeWatch';
 
 const undo: (() => void)[] = [];
@@ -179,7 +179,7 @@
     await until(() => watch.view.news.controls.includes('second'));
     const bound = FOLLOWER_WATCH_HOLD_MS + WATCH_MARGIN_MS + 200;
     expect(performance.now() - before).toBeLessThan(bound);
-    await until(() => notes.includes('A VM gives no news.'));
+    await until(() => notes.includes('The VM that supplied the fleet status failed.'));
   });
 
   test('a replica that is told nothing sends its processes to the leader', async () => {
@@ -216,7 +216,7 @@
     await until(() => watch.ageMs < Infinity);
     await delay(FORWARD_MAX_AGE_MS + 100);
     const before = network.asked.filter(({host}) => host === 'leader').length;
-    const fresh = await Promise.all(Array.from({length: 20}, () => watch.freshen(50)));
+    const fresh = await Promise.all(Array.from({length: 20}, () => watch.refresh(50)));
     expect(fresh).toEqual(Array(20).fill(true));
     const asked = network.asked.filter(({host}) => host === 'leader').length - before;
     expect(asked).toBeLessThanOrEqual(3);
--- a/packages/stallpaddle-node/src/boot.ts
+++ b/packages/stallpaddle-node/src/boot.ts
@@ -1,6 +1,4 @@
-/**
- * First file of the program: small, so that it is compiled at once; all else comes with the code cache.
- */
+/** Entry point of the program. It is kept small because, unlike the program, it is compiled without the code cache. */
 import {loadProgram} from './NodeProgram';
 
 loadProgram(__dirname);
--- a/packages/stallpaddle-node/src/index.ts
+++ b/packages/stallpaddle-node/src/index.ts
@@ -1,16 +1,16 @@
-/** Processes of a fleet whose engines register themselves. */
+/** Processes of a fleet with self-registering engines. */
 export {startNode} from './Node';
 export {ADDRESSES_TTL_S} from './NodeConstants';
 export {runNode} from './NodeMain';
 export {type NodeSettings, NodeSettingsError, parseNodeSettings} from './NodeSettings';
 export type {RunningNode} from './NodeTypes';
 export type {
-  MalformedCall,
   ControlCall,
   ControlReply,
   JobCall,
   JobSubmission,
+  MalformedCall,
   NodeWire,
-  RawResponse,
   RawRequest,
+  RawResponse,
 } from './NodeWire';
--- a/packages/stallpaddle-node/src/warm.ts
+++ b/packages/stallpaddle-node/src/warm.ts
@@ -1,10 +1,10 @@
 /**
- * Run by the build: starts the program for a moment, and writes the code cache of what ran. The build gives it
- * the settings of a process alone on this machine.
+ * Runs during the build: starts the program briefly and writes the code cache. The build passes the settings of a fleet
+ * that consists of this process only.
  */
 import {loadProgram, writeCodeCache} from './NodeProgram';
 
-/** Time for the process to start, in milliseconds; what has not run by then is compiled when it is needed. */
+/** Time for which the program runs, in milliseconds; functions not called by then are left out of the code cache. */
 const WARM_MS = 1_500;
 
 const script = loadProgram(__dirname);
