--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -83,7 +83,7 @@
       caller: this.control,
       clock,
       hellos,
-      hops: () => (options.asksLeader() ? [] : this.hopHosts(settings)),
+      replicaHosts: () => (options.asksLeader() ? [] : this.hopHosts(settings)),
       note,
       onSilence,
       onView,
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -40,7 +40,7 @@
   /** Returns the current heartbeat of each component of the process. */
   readonly hellos: () => readonly Hello[];
   /** Replica VMs to watch, by preference; empty for a process that watches the leader itself. */
-  readonly hops: () => readonly VmId[];
+  readonly replicaHosts: () => readonly VmId[];
   readonly note: (message: string, fields: LogFields) => void;
   /** Called when neither a replica nor the leader answered. */
   readonly onSilence: () => void;
@@ -215,7 +215,7 @@
 
   /** Polls the replicas by preference until one answers, and otherwise the leader. */
   private async poll(): Promise<boolean> {
-    const {caller, clock, hops} = this.options;
+    const {caller, clock, replicaHosts: hops} = this.options;
     const order = hops();
     for (let tries = 0; tries < order.length && !this.stopped; tries++) {
       const host = this.selector.choose(order, clock.monotonicMs());
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -82,7 +82,7 @@
     },
     clock: systemClock,
     hellos: () => hellos,
-    hops: () => hops,
+    replicaHosts: () => hops,
     note: (message) => notes.push(message),
     onSilence: () => hooks.onSilence(),
     onView: (view, before) => hooks.onView(view, before),
