--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -82,7 +82,7 @@
     this.watch = new NodeWatch({
       caller: this.control,
       clock,
-      hellos,
+      heartbeats: hellos,
       replicaHosts: () => (options.asksLeader() ? [] : this.hopHosts(settings)),
       note,
       onSilence,
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -38,7 +38,7 @@
   readonly caller: Pick<NodeGroupClient, 'hosts' | 'tryAt' | 'tryOnce'>;
   readonly clock: Clock;
   /** Returns the current heartbeat of each component of the process. */
-  readonly hellos: () => readonly Hello[];
+  readonly heartbeats: () => readonly Hello[];
   /** Replica VMs to watch, by preference; empty for a process that watches the leader itself. */
   readonly replicaHosts: () => readonly VmId[];
   readonly note: (message: string, fields: LogFields) => void;
@@ -244,7 +244,7 @@
     waitMs: number,
     mayRelay: boolean,
   ): Promise<TryOutcome> {
-    const {clock, hellos, relayed} = this.options;
+    const {clock, heartbeats: hellos, relayed} = this.options;
     const {config, fleet, term} = this.current;
     const request: FleetRequest = {
       hellos: hellos(),
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -81,7 +81,7 @@
       tryOnce: (call, tryMs) => network.tryAt('leader', call, tryMs),
     },
     clock: systemClock,
-    hellos: () => hellos,
+    heartbeats: () => hellos,
     replicaHosts: () => hops,
     note: (message) => notes.push(message),
     onSilence: () => hooks.onSilence(),
