--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -83,7 +83,6 @@
       caller: this.control,
       clock,
       heartbeats: hellos,
-      replicaHosts: () => (options.asksLeader() ? [] : this.hopHosts(settings)),
       note,
       onSilence,
       onView,
@@ -91,6 +90,7 @@
         confirm: (term) => relayed.confirm(term),
         take: () => relayed.take(clock.monotonicMs()),
       },
+      replicaHosts: () => (options.asksLeader() ? [] : this.hopHosts(settings)),
     });
   }
 
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -215,8 +215,8 @@
 
   /** Polls the replicas by preference until one answers, and otherwise the leader. */
   private async poll(): Promise<boolean> {
-    const {caller, clock, replicaHosts: hops} = this.options;
-    const order = hops();
+    const {caller, clock, replicaHosts} = this.options;
+    const order = replicaHosts();
     for (let tries = 0; tries < order.length && !this.stopped; tries++) {
       const host = this.selector.choose(order, clock.monotonicMs());
       if (host === undefined) {
@@ -244,10 +244,10 @@
     waitMs: number,
     mayRelay: boolean,
   ): Promise<TryOutcome> {
-    const {clock, heartbeats: hellos, relayed} = this.options;
+    const {clock, heartbeats, relayed} = this.options;
     const {config, fleet, term} = this.current;
     const request: FleetRequest = {
-      hellos: hellos(),
+      hellos: heartbeats(),
       kind: 'watch',
       known: {config: config?.version ?? null, fleet, term},
       mayRelay,
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -82,7 +82,6 @@
     },
     clock: systemClock,
     heartbeats: () => hellos,
-    replicaHosts: () => hops,
     note: (message) => notes.push(message),
     onSilence: () => hooks.onSilence(),
     onView: (view, before) => hooks.onView(view, before),
@@ -90,6 +89,7 @@
       confirm: (term) => relayed?.confirm(term),
       take: () => relayed?.take(systemClock.monotonicMs()) ?? [],
     },
+    replicaHosts: () => hops,
   });
   undo.push(() => watch.stop());
   return {hooks, notes, watch};
