--- a/packages/stallpaddle-node/src/__tests__/unit/NodeAddresses.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeAddresses.test.ts
@@ -1,6 +1,4 @@
-/**
- * Callers of a fleet with more entry VMs than one answer names reach all of them, each with its share.
- */
+/** Guards against uneven load on entry VMs when one answer can't list all of them. */
 import type {EntryView} from 'stallpaddle-fleet';
 
 import fc from 'fast-check';
@@ -17,33 +15,33 @@
   }));
 }
 
-describe('drawEntries', () => {
-  test('names each of 170 VMs about as often as any other', () => {
+describe('sampleEntries', () => {
+  test('lists each of 170 VMs about equally often', () => {
     const random = seededRandom(20_261);
     const entries = entriesOf(170);
-    const named = new Map<string, number>(entries.map(({name}) => [name, 0]));
+    const counts = new Map<string, number>(entries.map(({name}) => [name, 0]));
     const answers = 2_000;
     for (let count = 0; count < answers; count++) {
       for (const {name} of sampleEntries(entries, 64, random)) {
-        named.set(name, named.get(name)! + 1);
+        counts.set(name, counts.get(name)! + 1);
       }
     }
-    const share = (answers * 64) / 170;
-    for (const times of named.values()) {
-      expect(times / share).toBeGreaterThan(0.8);
-      expect(times / share).toBeLessThan(1.2);
+    const average = (answers * 64) / 170;
+    for (const count of counts.values()) {
+      expect(count / average).toBeGreaterThan(0.8);
+      expect(count / average).toBeLessThan(1.2);
     }
   });
 
-  test('names every VM once while all fit, and never more than fit', () => {
-    const counts = fc.record({most: fc.integer({max: 64, min: 1}), there: fc.nat(100)});
+  test('lists each VM at most once, and as many as the limit allows', () => {
+    const counts = fc.record({limit: fc.integer({max: 64, min: 1}), total: fc.nat(100)});
     fc.assert(
-      fc.property(counts, fc.nat(), ({most, there}, seed) => {
-        const entries = entriesOf(there);
-        const drawn = sampleEntries(entries, most, seededRandom(seed));
-        expect(drawn).toHaveLength(Math.min(most, there));
-        expect(new Set(drawn).size).toBe(drawn.length);
-        expect(drawn.every((entry) => entries.includes(entry))).toBe(true);
+      fc.property(counts, fc.nat(), ({limit, total}, seed) => {
+        const entries = entriesOf(total);
+        const sample = sampleEntries(entries, limit, seededRandom(seed));
+        expect(sample).toHaveLength(Math.min(limit, total));
+        expect(new Set(sample).size).toBe(sample.length);
+        expect(sample.every((entry) => entries.includes(entry))).toBe(true);
       }),
     );
   });
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeCustomers.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeCustomers.test.ts
@@ -1,6 +1,4 @@
-/**
- * Who sends a call, at a VM whose knowledge may be old.
- */
+/** Guards against a VM with an outdated configuration refusing new keys or accepting revoked ones. */
 import type {Clock, RefusalError} from 'stallpaddle';
 
 import {systemClock} from 'stallpaddle';
@@ -12,7 +10,7 @@
 
 const LIMITS = {headerTimeoutMs: 1, idleTimeoutMs: 1, maxBodyBytes: 1, maxHeaderBytes: 1};
 
-/** Customers by their keys; null for a fleet that knows none. */
+/** Keys by customer; null for a fleet without customers. */
 type Holders = null | Readonly<Record<string, readonly string[]>>;
 
 function configOf(holders: Holders): FleetConfig {
@@ -27,7 +25,7 @@
   return holders === null ? config : {...config, customers};
 }
 
-/** A VM that knows something, and learns the latest when it asks. */
+/** A VM that holds some configuration, and gets the latest one from the leader on request. */
 class Vm {
   ageMs = 0;
   asked = 0;
@@ -67,13 +65,13 @@
 }
 
 describe('NodeCustomers', () => {
-  test('knows a customer by each of its keys, and turns away who shows none', async () => {
+  test('identifies a customer by each of its keys, and refuses calls without a valid key', async () => {
     const vm = new Vm({a: ['k1', 'k2'], b: ['k3']});
     const found = await Promise.all(['k1', 'k2', 'k3', 'k4', null].map((key) => vm.identify(key)));
     expect(found).toEqual(['a', 'a', 'b', 'unauthorized', 'unauthorized']);
   });
 
-  test('lets anybody through where no key is needed, in a customer’s name if it shows one', async () => {
+  test('accepts calls without a valid key where none is required, and still identifies customers', async () => {
     const vm = new Vm({a: ['k1']});
     expect(await vm.identify(null, true)).toBe('anybody');
     expect(await vm.identify('guess', true)).toBe('anybody');
@@ -81,7 +79,7 @@
     expect(await new Vm(null).identify(null)).toBe('untold');
   });
 
-  test('asks for the latest before it turns a key away, and is not certain without it', async () => {
+  test('asks for the latest keys before it refuses one, and answers stale if it can’t get them', async () => {
     const vm = new Vm({a: ['k1']});
     vm.latest = {a: ['k1', 'new']};
     expect(await vm.identify('new')).toBe('a');
@@ -90,7 +88,7 @@
     expect(await vm.identify('k1')).toBe('a');
   });
 
-  test('asks before it serves by keys that it knew long ago, but not again and again', async () => {
+  test('refreshes outdated keys before it serves, but pauses between failed attempts', async () => {
     const vm = new Vm({a: ['k1'], b: ['k2']});
     vm.ageMs = KEY_MAX_AGE_MS + 1;
     vm.latest = {b: ['k1', 'k2']};
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeGroupClient.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeGroupClient.test.ts
@@ -1,6 +1,4 @@
-/**
- * How a process finds the leader of a group: what it learns, what takes that back, and what a dark VM costs.
- */
+/** Guards against a client that loses track of a group's leader, or spends its time on unreachable VMs. */
 import type {VmId} from 'stallpaddle';
 import type {TryOutcome} from 'stallpaddle-rpc';
 
@@ -10,10 +8,10 @@
 import {CALL_TIMEOUT_MS, JOB_CALL_TIMEOUT_MS} from '../../NodeConstants';
 import {NodeGroupClient} from '../../NodeGroupClient';
 
-/** What the VM at a host makes of a call. */
+/** How the VM at a host answers a call. */
 type Behaviour = (tryMs: number) => Promise<TryOutcome>;
 
-const dark: Behaviour = async (tryMs) => {
+const unreachable: Behaviour = async (tryMs) => {
   await delay(tryMs);
   return {kind: 'unknown'};
 };
@@ -27,10 +25,10 @@
   };
 }
 
-/** A caller among VMs whose behaviour may change. */
-function callerAmong(hosts: Record<VmId, Behaviour>) {
+/** A client of VMs whose behaviour may change. */
+function clientOf(hosts: Record<VmId, Behaviour>) {
   const asked: VmId[] = [];
-  const caller = new NodeGroupClient({
+  const client = new NodeGroupClient({
     clock: systemClock,
     group: 'jobs',
     hosts: () => Object.keys(hosts),
@@ -45,7 +43,7 @@
       }),
     },
   });
-  return {asked, caller, hosts};
+  return {asked, client, hosts};
 }
 
 const REQUEST = {encoded: new Uint8Array(), group: 'jobs', query: true};
@@ -56,62 +54,61 @@
   value: null,
 };
 
-describe('NodeCaller', () => {
-  test('a question that went to a lost leader takes back nothing that was learned since', async () => {
-    // Many reads wait at a leader when its VM loses power. Each of them was over at its own time, and made the process
-    // forget the next leader again: it asked around once more, also at dark VMs, though it had found the leader.
-    const {caller, hosts} = callerAmong({a: leads, b: follows(null)});
-    await caller.call(READ);
-    Object.assign(hosts, {a: dark, b: leads});
-    const late = caller.tryOnce(REQUEST, 120);
-    await caller.tryOnce(REQUEST, 20);
-    while (caller.leaderHost !== 'b') {
-      await caller.tryOnce(REQUEST, 20);
+describe('NodeGroupClient', () => {
+  test('a late failure at a lost leader does not discard the new leader', async () => {
+    // Requests pending at the lost leader time out one by one, after the new leader was found.
+    const {client, hosts} = clientOf({a: leads, b: follows(null)});
+    await client.call(READ);
+    Object.assign(hosts, {a: unreachable, b: leads});
+    const late = client.tryOnce(REQUEST, 120);
+    await client.tryOnce(REQUEST, 20);
+    while (client.leaderHost !== 'b') {
+      await client.tryOnce(REQUEST, 20);
     }
     await late;
-    expect(caller.leaderHost).toBe('b');
+    expect(client.leaderHost).toBe('b');
   });
 
-  test('a replica that answers late with the name of an earlier leader is not believed', async () => {
-    const {caller} = callerAmong({a: follows('c', 80), b: leads, c: dark});
-    const late = caller.tryOnce(REQUEST, 200);
-    await caller.call(READ);
+  test('a late answer that names an earlier leader is ignored', async () => {
+    const {client} = clientOf({a: follows('c', 80), b: leads, c: unreachable});
+    const late = client.tryOnce(REQUEST, 200);
+    await client.call(READ);
     await late;
-    expect(caller.leaderHost).toBe('b');
+    expect(client.leaderHost).toBe('b');
   });
 
-  test('a dark VM that is only guessed or named to lead costs a read one short try', async () => {
-    // After all VMs lost power two of five come back late. A read that asked one of them first spent all its time there.
+  test('an unreachable VM that has not answered as leader costs a read one short try', async () => {
+    // After a power loss of all VMs a read must not spend its whole time at one that is still down.
     for (const named of [
-      {a: dark, b: leads},
-      {a: follows('c'), b: leads, c: dark},
+      {a: unreachable, b: leads},
+      {a: follows('c'), b: leads, c: unreachable},
     ]) {
-      const {caller} = callerAmong(named as Record<VmId, Behaviour>);
+      const {client} = clientOf(named as Record<VmId, Behaviour>);
       const startedAt = performance.now();
-      expect(await caller.call(READ)).toBe('found');
+      expect(await client.call(READ)).toBe('found');
       expect(performance.now() - startedAt).toBeLessThan(CALL_TIMEOUT_MS + 200);
     }
   });
 
-  test('a leader that has answered before may take the whole time of a call', async () => {
+  test('a leader that has answered before may use the whole time of a call', async () => {
     const slow: Behaviour = async (tryMs) => {
       await delay(Math.min(CALL_TIMEOUT_MS + 200, tryMs));
       return tryMs > CALL_TIMEOUT_MS + 200
         ? {kind: 'answered', result: 'found'}
         : {kind: 'unknown'};
     };
-    const {asked, caller, hosts} = callerAmong({a: leads});
-    await caller.call(READ);
+    const {asked, client, hosts} = clientOf({a: leads});
+    await client.call(READ);
     hosts['a'] = slow;
-    expect(await caller.call(READ)).toBe('found');
+    expect(await client.call(READ)).toBe('found');
     expect(asked).toEqual(['a', 'a']);
   });
 
-  test('a lost answer to a change is told as one that may have run', async () => {
-    const {caller} = callerAmong({a: dark, b: follows(null)});
+  test('a change whose answer is lost is reported as possibly run', async () => {
+    const {client} = clientOf({a: unreachable, b: follows(null)});
     const change = {changes: true, totalMs: 150, tryMs: 50, value: null};
-    await expect(caller.call(change)).rejects.toMatchObject({verdict: 'mayHaveRun'});
-    const {caller: refused} = callerAmong({a: follows(null), b: follows('a')});
+    await expect(client.call(change)).rejects.toMatchObject({verdict: 'mayHaveRun'});
+    const {client: refused} = clientOf({a: follows(null), b: follows('a')});
     await expect(refused.call(change)).rejects.toMatchObject({verdict: 'notRun'});
   });
 });
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
@@ -1,10 +1,6 @@
 /**
- * Reads of jobs, all at once.
- *
- * Seen: a job that had been accepted could not be read at the end of a day, though its group had a leader with all its
- * data. After the last requests all jobs were read from the start at the same moment. The leader began every read at
- * once, so none was done before its caller had given up and asked again; what was given up was still worked on, and no
- * read was ever answered. A play of the same kind of day with all its logs, and the first test here, show it.
+ * Guards against reads of many jobs at once starving each other: if all run at once, none finishes before its caller times
+ * out and asks again.
  */
 import type {JobsDispatcher, JobsRequest, JobsState, ResultsAnswer} from 'stallpaddle-jobs';
 import type {TryOutcome} from 'stallpaddle-rpc';
@@ -23,11 +19,11 @@
 
 const JOBS = 120;
 const ITEMS = 5;
-/** Longest wait of a caller, in milliseconds. */
+/** Timeout of a caller, in milliseconds. */
 const PATIENCE_MS = 300;
 const DISPATCHER = {} as JobsDispatcher;
 
-/** A state with jobs all of whose items have ended. */
+/** A state with jobs whose items have all ended. */
 function stateOf(jobs: number): JobsState {
   let state = jobsMachine.initial();
   const apply = (change: unknown): void => {
@@ -55,7 +51,7 @@
   return state;
 }
 
-/** A replica whose process does one thing after the other: each piece of bulk data costs it a millisecond. */
+/** A replica that reads bulk data sequentially, at one millisecond per blob. */
 function replicaOf(state: JobsState, leads: boolean, completeAgeMs = 0) {
   let work: Promise<unknown> = Promise.resolve();
   const counts = {blobs: 0};
@@ -93,7 +89,7 @@
 }
 
 describe('reads of jobs', () => {
-  test('of all jobs at once are answered, though each caller waits only so long', async () => {
+  test('of all jobs at once are answered despite the callers’ timeouts', async () => {
     const {desk} = replicaOf(stateOf(JOBS), true);
     const endAt = systemClock.monotonicMs() + 4_000;
     const ask = async (job: string): Promise<boolean> => {
@@ -102,11 +98,11 @@
           () => true,
           () => false,
         );
-        const patience = delay(PATIENCE_MS).then(() => false);
-        if (await Promise.race([answer, patience])) {
+        const timeout = delay(PATIENCE_MS).then(() => false);
+        if (await Promise.race([answer, timeout])) {
           return true;
         }
-        await patience;
+        await timeout;
       }
       return false;
     };
@@ -114,7 +110,7 @@
     expect(answered.filter((isAnswered) => isAnswered)).toHaveLength(JOBS);
   });
 
-  test('whose caller has given up cost nothing any more', async () => {
+  test('are dropped once their caller has given up', async () => {
     const {counts, desk} = replicaOf(stateOf(JOBS), true);
     const reads = Array.from({length: JOBS}, (_, at) =>
       desk.answer(readOf(`j${at}`, {patienceMs: 20}), DISPATCHER).catch(() => null),
@@ -123,7 +119,7 @@
     expect(counts.blobs).toBeLessThan((JOBS * ITEMS) / 2);
   });
 
-  test('are answered by a replica that follows, from what it holds', async () => {
+  test('are answered by a follower from its own state', async () => {
     const {desk} = replicaOf(stateOf(1), false);
     const answer = (await desk.answer(readOf('j0'), DISPATCHER)) as ResultsAnswer;
     expect(answer).toMatchObject({kind: 'results', next: ITEMS, total: ITEMS});
@@ -134,11 +130,11 @@
       mayFollow: true,
       patienceMs: 100,
     } as const;
-    // The item is listed, and only the leader knows for certain what is not there.
+    // The blob is not found here, and only the leader can tell that it does not exist.
     await expect(desk.answer(body, DISPATCHER)).rejects.toThrow(NotLeaderError);
   });
 
-  test('that find nothing are answered by a replica that holds all that was recorded when they came', async () => {
+  test('that find no results are answered by a follower that is up to date as of the call', async () => {
     const before = jobsMachine.initial();
     const submission = {
       host: 'h',
@@ -155,7 +151,7 @@
     expect(held).toMatchObject({kind: 'results', results: [], total: 1});
   });
 
-  test('go to the leader where a replica that follows can’t be sure', async () => {
+  test('go to the leader where a follower can’t be sure of its answer', async () => {
     const {desk} = replicaOf(stateOf(1), false, 5_000);
     await expect(desk.answer(readOf('other'), DISPATCHER)).rejects.toThrow(NotLeaderError);
     await expect(desk.answer(readOf('j0', {from: ITEMS + 1}), DISPATCHER)).rejects.toThrow(
@@ -167,13 +163,13 @@
   });
 });
 
-/** A caller whose replicas answer as a test says. */
-function callerOf(
+/** A client of replicas with given answers. */
+function clientOf(
   answers: Readonly<Record<string, TryOutcome>>,
   leader: unknown = 'from the leader',
 ) {
   const asked: string[] = [];
-  const caller = {
+  const client = {
     call: <Answer>({totalMs}: GroupCall): Promise<Answer> => {
       asked.push('leader');
       return totalMs > 0
@@ -187,7 +183,7 @@
       return Promise.resolve(answers[host]!);
     },
   };
-  return {asked, caller};
+  return {asked, client};
 }
 
 describe('where jobs are read', () => {
@@ -195,33 +191,33 @@
   const noLog = {decide: () => {}};
   const answered = {kind: 'answered', result: 'from a replica'} as const;
 
-  test('any replica is asked, and the leader only for what it can’t tell', async () => {
-    const {asked, caller} = callerOf({a: answered, b: answered, c: answered});
-    const reads = new NodeJobReads(caller, systemClock, noLog, seededRandom(1));
+  test('reads are spread over all replicas', async () => {
+    const {asked, client} = clientOf({a: answered, b: answered, c: answered});
+    const reads = new NodeJobReads(client, systemClock, noLog, seededRandom(1));
     for (let read = 0; read < 60; read++) {
       expect(await reads.read(call)).toBe('from a replica');
     }
     expect(new Set(asked)).toEqual(new Set(['a', 'b', 'c']));
   });
 
-  test('a replica that is dark is left out for a while, and its reads go to the leader', async () => {
-    const {asked, caller} = callerOf({a: {kind: 'unknown'}});
-    const reads = new NodeJobReads(caller, systemClock, noLog);
+  test('an unreachable replica is skipped for a while, and its reads go to the leader', async () => {
+    const {asked, client} = clientOf({a: {kind: 'unknown'}});
+    const reads = new NodeJobReads(client, systemClock, noLog);
     expect(await reads.read(call)).toBe('from the leader');
     expect(await reads.read(call)).toBe('from the leader');
     expect(asked).toEqual(['a', 'leader', 'leader']);
   });
 
-  test('a read that nobody answers is told in the log', async () => {
-    const {caller} = callerOf({});
-    const told: string[] = [];
-    const log = {decide: (decision: string, id: string) => told.push(`${decision} ${id}`)};
+  test('a read that nobody answers is logged', async () => {
+    const {client} = clientOf({});
+    const logged: string[] = [];
+    const log = {decide: (decision: string, id: string) => logged.push(`${decision} ${id}`)};
     const refusing = {
-      ...caller,
+      ...client,
       call: () => Promise.reject(new RefusalError('unavailable', 'notRun', 'no leader')),
     };
     const reads = new NodeJobReads(refusing, systemClock, log);
     await expect(reads.read(call)).rejects.toThrow('no leader');
-    expect(told).toEqual(['jobUnavailable j']);
+    expect(logged).toEqual(['jobUnavailable j']);
   });
 });
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeLimits.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeLimits.test.ts
@@ -1,6 +1,4 @@
-/**
- * Limits over several VMs, some of them silent, cut off or of another mind on who owns what.
- */
+/** Guards against customers exceeding their limit while limit owners are unreachable, partitioned or replaced. */
 import type {VmId} from 'stallpaddle';
 import type {EntryView} from 'stallpaddle-fleet';
 import type {LimitAsk, RateLimit} from 'stallpaddle-limits';
@@ -15,19 +13,19 @@
 
 const VMS = 24;
 const LIMIT: RateLimit = {burst: 10, customer: 'c', ratePerSecond: 10};
-/** Most requests in a second: rate, burst, what a bucket holds besides, and what the first requests of another owner are. */
+/** Most requests in a second: rate, burst, margin of a bucket, and first requests at a new owner. */
 const MOST_IN_A_SECOND = 10 + 10 + 8 + 4;
 
-/** VMs that call each other without a network, on one clock. */
+/** VMs with a simulated network and a common clock. */
 class Fleet {
   asks = 0;
   entries: readonly EntryView[];
   readonly hosts: readonly VmId[];
   now = 0;
-  /** Whether a call is lost on its way. */
+  /** Whether a call is lost by the network. */
   isLost: (from: VmId, to: VmId) => boolean = () => false;
   readonly silent = new Set<VmId>();
-  /** Age of what each VM knows; 0 where it is not named. */
+  /** Age of each VM's fleet status; 0 where unset. */
   readonly viewAgeMs = new Map<VmId, number>();
   private readonly limits = new Map<VmId, NodeLimits>();
 
@@ -52,10 +50,10 @@
     return limitOwners(LIMIT.customer, limitKeepers(this.hosts));
   }
 
-  /** A request at each VM that is heard; returns how many were granted. */
+  /** Sends a request to each reachable VM; returns how many were granted. */
   async round(): Promise<number> {
-    const heard = this.hosts.filter((host) => !this.silent.has(host));
-    const answers = await Promise.all(heard.map((host) => this.limits.get(host)!.admit(LIMIT)));
+    const reachable = this.hosts.filter((host) => !this.silent.has(host));
+    const answers = await Promise.all(reachable.map((host) => this.limits.get(host)!.admit(LIMIT)));
     return answers.filter(({kind}) => kind === 'granted').length;
   }
 
@@ -68,7 +66,7 @@
   }
 }
 
-/** Some rounds, one each tenth of a second; returns how many requests were granted. */
+/** Runs rounds, one each 100 ms; returns how many requests were granted. */
 async function rounds(fleet: Fleet, count: number): Promise<number> {
   let granted = 0;
   for (let round = 0; round < count; round++) {
@@ -79,35 +77,35 @@
 }
 
 describe('NodeLimits', () => {
-  test('one VM counts for all, with one question a request', async () => {
+  test('one VM grants the requests of all VMs, with one call per request', async () => {
     const fleet = new Fleet();
     expect(await rounds(fleet, 10)).toBeLessThanOrEqual(MOST_IN_A_SECOND);
     expect(await rounds(fleet, 20)).toBeGreaterThanOrEqual(18);
     expect(fleet.asks).toBeLessThanOrEqual(30 * VMS);
   });
 
-  test('another VM counts while the owner is silent, and no more than one of them', async () => {
+  test('exactly one deputy takes over while the owner does not answer', async () => {
     const fleet = new Fleet();
     await rounds(fleet, 20);
     fleet.silent.add(fleet.owners[0]!);
     const before = await rounds(fleet, 10);
-    // Until the silence is certain each VM grants its part of the rate.
+    // Until the deputy takes over, each VM applies its local share of the limit.
     expect(before).toBeLessThanOrEqual(MOST_IN_A_SECOND);
     const after = await rounds(fleet, 50);
     expect(after).toBeGreaterThanOrEqual(45);
     expect(after).toBeLessThanOrEqual(5 * 10 + MOST_IN_A_SECOND);
   });
 
-  test('only one VM counts while some VMs don’t reach the owner', async () => {
+  test('no deputy takes over while only some VMs can’t reach the owner', async () => {
     const fleet = new Fleet();
     await rounds(fleet, 20);
     const [owner, deputy] = fleet.owners;
-    const apart = new Set(fleet.hosts.filter((host) => host !== deputy).slice(VMS / 2));
-    fleet.isLost = (from, to) => to === owner && apart.has(from);
+    const partitioned = new Set(fleet.hosts.filter((host) => host !== deputy).slice(VMS / 2));
+    fleet.isLost = (from, to) => to === owner && partitioned.has(from);
     expect(await rounds(fleet, 50)).toBeLessThanOrEqual(5 * 10 + MOST_IN_A_SECOND);
   });
 
-  test('only one VM counts while calls to the owner are lost now and then', async () => {
+  test('no deputy takes over while calls to the owner are lost occasionally', async () => {
     const fleet = new Fleet();
     await rounds(fleet, 20);
     const [owner] = fleet.owners;
@@ -117,18 +115,18 @@
     expect(granted).toBeLessThanOrEqual((10 * 5 + 10) * 1.1 + 20);
   });
 
-  test('an owner that another VM stood in for grants no whole burst when it is back', async () => {
+  test('an owner that returns after its replacement does not grant a whole burst', async () => {
     const fleet = new Fleet();
     await rounds(fleet, 20);
     const {entries, owners} = fleet;
     fleet.entries = entries.filter(({name}) => name !== owners[0]);
     await rounds(fleet, 30);
     fleet.entries = entries;
-    // The rate, and the first requests.
+    // The rate, plus the first requests at a new owner.
     expect(await rounds(fleet, 10)).toBeLessThanOrEqual(10 + 4 + 1);
   });
 
-  test('an owner that was away for long grants nothing until it knows that it still is one', async () => {
+  test('an owner with an outdated fleet status grants nothing to other VMs', async () => {
     const fleet = new Fleet();
     await rounds(fleet, 20);
     const [owner] = fleet.owners;
@@ -136,12 +134,12 @@
     expect(await rounds(fleet, 10)).toBeLessThanOrEqual(MOST_IN_A_SECOND);
   });
 
-  test('a VM that is cut off from all others grants its own part', async () => {
+  test('a VM that is partitioned from all others applies its local share', async () => {
     const fleet = new Fleet();
     await rounds(fleet, 20);
     const [, deputy] = fleet.owners;
     fleet.hosts.filter((host) => host !== deputy).forEach((host) => fleet.silent.add(host));
-    // It would take the owner's place, but hears no news either.
+    // As deputy it would take over, but its fleet status is outdated too.
     fleet.viewAgeMs.set(deputy!, 10_000);
     fleet.asks = 0;
     expect(await rounds(fleet, 50)).toBeLessThanOrEqual(5);
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineReporter.test.ts
@@ -1,7 +1,4 @@
-/**
- * What an entry VM's words cost: few while it serves nobody, one at once for a request after a pause, several changes
- * together in a burst, and ever fewer tries while nobody answers.
- */
+/** Guards against late reports of online requests, and against too many of them. */
 import type {OnlineAnswer} from 'stallpaddle-jobs';
 import type {TryOutcome} from 'stallpaddle-rpc';
 
@@ -23,9 +20,9 @@
 
 afterEach(() => undo.splice(0).forEach((step) => step()));
 
-interface Word {
+interface Report {
   readonly at: number;
-  /** Whether its sender waits for an answer. */
+  /** Whether the sender waits for an answer. */
   readonly isCall: boolean;
   readonly own: Readonly<Record<string, number>>;
 }
@@ -37,38 +34,38 @@
   version: {changes: 1, epoch: 'n'},
 };
 
-function wordOf(encoded: Uint8Array, isCall: boolean): Word {
-  return {at: performance.now(), isCall, ...decodeValue<{own: Word['own']}>(encoded)};
+function reportOf(encoded: Uint8Array, isCall: boolean): Report {
+  return {at: performance.now(), isCall, ...decodeValue<{own: Report['own']}>(encoded)};
 }
 
-function tellsOf(answers = true, entryVms = 200) {
-  const words: Word[] = [];
+function reporterOf(answers = true, entryVms = 200) {
+  const reports: Report[] = [];
   const tryOnce = async ({encoded}: {encoded: Uint8Array}): Promise<TryOutcome> => {
-    words.push(wordOf(encoded, true));
+    reports.push(reportOf(encoded, true));
     await delay(1);
     return answers ? {kind: 'answered', result: ANSWER} : {kind: 'unknown'};
   };
   const post = ({encoded}: {encoded: Uint8Array}): boolean => {
-    words.push(wordOf(encoded, false));
+    reports.push(reportOf(encoded, false));
     return true;
   };
   const online = new RelayOnline(systemClock);
-  const tells = new NodeOnlineReporter(
+  const reporter = new NodeOnlineReporter(
     {leaderHost: null, post, tryOnce},
     online,
     'e1',
     () => entryVms,
   );
-  undo.push(() => tells.stop());
-  return {online, tells, words};
+  undo.push(() => reporter.stop());
+  return {online, reporter, reports};
 }
 
-describe('NodeTells', () => {
-  test('tells whoever was named to run items at once, and waits longer and longer while nobody is', async () => {
-    // After a loss of all VMs each one must know the others' requests before it can choose among engines.
+describe('NodeOnlineReporter', () => {
+  test('retries without backoff at a named dispatcher, and with backoff while none is known', async () => {
+    // After a restart of the whole fleet, each VM needs the other VMs' counts before it can choose among engines.
     const online = new RelayOnline(systemClock);
     const tries = {named: 0, unnamed: 0};
-    const callerOf = (leaderHost: null | string, kind: keyof typeof tries) => ({
+    const clientOf = (leaderHost: null | string, kind: keyof typeof tries) => ({
       leaderHost,
       post: () => false,
       tryOnce: (): Promise<TryOutcome> => {
@@ -76,8 +73,8 @@
         return Promise.resolve({kind: 'notLeader', leader: leaderHost});
       },
     });
-    const named = new NodeOnlineReporter(callerOf('10.0.0.1', 'named'), online, 'e1', () => 1);
-    const unnamed = new NodeOnlineReporter(callerOf(null, 'unnamed'), online, 'e2', () => 1);
+    const named = new NodeOnlineReporter(clientOf('10.0.0.1', 'named'), online, 'e1', () => 1);
+    const unnamed = new NodeOnlineReporter(clientOf(null, 'unnamed'), online, 'e2', () => 1);
     undo.push(() => named.stop());
     undo.push(() => unnamed.stop());
     void named.run();
@@ -87,33 +84,33 @@
     expect(tries.unnamed).toBeLessThanOrEqual(8);
   });
 
-  test('a VM without requests tells once a second, and learns the others’ counts', async () => {
-    const {online, tells, words} = tellsOf();
-    void tells.run();
+  test('a VM without requests reports once a second, and receives the other VMs’ counts', async () => {
+    const {online, reporter, reports} = reporterOf();
+    void reporter.run();
     await delay(2.5 * ONLINE_REPORT_INTERVAL_MS);
-    expect(words.length).toBeGreaterThanOrEqual(2);
-    expect(words.length).toBeLessThanOrEqual(3);
+    expect(reports.length).toBeGreaterThanOrEqual(2);
+    expect(reports.length).toBeLessThanOrEqual(3);
     expect(online.at('e9')).toBe(4);
   });
 
-  test('a request after a pause is told at once', async () => {
-    const {online, tells, words} = tellsOf();
-    void tells.run();
+  test('a request after a pause is reported at once', async () => {
+    const {online, reporter, reports} = reporterOf();
+    void reporter.run();
     await delay(100);
-    const before = words.length;
+    const before = reports.length;
     online.registerRequest('e0');
     await delay(ONLINE_REPORT_INTERVAL_MS / 2);
-    expect(words.slice(before)).toMatchObject([{own: {e0: 1}}]);
+    expect(reports.slice(before)).toMatchObject([{own: {e0: 1}}]);
   });
 
-  test('a VM of a small fleet asks often while it serves requests; one of a large fleet does not', async () => {
+  test('a VM that serves requests reports often in a small fleet, but not in a large one', async () => {
     const counts: number[] = [];
     for (const entryVms of [10, 200]) {
-      const {online, tells, words} = tellsOf(true, entryVms);
-      void tells.run();
+      const {online, reporter, reports} = reporterOf(true, entryVms);
+      void reporter.run();
       online.registerRequest('e0');
       await delay(600);
-      counts.push(words.length);
+      counts.push(reports.length);
     }
     expect(counts[0]).toBeGreaterThan(8);
     expect(counts[0]).toBeLessThanOrEqual(18);
@@ -125,49 +122,49 @@
     ]).toEqual([ONLINE_REPORT_INTERVAL_MS, 100, ONLINE_REPORT_INTERVAL_MS]);
   });
 
-  test('only words that tell of a begin, or of nothing new, wait for an answer', async () => {
-    const {online, tells, words} = tellsOf();
-    void tells.run();
+  test('a report waits for an answer unless it only lowers counts', async () => {
+    const {online, reporter, reports} = reporterOf();
+    void reporter.run();
     await delay(100);
-    const before = words.length;
+    const before = reports.length;
     const end = online.registerRequest('e0');
     await delay(50);
     end();
     await delay(ONLINE_REPORT_INTERVAL_MS + 200);
-    expect(words.slice(before).map(({isCall, own}) => [isCall, own])).toEqual([
+    expect(reports.slice(before).map(({isCall, own}) => [isCall, own])).toEqual([
       [true, {e0: 1}],
       [false, {}],
       [true, {}],
     ]);
   });
 
-  test('a burst of changes goes in few words, the last of which tells all', async () => {
-    const {online, tells, words} = tellsOf();
-    void tells.run();
+  test('a burst of changes is combined in few reports, the last of which contains all counts', async () => {
+    const {online, reporter, reports} = reporterOf();
+    void reporter.run();
     await delay(50);
-    const before = words.length;
+    const before = reports.length;
     for (let count = 0; count < 100; count++) {
       online.registerRequest(`e${count % 5}`);
       await delay(2);
     }
     await delay(2 * ONLINE_REPORT_SPACING_MS);
-    const spent = words.at(-1)!.at - words[before]!.at;
-    expect(words.length - before).toBeLessThanOrEqual(spent / ONLINE_REPORT_SPACING_MS + 2);
-    expect(words.at(-1)!.own).toEqual({e0: 20, e1: 20, e2: 20, e3: 20, e4: 20});
+    const spent = reports.at(-1)!.at - reports[before]!.at;
+    expect(reports.length - before).toBeLessThanOrEqual(spent / ONLINE_REPORT_SPACING_MS + 2);
+    expect(reports.at(-1)!.own).toEqual({e0: 20, e1: 20, e2: 20, e3: 20, e4: 20});
   });
 
-  test('while nobody answers, tries become few', async () => {
-    const {tells, words} = tellsOf(false);
-    void tells.run();
+  test('backs off while nobody answers', async () => {
+    const {reporter, reports} = reporterOf(false);
+    void reporter.run();
     await delay(1_000);
-    // With a pause of 30 ms each there would be 32.
-    expect(words.length).toBeLessThanOrEqual(12);
-    expect(words.length).toBeGreaterThanOrEqual(4);
+    // Without backoff there would be about 32 tries.
+    expect(reports.length).toBeLessThanOrEqual(12);
+    expect(reports.length).toBeGreaterThanOrEqual(4);
   });
 });
 
 describe('NodeBackoff', () => {
-  test('pauses double up to the longest, and begin anew after an answer', () => {
+  test('doubles the pauses up to the maximum, and starts again after a reset', () => {
     const backoff = new NodeBackoff(() => 0);
     const pauses = Array.from({length: 6}, () => backoff.nextMs());
     expect(pauses).toEqual([30, 60, 120, 240, MAX_RETRY_PAUSE_MS, MAX_RETRY_PAUSE_MS]);
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeProgram.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeProgram.test.ts
@@ -1,6 +1,4 @@
-/**
- * The program runs the same with its code cache, without one, and with one that is of no use.
- */
+/** Guards against a missing, outdated or corrupt code cache keeping the program from running. */
 import {mkdtempSync, rmSync, writeFileSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import path from 'node:path';
@@ -29,14 +27,14 @@
 });
 
 describe('NodeProgram', () => {
-  test('runs without a cache, with files beside it', () => {
+  test('runs without a code cache, and can require files in its folder', () => {
     writeProgram('one');
     const script = loadProgram(folder);
     expect(globalThis.programSaw).toEqual(['one', PROGRAM_FILE, 'beside']);
     expect(script.cachedDataRejected).toBeUndefined();
   });
 
-  test('takes its own cache', () => {
+  test('uses its own code cache', () => {
     writeProgram('two');
     writeCodeCache(folder, loadProgram(folder));
     globalThis.programSaw = null;
@@ -45,7 +43,7 @@
     expect(globalThis.programSaw).toEqual(['two', PROGRAM_FILE, 'beside']);
   });
 
-  test('passes over a cache of another program', () => {
+  test('ignores the code cache of another program', () => {
     writeProgram('three');
     writeCodeCache(folder, loadProgram(folder));
     writeProgram('another length');
@@ -53,7 +51,7 @@
     expect(globalThis.programSaw).toEqual(['another length', PROGRAM_FILE, 'beside']);
   });
 
-  test('passes over a cache that is none', () => {
+  test('ignores a corrupt code cache', () => {
     writeProgram('four');
     writeFileSync(path.join(folder, CODE_CACHE_FILE), 'no cache');
     expect(loadProgram(folder).cachedDataRejected).toBe(true);
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -1,6 +1,4 @@
-/**
- * News over replicas that don't lead: who asks whom, how old what they tell may be, and what a dark or slow one costs.
- */
+/** Guards against a late or outdated fleet status when followers forward it, some of them slow or unreachable. */
 import type {Clock, VmId} from 'stallpaddle';
 import type {TryOutcome, TryRequest} from 'stallpaddle-rpc';
 
@@ -30,13 +28,13 @@
 
 type Watch = Extract<FleetRequest, {kind: 'watch'}>;
 
-/** Processes on made-up VMs; a call to a VM takes some time, or brings nothing. */
+/** A simulated network with a latency for each VM; some VMs are unreachable. */
 class Network {
   readonly asked: {readonly host: VmId; readonly request: Watch}[] = [];
   private readonly answers = new Map<VmId, (request: Watch) => Promise<unknown>>();
-  readonly dark = new Set<VmId>();
-  /** Time of a way, in milliseconds. */
-  readonly wayMs = new Map<VmId, number>();
+  readonly unreachable = new Set<VmId>();
+  /** One-way latency, in milliseconds. */
+  readonly latencyMs = new Map<VmId, number>();
 
   serve(host: VmId, answer: (request: Watch) => Promise<unknown>): void {
     this.answers.set(host, answer);
@@ -49,26 +47,29 @@
     }
     this.asked.push({host, request});
     const answer = this.answers.get(host);
-    if (this.dark.has(host) || answer === undefined) {
+    if (this.unreachable.has(host) || answer === undefined) {
       await delay(tryMs);
       return {kind: 'unknown'};
     }
-    const wayMs = this.wayMs.get(host) ?? 1;
-    await delay(wayMs);
+    const latencyMs = this.latencyMs.get(host) ?? 1;
+    await delay(latencyMs);
     const outcome = await tryLocal(() => answer(request));
-    await delay(wayMs);
+    await delay(latencyMs);
     return outcome;
   }
 }
 
 interface ProcessOptions {
   readonly hellos?: readonly Hello[];
-  /** Replicas that it may ask, in order; none for one that asks the leader. */
-  readonly hops?: readonly VmId[];
+  /** Replicas to watch, by preference; none for a process that watches the leader. */
+  readonly replicaHosts?: readonly VmId[];
   readonly relayed?: NodeRelayedHellos;
 }
 
-function processOf(network: Network, {hellos = [], hops = [], relayed}: ProcessOptions = {}) {
+function processOf(
+  network: Network,
+  {hellos = [], relayed, replicaHosts = []}: ProcessOptions = {},
+) {
   const hooks: {onSilence: () => void; onView: (view: FleetView, before: FleetView) => void} = {
     onSilence: () => {},
     onView: () => {},
@@ -89,27 +90,27 @@
       confirm: (term) => relayed?.confirm(term),
       take: () => relayed?.take(systemClock.monotonicMs()) ?? [],
     },
-    replicaHosts: () => hops,
+    replicaHosts: () => replicaHosts,
   });
   undo.push(() => watch.stop());
   return {hooks, notes, watch};
 }
 
-/** A leader, and replicas that pass on what it tells. */
+/** A leader, and followers that forward its fleet status. */
 function fleetOf(replicas: readonly VmId[]) {
   const network = new Network();
-  const heard: {readonly ageMs: number; readonly hello: Hello}[] = [];
+  const received: {readonly ageMs: number; readonly hello: Hello}[] = [];
   const board = new NodeNewsBoard(systemClock, () => ({ageMs: 0, config: null}));
   let fleet = 0;
-  const tell = (changes: Partial<FleetNews>): void => {
+  const publish = (changes: Partial<FleetNews>): void => {
     fleet++;
     board.put({fleet, news: {...EMPTY_VIEW.news, ...changes}, term: 1});
   };
   network.serve('leader', (request) => {
-    heard.push(...request.hellos.map((hello) => ({ageMs: 0, hello})), ...request.relayed);
+    received.push(...request.hellos.map((hello) => ({ageMs: 0, hello})), ...request.relayed);
     return board.answer(request.known, request.waitMs);
   });
-  tell({controls: ['first']});
+  publish({controls: ['first']});
   for (const host of replicas) {
     const relayed = new NodeRelayedHellos();
     const {hooks, watch} = processOf(network, {relayed});
@@ -119,7 +120,7 @@
     network.serve(host, (request) => desk.answer(request));
     void watch.run();
   }
-  return {heard, network, tell};
+  return {network, publish, received};
 }
 
 async function until(isTrue: () => boolean, mostMs = 4_000): Promise<void> {
@@ -134,17 +135,17 @@
 }
 
 describe('NodeWatch', () => {
-  test('a change reaches a process over a replica at once, and what it knows stays young', async () => {
-    const {network, tell} = fleetOf(['r1']);
+  test('a change reaches a process through a follower at once, and the fleet status stays recent', async () => {
+    const {network, publish} = fleetOf(['r1']);
     await delay(50);
-    const {watch} = processOf(network, {hops: ['r1']});
+    const {watch} = processOf(network, {replicaHosts: ['r1']});
     void watch.run();
     await until(() => watch.view.news.controls.includes('first'));
     let oldest = 0;
-    const look = setInterval(() => (oldest = Math.max(oldest, watch.ageMs)), 5);
-    undo.push(() => clearInterval(look));
+    const check = setInterval(() => (oldest = Math.max(oldest, watch.ageMs)), 5);
+    undo.push(() => clearInterval(check));
     await delay(2_500);
-    tell({controls: ['second']});
+    publish({controls: ['second']});
     await until(() => watch.view.news.controls.includes('second'), 200);
     expect(oldest).toBeLessThan(FOLLOWER_WATCH_HOLD_MS + FORWARD_MAX_AGE_MS);
     const toLeader = network.asked.filter(
@@ -153,65 +154,65 @@
     expect(toLeader).toEqual([]);
   });
 
-  test('never believes itself younger than what the leader told its replica', async () => {
+  test('the age of a forwarded fleet status includes its age at the follower', async () => {
     const {network} = fleetOf(['r1']);
-    network.wayMs.set('leader', 40);
+    network.latencyMs.set('leader', 40);
     await delay(200);
-    const {watch} = processOf(network, {hops: ['r1']});
+    const {watch} = processOf(network, {replicaHosts: ['r1']});
     void watch.run();
     await until(() => watch.ageMs < Infinity);
-    network.dark.add('leader');
-    const darkAt = performance.now();
-    // What was under way when the leader went dark may still be told; nothing after that.
+    network.unreachable.add('leader');
+    const lostAt = performance.now();
+    // Answers in flight when the leader became unreachable still arrive.
     await delay(700);
-    expect(watch.ageMs).toBeGreaterThan(performance.now() - darkAt - 80);
+    expect(watch.ageMs).toBeGreaterThan(performance.now() - lostAt - 80);
   });
 
-  test('a dark replica costs one try; its processes ask another', async () => {
-    const {network, tell} = fleetOf(['r1', 'r2']);
+  test('an unreachable follower costs one try, then its processes ask another one', async () => {
+    const {network, publish} = fleetOf(['r1', 'r2']);
     await delay(50);
-    const {notes, watch} = processOf(network, {hops: ['r1', 'r2']});
+    const {notes, watch} = processOf(network, {replicaHosts: ['r1', 'r2']});
     void watch.run();
     await until(() => watch.view.news.controls.includes('first'));
-    network.dark.add('r1');
+    network.unreachable.add('r1');
     const before = performance.now();
-    tell({controls: ['second']});
+    publish({controls: ['second']});
     await until(() => watch.view.news.controls.includes('second'));
     const bound = FOLLOWER_WATCH_HOLD_MS + WATCH_MARGIN_MS + 200;
     expect(performance.now() - before).toBeLessThan(bound);
     await until(() => notes.includes('The VM that supplied the fleet status failed.'));
   });
 
-  test('a replica that is told nothing sends its processes to the leader', async () => {
-    const {network, tell} = fleetOf(['r1']);
-    // This one answers, but its own questions never arrive.
+  test('a follower without a recent fleet status sends its processes to the leader', async () => {
+    const {network, publish} = fleetOf(['r1']);
+    // This follower is reachable, but its own requests are lost.
     const lost = new Network();
     const {watch: cutOff} = processOf(lost);
     const desk = new NodeFollowerDesk(systemClock, cutOff, new NodeRelayedHellos());
     network.serve('cut', (request) => desk.answer(request));
     await delay(50);
-    const {watch} = processOf(network, {hops: ['cut']});
+    const {watch} = processOf(network, {replicaHosts: ['cut']});
     void watch.run();
     await until(() => watch.view.news.controls.includes('first'), 500);
-    tell({controls: ['second']});
+    publish({controls: ['second']});
     await until(() => watch.view.news.controls.includes('second'), 800);
   });
 
-  test('the leader hears who asked a replica, when they did, and all of them again after a change of leaders', async () => {
-    const {heard, network} = fleetOf(['r1']);
+  test('followers forward heartbeats with their age to the leader', async () => {
+    const {network, received} = fleetOf(['r1']);
     await delay(50);
-    const {watch} = processOf(network, {hellos: [entry('vm-1')], hops: ['r1']});
+    const {watch} = processOf(network, {hellos: [entry('vm-1')], replicaHosts: ['r1']});
     void watch.run();
-    await until(() => heard.length > 0);
-    expect(heard[0]!.hello).toEqual(entry('vm-1'));
-    expect(heard[0]!.ageMs).toBeGreaterThanOrEqual(0);
-    expect(heard[0]!.ageMs).toBeLessThan(FORWARD_MAX_AGE_MS);
+    await until(() => received.length > 0);
+    expect(received[0]!.hello).toEqual(entry('vm-1'));
+    expect(received[0]!.ageMs).toBeGreaterThanOrEqual(0);
+    expect(received[0]!.ageMs).toBeLessThan(FORWARD_MAX_AGE_MS);
   });
 
-  test('only a path without a route makes a process ask the leader, and many of them once', async () => {
+  test('concurrent refreshes share requests to the leader', async () => {
     const {network} = fleetOf(['r1']);
     await delay(50);
-    const {watch} = processOf(network, {hops: ['r1']});
+    const {watch} = processOf(network, {replicaHosts: ['r1']});
     void watch.run();
     await until(() => watch.ageMs < Infinity);
     await delay(FORWARD_MAX_AGE_MS + 100);
@@ -228,12 +229,12 @@
     [0, true],
     [2, true],
     [100, false],
-  ])('with %i questions that bring nothing: %s', async (failures, isConfirmed) => {
+  ])('after %i failed requests: %s', async (failures, isConfirmed) => {
     const network = new Network();
     const answer = {ageMs: 0, config: null, fleet: 1, heldMs: 0, proven: true, term: 1};
     const update = {kind: 'whole', news: EMPTY_VIEW.news} as const;
     let left = failures;
-    // A VM that knows no leader is told where it is by whoever it asks first.
+    // A VM that doesn't know the leader may first ask a replica that only names it.
     network.serve('leader', () => {
       if (left-- > 0) {
         throw new NotLeaderError(null);
@@ -249,8 +250,8 @@
   });
 });
 
-describe('NodeNewsBoard', () => {
-  test('holds a question for its time, and tells for how long', async () => {
+describe('NodeStatusPublisher', () => {
+  test('holds a request for its whole time, and reports how long', async () => {
     const board = new NodeNewsBoard(systemClock, () => ({ageMs: 5, config: null}));
     board.put({fleet: 1, news: EMPTY_VIEW.news, term: 1});
     const view = takeAnswer(
@@ -266,7 +267,7 @@
     expect(answer.heldMs).toBeGreaterThan(95);
   });
 
-  test('holds a question of a process that knows more than this replica', async () => {
+  test('holds a request of a process with a newer fleet status', async () => {
     const board = new NodeNewsBoard(systemClock, () => ({ageMs: 0, config: null}));
     board.put({fleet: 1, news: EMPTY_VIEW.news, term: 1});
     const startedAt = performance.now();
@@ -275,29 +276,29 @@
     expect(performance.now() - startedAt).toBeGreaterThan(110);
   });
 
-  test('tells nothing once it may not', async () => {
-    let mayTell = true;
+  test('rejects held requests once the fleet status may not be sent any more', async () => {
+    let maySend = true;
     const board = new NodeNewsBoard(systemClock, () => {
-      if (!mayTell) {
+      if (!maySend) {
         throw new NotLeaderError(null);
       }
       return {ageMs: 0, config: null};
     });
     board.put({fleet: 1, news: EMPTY_VIEW.news, term: 1});
     const held = board.answer({config: null, fleet: 1, term: 1}, 2_000);
-    mayTell = false;
+    maySend = false;
     board.wakeAll();
     await expect(held).rejects.toBeInstanceOf(NotLeaderError);
   });
 });
 
-describe('NodeHops', () => {
+describe('NodeReplicaSelector', () => {
   const hosts = ['10.1.0.1', '10.2.0.1', '10.3.0.1', '10.4.0.1', '10.5.0.1'];
   const zoneOf = (host: VmId): string => `zone-${host.split('.')[1]}`;
   const firstOf = (at: number, zone: string, among: readonly VmId[] = hosts): VmId =>
     orderReplicaHosts({hosts: among, name: `vm-${at}`, zone, zoneOf})[0]!;
 
-  test('the replica of the own zone comes first; without one all replicas have their share', () => {
+  test('prefers a replica in its own availability zone, and else spreads processes evenly', () => {
     expect(firstOf(7, 'zone-3')).toBe('10.3.0.1');
     const counts = new Map<VmId, number>();
     for (let at = 0; at < 500; at++) {
@@ -311,7 +312,7 @@
     }
   });
 
-  test('when a replica goes, only its processes go elsewhere', () => {
+  test('when a replica is removed, only its own processes move to another', () => {
     const fewer = hosts.slice(1);
     for (let at = 0; at < 200; at++) {
       const before = firstOf(at, 'elsewhere');
@@ -319,20 +320,20 @@
     }
   });
 
-  test('one that was silent is left out for a while, and asked again', () => {
+  test('skips a replica for a while after a failure', () => {
     const clock: Pick<Clock, 'monotonicMs'> = {monotonicMs: () => 0};
-    const hops = new NodeReplicaSelector();
-    expect(hops.choose(['a', 'b'], clock.monotonicMs())).toBe('a');
-    hops.noteFailure('a', 'silent', 0);
-    hops.noteFailure('b', 'refused', 0);
-    expect(hops.choose(['a', 'b'], 100)).toBe(undefined);
-    expect(hops.choose(['a', 'b'], 300)).toBe('b');
-    expect(hops.choose(['a', 'b'], 1_100)).toBe('a');
+    const selector = new NodeReplicaSelector();
+    expect(selector.choose(['a', 'b'], clock.monotonicMs())).toBe('a');
+    selector.noteFailure('a', 'silent', 0);
+    selector.noteFailure('b', 'refused', 0);
+    expect(selector.choose(['a', 'b'], 100)).toBe(undefined);
+    expect(selector.choose(['a', 'b'], 300)).toBe('b');
+    expect(selector.choose(['a', 'b'], 1_100)).toBe('a');
   });
 });
 
-describe('NodeRelayedHellos', () => {
-  test('tells each leader all it was told, each word once, and nothing that is too old', () => {
+describe('NodeForwardedHeartbeats', () => {
+  test('forwards all recent heartbeats to each leader, each heartbeat once', () => {
     const relayed = new NodeRelayedHellos();
     const names = (now: number) =>
       relayed.take(now).map(({ageMs, hello}) => [hello.kind === 'entry' && hello.name, ageMs]);
@@ -342,7 +343,7 @@
       ['a', 200],
       ['b', 100],
     ]);
-    // The question was lost: all is told again.
+    // The request was lost, so its heartbeats are forwarded again.
     expect(names(300)).toEqual([
       ['a', 300],
       ['b', 200],
@@ -354,7 +355,7 @@
     relayed.confirm(1);
     relayed.take(600);
     relayed.confirm(2);
-    // A new leader has heard nobody.
+    // A new leader has received no heartbeats yet.
     expect(names(700)).toEqual([
       ['a', 700],
       ['b', 250],
