--- a/packages/stallpaddle-node/src/NodeAdmission.ts
+++ b/packages/stallpaddle-node/src/NodeAdmission.ts
@@ -11,7 +11,7 @@
 
 /** Dependencies of `NodeAdmission`. */
 export interface NodeAdmissionOptions {
-  readonly customers: Pick<NodeCustomers, 'named'>;
+  readonly customers: Pick<NodeCustomers, 'find'>;
   /** Logs a refusal. */
   readonly decide: (requestId: string, fields: LogFields) => void;
   readonly limits: Pick<NodeLimits, 'admit' | 'refund'>;
@@ -72,7 +72,7 @@
   /** The caller's rate limit; undefined for none. */
   private limitOf(caller: RelayCaller): RateLimit | undefined {
     const {customers} = this.options;
-    const customer = caller.kind === 'customer' ? customers.named(caller.name) : undefined;
+    const customer = caller.kind === 'customer' ? customers.find(caller.name) : undefined;
     return customer === undefined || customer.ratePerSecond === 0
       ? undefined
       : rateLimitOf(customer);
--- a/packages/stallpaddle-node/src/NodeCustomers.ts
+++ b/packages/stallpaddle-node/src/NodeCustomers.ts
@@ -45,7 +45,7 @@
    *
    * @param name the name
    */
-  named(name: string): FleetCustomer | undefined {
+  find(name: string): FleetCustomer | undefined {
     return this.table?.named(name);
   }
 
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -51,7 +51,7 @@
 export class NodeEntry {
   private readonly admission: NodeAdmission;
   private readonly context: RelayContext;
-  private readonly intake: NodeDrainState;
+  private readonly drainState: NodeDrainState;
   private readonly jobCalls: NodeJobCalls;
   private readonly log: NodeLog;
   private readonly routes: NodeRoutes;
@@ -74,7 +74,7 @@
     const {clock, loggers, settings, wire} = options;
     const {jobs, metrics, watch} = fleet;
     this.log = new NodeLog(loggers('entry'), clock, metrics);
-    this.intake = new NodeDrainState(clock, settings.bounds.grace);
+    this.drainState = new NodeDrainState(clock, settings.bounds.grace);
     this.routes = new NodeRoutes(watch, this.log);
     this.admission = new NodeAdmission({
       customers,
@@ -145,20 +145,20 @@
         startServer(address, (req, res) => this.handleLookup(req, res), DEFAULT_IDLE_MS),
       );
     }
-    const {intake, watch} = this;
+    const {drainState, watch} = this;
     const {online, pace} = this.context;
-    exposeEntryMetrics(this.fleet.metrics, {intake, online, pace, watch});
+    exposeEntryMetrics(this.fleet.metrics, {drainState, online, pace, watch});
     this.servers = await Promise.all(servers);
     void this.reporter.run();
   }
 
   /** Leaves the lists of entry VMs, drains requests, and resolves once none is in flight or the grace period ends. */
   async stop(): Promise<void> {
-    this.intake.leave();
+    this.drainState.leave();
     void this.watch.ask(0);
-    await this.intake.untilLastRequests();
+    await this.drainState.untilLastRequests();
     this.servers.forEach((server) => server.close());
-    await this.intake.untilIdle();
+    await this.drainState.untilIdle();
     this.reporter.stop();
   }
 
@@ -168,7 +168,7 @@
 
   private get ready(): boolean {
     return (
-      !this.intake.isLeaving &&
+      !this.drainState.isLeaving &&
       this.watch.view.config !== null &&
       this.watch.ageMs < READY_MAX_AGE_MS
     );
@@ -213,12 +213,12 @@
   }
 
   private async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    if (this.intake.isLeaving) {
+    if (this.drainState.isLeaving) {
       res.setHeader('connection', 'close');
     }
     // Prevents an uncaught error when the caller disconnects; the writer of the response detects that itself.
     res.on('error', () => {});
-    await this.intake.count(async () => {
+    await this.drainState.count(async () => {
       try {
         await this.serve(req, res);
       } catch (err) {
@@ -242,7 +242,7 @@
   private async serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const {clock, wire} = this.options;
     const arrivedAt = clock.monotonicMs();
-    if (this.intake.isRefusing) {
+    if (this.drainState.isRefusing) {
       throw refuse('leaving', 'This VM is stopping.', {retryAfterMs: 0});
     }
     await this.customers.refreshIfStale();
--- a/packages/stallpaddle-node/src/NodeEntryMetrics.ts
+++ b/packages/stallpaddle-node/src/NodeEntryMetrics.ts
@@ -10,7 +10,7 @@
 
 /** Sources of the gauges. */
 export interface EntryGauges {
-  readonly intake: NodeDrainState;
+  readonly drainState: NodeDrainState;
   /** Counts this VM's online requests at each engine. */
   readonly online: RelayOnline;
   /** Learned limits on the engines' response times. */
@@ -33,13 +33,13 @@
  * @param gauges their sources
  */
 export function exposeEntryMetrics(metrics: NodeMetrics, gauges: EntryGauges): void {
-  const {intake, pace, watch} = gauges;
+  const {drainState, pace, watch} = gauges;
   metrics.exposeGauge('stallpaddle_config_version', 'Version in force here.', () => {
     return watch.view.config?.version ?? 0;
   });
   watch.exposeMetrics(metrics);
   metrics.exposeGauge('stallpaddle_requests_open', 'Requests under way.', () => {
-    return intake.openRequests;
+    return drainState.openRequests;
   });
   metrics.exposeGauge('stallpaddle_engines_silent', 'Engines that report no more.', () => {
     return watch.view.news.engines.filter(({silent}) => silent).length;
--- a/packages/stallpaddle-node/src/NodeFront.ts
+++ b/packages/stallpaddle-node/src/NodeFront.ts
@@ -38,7 +38,7 @@
       entries: () => watch.view.news.entries,
       host: settings.host,
       limitOf: (name) => {
-        const customer = customers.named(name);
+        const customer = customers.find(name);
         return customer === undefined ? undefined : rateLimitOf(customer);
       },
       note: (message, fields) => this.control.note(message, fields),
--- a/packages/stallpaddle-node/src/NodeJobReads.ts
+++ b/packages/stallpaddle-node/src/NodeJobReads.ts
@@ -24,7 +24,7 @@
  * Timeout of a read at a replica beyond the hold of its answer, in milliseconds: less than half of a read's total time, so
  * that the leader can still be asked.
  */
-const REPLICA_TRY_MS = 600;
+const REPLICA_TIMEOUT_MS = 600;
 
 function heldMs(call: ReadCall): number {
   return call.kind === 'readResults' ? call.waitMs : 0;
@@ -34,7 +34,7 @@
   if (call.kind === 'readBody') {
     return {...call, mayFollow, patienceMs: timeoutMs};
   }
-  const waitMs = Math.min(call.waitMs, Math.max(0, timeoutMs - REPLICA_TRY_MS));
+  const waitMs = Math.min(call.waitMs, Math.max(0, timeoutMs - REPLICA_TIMEOUT_MS));
   return {...call, mayFollow, patienceMs: timeoutMs - waitMs, waitMs};
 }
 
@@ -82,7 +82,7 @@
     if (host === undefined) {
       return undefined;
     }
-    const tryMs = heldMs(call) + REPLICA_TRY_MS;
+    const tryMs = heldMs(call) + REPLICA_TIMEOUT_MS;
     const encoded = encodeValue(requestOf(call, true, tryMs));
     const outcome = await this.group.tryAt(host, {encoded, group: JOBS_GROUP, query: true}, tryMs);
     if (outcome.kind === 'answered') {
@@ -114,8 +114,8 @@
   private shuffledHosts(): readonly string[] {
     return this.group
       .hosts()
-      .map((host) => ({host, lot: this.random()}))
-      .sort((a, b) => a.lot - b.lot)
+      .map((host) => ({host, sortKey: this.random()}))
+      .sort((a, b) => a.sortKey - b.sortKey)
       .map(({host}) => host);
   }
 }
--- a/packages/stallpaddle-node/src/NodeLimits.ts
+++ b/packages/stallpaddle-node/src/NodeLimits.ts
@@ -23,13 +23,13 @@
 const ASK_TRY_MS = 120;
 
 /** Pause before an owner that did not answer is asked again, in milliseconds. */
-const SILENT_PAUSE_MS = 500;
+const OUTAGE_RETRY_MS = 500;
 
 /**
  * Time without an answer of an owner after which its deputy grants requests in its place, in milliseconds. By then the
  * last requests that the owner granted have passed.
  */
-const OWNER_SILENT_MS = 1_000;
+const OWNER_TIMEOUT_MS = 1_000;
 
 /**
  * Age of the fleet status beyond which a VM neither acts as an owner nor asks one, in milliseconds. The status gets this
@@ -56,7 +56,7 @@
 }
 
 /** Period during which an owner did not answer this VM. */
-interface Silence {
+interface Outage {
   /** Time of the last try. */
   readonly lastAt: MonotonicMs;
   readonly since: MonotonicMs;
@@ -76,10 +76,10 @@
   private candidates: readonly VmId[] = [];
   /** Entry VMs from which `candidates` was computed. */
   private candidatesOf: readonly EntryView[] = [];
-  /** Owners that this VM substitutes, with the start of their silence. */
+  /** Owners that this VM substitutes, with the start of their outage. */
   private readonly replaced = new Map<VmId, MonotonicMs>();
   private readonly share = new LimitShare();
-  private readonly silences = new Map<VmId, Silence>();
+  private readonly outages = new Map<VmId, Outage>();
 
   /**
    * @param options its dependencies
@@ -155,11 +155,11 @@
       }
     }
     const now = clock.monotonicMs();
-    const silentMs = now - (this.silences.get(owner)?.since ?? now);
-    if (silentMs < OWNER_SILENT_MS) {
+    const silentMs = now - (this.outages.get(owner)?.since ?? now);
+    if (silentMs < OWNER_TIMEOUT_MS) {
       return UNSURE;
     }
-    const {since} = this.silences.get(owner)!;
+    const {since} = this.outages.get(owner)!;
     if (this.replaced.get(owner) !== since) {
       this.replaced.set(owner, since);
       note('The limit owner does not answer, so this VM replaces it.', {customer, owner, silentMs});
@@ -197,21 +197,21 @@
     const request = {encoded: encodeValue(ask), group: CONTROL_GROUP, query: true};
     const outcome = await tryAt(host, request, ASK_TRY_MS);
     if (outcome.kind === 'answered') {
-      this.silences.delete(host);
+      this.outages.delete(host);
       return outcome.result as LimitAnswer;
     }
     const now = clock.monotonicMs();
-    const before = this.silences.get(host);
-    // Failures far apart don't show that the VM was silent in between, so they don't count as one silence.
-    const continues = before !== undefined && now - before.lastAt < OWNER_SILENT_MS;
-    this.silences.set(host, {lastAt: now, since: continues ? before.since : now});
+    const before = this.outages.get(host);
+    // Failures far apart don't show that the VM was unreachable in between, so they are separate outages.
+    const continues = before !== undefined && now - before.lastAt < OWNER_TIMEOUT_MS;
+    this.outages.set(host, {lastAt: now, since: continues ? before.since : now});
     return undefined;
   }
 
   private isPaused(host: VmId): boolean {
-    const silence = this.silences.get(host);
+    const outage = this.outages.get(host);
     return (
-      silence !== undefined && this.options.clock.monotonicMs() - silence.lastAt < SILENT_PAUSE_MS
+      outage !== undefined && this.options.clock.monotonicMs() - outage.lastAt < OUTAGE_RETRY_MS
     );
   }
 
--- a/packages/stallpaddle-node/src/NodeReplicaSelector.ts
+++ b/packages/stallpaddle-node/src/NodeReplicaSelector.ts
@@ -4,9 +4,9 @@
 import {rendezvousOrder} from 'stallpaddle';
 
 /** Time for which a VM that did not answer is skipped, in milliseconds: about the duration of a restart. */
-const SILENT_OUT_MS = 1_000;
+const UNREACHABLE_SKIP_MS = 1_000;
 /** Time for which a VM without current fleet status is skipped, in milliseconds; it asks the leader again within it. */
-const REFUSED_OUT_MS = 250;
+const REFUSED_SKIP_MS = 250;
 
 /** Input of `orderReplicaHosts`. */
 export interface ReplicaOrderInput {
@@ -53,6 +53,6 @@
    * @param now the current time
    */
   noteFailure(host: VmId, why: 'refused' | 'silent', now: MonotonicMs): void {
-    this.skippedUntil.set(host, now + (why === 'silent' ? SILENT_OUT_MS : REFUSED_OUT_MS));
+    this.skippedUntil.set(host, now + (why === 'silent' ? UNREACHABLE_SKIP_MS : REFUSED_SKIP_MS));
   }
 }
--- a/packages/stallpaddle-node/src/NodeRoutes.ts
+++ b/packages/stallpaddle-node/src/NodeRoutes.ts
@@ -51,7 +51,7 @@
    */
   find(host: string, path: string): FleetRoute | undefined {
     if (this.table === undefined) {
-      throw refuse('unavailable', 'No configuration is known yet.', {
+      throw refuse('unavailable', 'This VM has no configuration yet.', {
         retryAfterMs: CONFIG_RETRY_AFTER_MS,
       });
     }
