--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -280,7 +280,7 @@
     if (this.source === host) {
       this.source = undefined;
       const ageMs = Math.round(this.ageMs);
-      this.options.note('The VM that supplied the fleet status failed.', {ageMs, from: host, how});
+      this.options.note('A VM no longer supplies the fleet status.', {ageMs, from: host, how});
     }
   }
 
