--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -127,7 +127,7 @@
     if (view.config !== null && view.config !== before.config) {
       this.routes.applyConfig(view.config);
       this.customers.applyConfig(view.config);
-      this.followLimits();
+      this.applyConnectionLimits();
       this.log.note('A configuration is in force.', {version: view.config.version});
     }
   }
@@ -181,7 +181,7 @@
     }
   }
 
-  private followLimits(): void {
+  private applyConnectionLimits(): void {
     const limits = this.watch.view.config?.limits;
     const [callers] = this.servers;
     if (limits !== undefined && callers !== undefined) {
