--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -26,17 +26,17 @@
 import type {NodeLimits} from './NodeLimits';
 import type {NodeOptions} from './NodeTypes';
 
-import {CONTROL_GROUP, HAND_OVER_MS, INTRODUCE_MS} from './NodeConstants';
+import {BOOTSTRAP_INTERVAL_MS, CONTROL_GROUP, LEADER_HANDOVER_MS} from './NodeConstants';
 import {NodeControlCalls} from './NodeControlCalls';
 import {NodeDesk} from './NodeDesk';
 import {NodeFollowerDesk} from './NodeFollowerDesk';
 import {NodeGroup} from './NodeGroup';
-import {callOf, readBody, sendAnswer, startServer} from './NodeHttp';
+import {readBody, requestHead, sendResponse, startServer} from './NodeHttp';
 import {NodeIntroducer} from './NodeIntroducer';
 import {NodeLog} from './NodeLog';
 import {NodeRemembered} from './NodeRemembered';
 import {addNodeService} from './NodeService';
-import {hostOf, lostDisksOf, portOf} from './NodeSettings';
+import {hostOf, portOf, toleratedDiskLosses} from './NodeSettings';
 
 /** Largest call of the operator, in bytes: a configuration of some hundred thousand routes' shares. */
 const MAX_CALL_BYTES = 16_777_216;
@@ -146,7 +146,7 @@
     if (this.group?.driver.leads === true) {
       this.leave();
       // Calls under way get their answers from the next leader.
-      await delay(HAND_OVER_MS);
+      await delay(LEADER_HANDOVER_MS);
     }
     this.server?.close();
     this.desk?.stop();
@@ -158,7 +158,7 @@
   private async openReplica(dataFolder: string): Promise<void> {
     const {clock, loggers, onFailure, settings} = this.options;
     const {first, host, seeds} = settings;
-    const lostDisks = lostDisksOf(settings);
+    const lostDisks = toleratedDiskLosses(settings);
     const founders = first ? seeds.map((seed) => `${hostOf(seed)}/${FOUNDER}`).sort() : null;
     const isFounder = founders?.includes(`${host}/${FOUNDER}`) === true;
     const root = await openDisk(dataFolder);
@@ -201,7 +201,7 @@
     });
     // Whoever is back knows nothing until the first round.
     void introducer.introduce();
-    this.stopIntroducing = registerLoop(INTRODUCE_MS, () => introducer.introduce());
+    this.stopIntroducing = registerLoop(BOOTSTRAP_INTERVAL_MS, () => introducer.introduce());
   }
 
   /** Whether the replica knows the members of its group; an empty disk does once the group has taken it in. */
@@ -246,7 +246,7 @@
       return Promise.resolve(null);
     }
     if (request.kind === 'peek') {
-      return Promise.resolve(watch.told());
+      return Promise.resolve(watch.unprovenAnswer());
     }
     const leads = (replica: ReplicaId): boolean => vmOfReplica(replica) === control.leaderHost;
     throw new NotLeaderError(watch.controls.find(leads) ?? null);
@@ -260,8 +260,8 @@
     const {wire} = this.options;
     try {
       const body = await readBody(req, MAX_CALL_BYTES);
-      const call = wire.readControl({...callOf(req), body});
-      sendAnswer(res, wire.encodeControl(await calls.reply(call)));
+      const call = wire.readControl({...requestHead(req), body});
+      sendResponse(res, wire.encodeControl(await calls.reply(call)));
     } catch (err) {
       this.log.note('A control call broke off.', {error: errorMessage(err), url: req.url});
       res.destroy();
--- a/packages/stallpaddle-node/src/NodeEntryMetrics.ts
+++ b/packages/stallpaddle-node/src/NodeEntryMetrics.ts
@@ -1,26 +1,24 @@
-/**
- * Metrics of a process that serves callers.
- */
+/** Metrics of a process that serves callers. */
 import type {LogFields} from 'stallpaddle';
 import type {RelayLatencies, RelayOnlineLoad} from 'stallpaddle-relay';
 
-import type {NodeIntake} from './NodeIntake';
+import type {NodeDrainState} from './NodeDrainState';
 import type {NodeMetrics} from './NodeMetrics';
 import type {NodeWatch} from './NodeWatch';
 
 import {SECOND_MS} from './NodeConstants';
 
-/** What the gauges read. */
+/** Sources of the gauges. */
 export interface EntryGauges {
-  readonly intake: NodeIntake;
-  /** Online requests of this VM at each engine. */
+  readonly drainState: NodeDrainState;
+  /** Counts this VM's online requests at each engine. */
   readonly online: RelayOnlineLoad;
-  /** How fast engines are, as this VM has seen it. */
-  readonly pace: RelayLatencies;
+  /** Learned limits on the engines' response times. */
+  readonly latencies: RelayLatencies;
   readonly watch: NodeWatch;
 }
 
-/** Online requests for each slot of all engines. */
+/** Online requests per engine slot. */
 function occupancy({online, watch}: EntryGauges): number {
   const {engines} = watch.view.news;
   const slots = engines.reduce((sum, engine) => sum + engine.slots, 0);
@@ -32,24 +30,24 @@
  * Adds the gauges.
  *
  * @param metrics the process's metrics
- * @param gauges what they read
+ * @param gauges their sources
  */
 export function exposeEntryMetrics(metrics: NodeMetrics, gauges: EntryGauges): void {
-  const {intake, pace, watch} = gauges;
+  const {drainState, latencies, watch} = gauges;
   metrics.exposeGauge('stallpaddle_config_version', 'Version in force here.', () => {
     return watch.view.config?.version ?? 0;
   });
   watch.exposeMetrics(metrics);
   metrics.exposeGauge('stallpaddle_requests_open', 'Requests under way.', () => {
-    return intake.openRequests;
+    return drainState.openRequests;
   });
   metrics.exposeGauge('stallpaddle_engines_silent', 'Engines that report no more.', () => {
     return watch.view.news.engines.filter(({silent}) => silent).length;
   });
   const limits = [
-    ['connect', 'a connection', pace.connect],
-    ['first_event', 'a first event', pace.firstEvent],
-    ['pause', 'the next event', pace.gap],
+    ['connect', 'a connection', latencies.connect],
+    ['first_event', 'a first event', latencies.firstEvent],
+    ['pause', 'the next event', latencies.gap],
   ] as const;
   for (const [name, what, limit] of limits) {
     const help = `Learned limit of the wait for ${what}.`;
@@ -64,7 +62,7 @@
  * Counts a request that has ended.
  *
  * @param metrics the process's metrics
- * @param fields what the relay's decision `ended` tells of it
+ * @param fields log fields of the relay's decision `ended`
  */
 export function countEnd(metrics: NodeMetrics, {end, firstMs, kind, verdict}: LogFields): void {
   const labels = {end: String(end), kind: String(kind), verdict: String(verdict)};
--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -10,12 +10,12 @@
 
 import type {NodeSettings} from './NodeSettings';
 
-import {hostsToAsk, NodeCaller} from './NodeCaller';
 import {CONTROL_GROUP, JOBS_GROUP} from './NodeConstants';
-import {orderHops} from './NodeHops';
+import {candidateHosts, NodeGroupClient} from './NodeGroupClient';
 import {NodeMetrics} from './NodeMetrics';
 import {NodePeers} from './NodePeers';
 import {NodeRelayedHellos} from './NodeRelayedHellos';
+import {orderReplicaHosts} from './NodeReplicaSelector';
 import {hostOf} from './NodeSettings';
 import {NodeWatch} from './NodeWatch';
 
@@ -40,9 +40,9 @@
 /** See the module's comment. */
 export class NodeFleet {
   /** Calls to the control group's leader. */
-  readonly control: NodeCaller;
+  readonly control: NodeGroupClient;
   /** Calls to the leader of the group that keeps batch jobs. */
-  readonly jobs: NodeCaller;
+  readonly jobs: NodeGroupClient;
   /** Metrics of the whole process. */
   readonly metrics = new NodeMetrics();
   /** Connections to the other processes. */
@@ -65,25 +65,24 @@
     this.peers = new NodePeers(settings.peerPort, note);
     this.seeds = settings.seeds;
     const {peers, relayed} = this;
-    this.control = new NodeCaller({
+    this.control = new NodeGroupClient({
       clock,
       group: CONTROL_GROUP,
       hosts: () => this.controlHosts(),
       local: answer === null ? null : {answer, host: settings.host},
       peers,
     });
-    this.jobs = new NodeCaller({
+    this.jobs = new NodeGroupClient({
       clock,
       group: JOBS_GROUP,
-      hosts: () => hostsToAsk([], this.watch.view.news.jobsReplicas),
+      hosts: () => candidateHosts([], this.watch.view.news.jobsReplicas),
       local: null,
       peers,
     });
     this.watch = new NodeWatch({
       caller: this.control,
       clock,
-      hellos,
-      hops: () => (options.asksLeader() ? [] : this.hopHosts(settings)),
+      heartbeats: hellos,
       note,
       onSilence,
       onView,
@@ -91,6 +90,7 @@
         confirm: (term) => relayed.confirm(term),
         take: () => relayed.take(clock.monotonicMs()),
       },
+      replicaHosts: () => (options.asksLeader() ? [] : this.hopHosts(settings)),
     });
   }
 
@@ -124,12 +124,17 @@
     const {controls, view} = this.watch;
     const hosts = controls.length === 0 ? this.seeds.map(hostOf) : controls.map(vmOfReplica);
     const zones = new Map(view.news.entries.map((entry) => [hostOf(entry.address), entry.zone]));
-    return orderHops({hosts: [...new Set(hosts)], name, zone, zoneOf: (host) => zones.get(host)});
+    return orderReplicaHosts({
+      hosts: [...new Set(hosts)],
+      name,
+      zone,
+      zoneOf: (host) => zones.get(host),
+    });
   }
 
   /** Hosts that may lead the control group, best known first. */
   private controlHosts(): readonly VmId[] {
-    const known = hostsToAsk(this.seeds, this.watch.controls);
+    const known = candidateHosts(this.seeds, this.watch.controls);
     return [...new Set([...known, ...this.ownHosts])];
   }
 }
--- a/packages/stallpaddle-node/src/NodeIntroducer.ts
+++ b/packages/stallpaddle-node/src/NodeIntroducer.ts
@@ -13,7 +13,7 @@
 import type {NodeGroup} from './NodeGroup';
 import type {NodeRemembered} from './NodeRemembered';
 
-import {CANDIDATE_SILENT_MS, CONTROL_GROUP, INTRODUCE_TRY_MS} from './NodeConstants';
+import {BOOTSTRAP_TIMEOUT_MS, CANDIDATE_TIMEOUT_MS, CONTROL_GROUP} from './NodeConstants';
 import {tells} from './NodeRemembered';
 
 /** What it needs of its process. */
@@ -36,7 +36,7 @@
   const {learners, voters} = log.members;
   const isSilent = (replica: ReplicaId): boolean => {
     const heardAt = role.kind === 'leader' ? role.progress.get(replica)?.ackedSentAt : undefined;
-    return heardAt !== undefined && now - heardAt >= CANDIDATE_SILENT_MS;
+    return heardAt !== undefined && now - heardAt >= CANDIDATE_TIMEOUT_MS;
   };
   return [...voters, ...learners].filter((replica) => !isSilent(replica));
 }
@@ -82,7 +82,7 @@
     const {control} = fleet;
     const call = introduction(replicas, null);
     const hosts = fleet.seedsWithout(informed);
-    await Promise.all(hosts.map((host) => control.tryAt(host, call, INTRODUCE_TRY_MS)));
+    await Promise.all(hosts.map((host) => control.tryAt(host, call, BOOTSTRAP_TIMEOUT_MS)));
   }
 
   /** Tells remembered entry VMs what this replica holds, until it hears of a leader: then they have heard too. */
@@ -103,7 +103,7 @@
   }
 
   private async tellEntry(host: VmId, call: TryRequest): Promise<void> {
-    const outcome = await this.options.fleet.control.tryAt(host, call, INTRODUCE_TRY_MS);
+    const outcome = await this.options.fleet.control.tryAt(host, call, BOOTSTRAP_TIMEOUT_MS);
     if (outcome.kind === 'answered') {
       this.told.add(host);
     }
--- a/packages/stallpaddle-node/src/NodeKeeper.ts
+++ b/packages/stallpaddle-node/src/NodeKeeper.ts
@@ -7,10 +7,10 @@
 import {vmOfReplica} from 'stallpaddle';
 
 import {
-  CANDIDATE_SILENT_MS,
-  REPLACED_SILENT_MS,
+  CANDIDATE_TIMEOUT_MS,
+  REPLACED_DISK_TIMEOUT_MS,
   SPARE_LEARNERS,
-  VOTER_SILENT_MS,
+  VOTER_TIMEOUT_MS,
 } from './NodeConstants';
 
 /** A replica that exists or existed. */
@@ -66,7 +66,7 @@
 function viewOf(input: KeeperInput): KeeperView {
   const byId = new Map(input.known.map((replica) => [replica.id, replica]));
   const silentMs = (id: ReplicaId): number => byId.get(id)?.silentMs ?? Infinity;
-  const isHeard = (id: ReplicaId): boolean => silentMs(id) < CANDIDATE_SILENT_MS;
+  const isHeard = (id: ReplicaId): boolean => silentMs(id) < CANDIDATE_TIMEOUT_MS;
   // Of two disks of one VM the lost one has spoken least lately.
   const isOutlived = (id: ReplicaId): boolean =>
     input.known.some(
@@ -79,9 +79,9 @@
     ...input,
     isCaughtUp: (id) => byId.get(id)?.caughtUp === true,
     isHeard,
-    isReplaced: (id) => silentMs(id) > REPLACED_SILENT_MS && isOutlived(id),
+    isReplaced: (id) => silentMs(id) > REPLACED_DISK_TIMEOUT_MS && isOutlived(id),
     isRetiring: (id) => byId.get(id)?.retiring === true,
-    isSilent: (id) => id !== input.self && silentMs(id) > VOTER_SILENT_MS,
+    isSilent: (id) => id !== input.self && silentMs(id) > VOTER_TIMEOUT_MS,
     silentMs,
     wanted: votersFor(input.lostDisks),
   };
--- a/packages/stallpaddle-node/src/NodeStore.ts
+++ b/packages/stallpaddle-node/src/NodeStore.ts
@@ -18,12 +18,12 @@
 import type {NodeWatch} from './NodeWatch';
 
 import {
-  CANDIDATE_SILENT_MS,
-  HAND_OVER_MS,
+  CANDIDATE_TIMEOUT_MS,
   JOBS_GROUP,
   JOBS_LOG_BYTES,
+  LEADER_HANDOVER_MS,
   SECOND_MS,
-  VOTER_SILENT_MS,
+  VOTER_TIMEOUT_MS,
 } from './NodeConstants';
 import {NodeFleet} from './NodeFleet';
 import {type Candidate, NodeGroup} from './NodeGroup';
@@ -31,7 +31,7 @@
 import {NodeJobsDesk} from './NodeJobsDesk';
 import {NodeLog} from './NodeLog';
 import {addNodeService} from './NodeService';
-import {lostDisksOf} from './NodeSettings';
+import {toleratedDiskLosses} from './NodeSettings';
 import {makeSuspects} from './NodeSuspects';
 import {NodeWaiters} from './NodeWaiters';
 
@@ -41,7 +41,7 @@
  * Silence of a store process that the control group's leader doesn't hear, in milliseconds: the news gives no
  * time, and this makes it no candidate but is not yet that of a lost voter.
  */
-const UNHEARD_SILENT_MS = (CANDIDATE_SILENT_MS + VOTER_SILENT_MS) / 2;
+const UNHEARD_SILENT_MS = (CANDIDATE_TIMEOUT_MS + VOTER_TIMEOUT_MS) / 2;
 
 /** Longest wait for what runs have brought to be recorded at a planned stop, in milliseconds: some records. */
 const SAVE_AT_STOP_MS = 1_000;
@@ -107,7 +107,7 @@
     await Promise.race([this.dispatcher?.saveProgress(), delay(SAVE_AT_STOP_MS)]);
     this.stopped = true;
     this.group?.driver.transferLeadership();
-    await delay(HAND_OVER_MS);
+    await delay(LEADER_HANDOVER_MS);
     this.dispatcher?.stop();
     await this.group?.close();
     await this.rpc.stop();
@@ -179,7 +179,7 @@
       founders,
       group: JOBS_GROUP,
       logger,
-      lostDisks: lostDisksOf(settings),
+      lostDisks: toleratedDiskLosses(settings),
       machine: jobsMachine,
       onFailure,
       peers: this.fleet.peers,
--- a/packages/stallpaddle-node/src/NodeWire.ts
+++ b/packages/stallpaddle-node/src/NodeWire.ts
@@ -1,7 +1,4 @@
-/**
- * Calls from outside as the processes understand them. An adapter translates the words of a platform
- * into these and back; it decides nothing.
- */
+/** Protocol-neutral form of the calls to a process, and the codec interface that a platform implements. */
 import type {IncomingHttpHeaders} from 'node:http';
 import type {VmId} from 'stallpaddle';
 import type {
@@ -15,8 +12,8 @@
 import type {ReadResult, SubmittedItem} from 'stallpaddle-jobs';
 import type {RelayWire} from 'stallpaddle-relay';
 
-/** A call as it came. */
-export interface RawCall {
+/** A request as received. */
+export interface RawRequest {
   readonly body: Buffer;
   readonly headers: IncomingHttpHeaders;
   readonly method: string;
@@ -24,22 +21,22 @@
   readonly url: string;
 }
 
-/** An answer as it goes out. */
-export interface RawAnswer {
+/** A response as sent. */
+export interface RawResponse {
   readonly body?: string | Uint8Array;
   readonly headers?: Readonly<Record<string, string>>;
   readonly status: number;
 }
 
-/** A call that could not be read. */
-export interface BadCall {
+/** A call that could not be decoded. */
+export interface MalformedCall {
   readonly kind: 'bad';
   readonly message: string;
 }
 
-/** A call to a process that serves engines and the operator. */
+/** A call of an engine or the operator. */
 export type ControlCall =
-  | BadCall
+  | MalformedCall
   | {readonly config: StoredConfig; readonly kind: 'putConfig'}
   | RemoveEngine
   | {readonly kind: 'listSuspects'}
@@ -61,7 +58,7 @@
   | {readonly kind: 'suspects'; readonly suspects: readonly SuspectDetails[]}
   | {readonly kind: 'unavailable'; readonly message: string};
 
-/** A call of a caller that isn't a request for an engine. */
+/** A caller's call on an existing job. */
 export type JobCall =
   | {readonly item: string; readonly job: string; readonly kind: 'readBody'}
   | {
@@ -72,30 +69,30 @@
     }
   | {readonly job: string; readonly kind: 'endJob'};
 
-/** A submission, without the place that it was sent to. */
+/** A job submission, without its host and path. */
 export interface JobSubmission {
   readonly id: string;
   readonly items: readonly SubmittedItem[];
 }
 
-/** See the module's comment. */
+/** Translates between a platform's HTTP API and the calls of this module; contains no decisions. */
 export interface NodeWire {
-  readonly encodeAddresses: (entries: readonly EntryView[]) => RawAnswer;
-  readonly encodeControl: (reply: ControlReply) => RawAnswer;
+  readonly encodeAddresses: (entries: readonly EntryView[]) => RawResponse;
+  readonly encodeControl: (reply: ControlReply) => RawResponse;
   readonly encodeResults: (
     total: number,
     next: number,
     results: readonly ReadResult[],
-  ) => RawAnswer;
-  /** True for the question which VMs a caller may use. */
-  readonly isAddressQuestion: (call: Omit<RawCall, 'body'>) => boolean;
-  /** True for the question whether the VM takes callers. */
-  readonly isReadyQuestion: (call: Omit<RawCall, 'body'>) => boolean;
-  readonly readControl: (call: RawCall) => ControlCall;
-  /** The key that a caller shows, undecoded; null when it shows none. */
+  ) => RawResponse;
+  /** True for a request for the addresses of entry VMs. */
+  readonly isAddressQuestion: (call: Omit<RawRequest, 'body'>) => boolean;
+  /** True for a readiness check. */
+  readonly isReadyQuestion: (call: Omit<RawRequest, 'body'>) => boolean;
+  readonly readControl: (call: RawRequest) => ControlCall;
+  /** The caller's key, undecoded; null for none. */
   readonly readKey: (headers: IncomingHttpHeaders) => string | null;
-  /** Null for a request that a route must choose the way of. */
-  readonly readJobCall: (call: Omit<RawCall, 'body'>) => JobCall | null;
-  readonly readSubmission: (call: RawCall) => BadCall | JobSubmission;
+  /** Null for a request that is to be routed. */
+  readonly readJobCall: (call: Omit<RawRequest, 'body'>) => JobCall | null;
+  readonly readSubmission: (call: RawRequest) => MalformedCall | JobSubmission;
   readonly relay: RelayWire;
 }
