--- a/packages/stallpaddle-routing/src/RoutingTypes.ts
+++ b/packages/stallpaddle-routing/src/RoutingTypes.ts
@@ -32,7 +32,7 @@
 }
 
 /** Online streams that another VM has on an engine, as it told the engine's owner. */
-export interface ToldStreams {
+export interface ReportedStreams {
   readonly at: MonotonicMs;
   readonly online: number;
 }
@@ -53,7 +53,7 @@
   readonly recent: readonly StreamChange[];
   readonly setup: EngineSetup;
   /** What other VMs told this one, as the engine's owner, by VM. */
-  readonly told: ReadonlyMap<VmId, ToldStreams>;
+  readonly told: ReadonlyMap<VmId, ReportedStreams>;
   /** Mean time between tokens as this VM measured, in milliseconds; 0 when unknown. */
   readonly tokenMs: number;
 }
--- a/packages/stallpaddle-routing/src/index.ts
+++ b/packages/stallpaddle-routing/src/index.ts
@@ -25,10 +25,10 @@
   EngineView,
   Placement,
   PlacementRequest,
+  ReportedStreams,
   RoutingEvent,
   RoutingState,
   StreamChange,
-  ToldStreams,
   WorkClass,
 } from './RoutingTypes';
 export {EMPTY_ROUTING, onlineStreams, stepRouting} from './RoutingView';
