--- a/packages/stallpaddle-routing/src/RoutingConstants.ts
+++ b/packages/stallpaddle-routing/src/RoutingConstants.ts
@@ -42,4 +42,4 @@
 export const MAX_RECENT_CHANGES = 256;
 
 /** How long a VM's word of its streams counts without being repeated, in milliseconds. */
-export const TOLD_LIFETIME_MS = 2_000;
+export const REPORTED_STREAMS_TTL_MS = 2_000;
--- a/packages/stallpaddle-routing/src/RoutingView.ts
+++ b/packages/stallpaddle-routing/src/RoutingView.ts
@@ -21,8 +21,8 @@
   MAX_RECENT_CHANGES,
   QUARANTINE_FAILURES,
   QUARANTINE_MS,
+  REPORTED_STREAMS_TTL_MS,
   SMOOTHING,
-  TOLD_LIFETIME_MS,
   UNDER_WAY_MS,
 } from './RoutingConstants';
 
@@ -92,7 +92,7 @@
 }
 
 function withoutOld(told: EngineView['told'], now: MonotonicMs): EngineView['told'] {
-  const kept = [...told].filter(([, {at}]) => now - at < TOLD_LIFETIME_MS);
+  const kept = [...told].filter(([, {at}]) => now - at < REPORTED_STREAMS_TTL_MS);
   return kept.length === told.size ? told : new Map(kept);
 }
 
