--- a/packages/stallpaddle-routing/src/RoutingConstants.ts
+++ b/packages/stallpaddle-routing/src/RoutingConstants.ts
@@ -36,7 +36,7 @@
 export const FULL_RETRY_MS = 1_000;
 
 /** Time in which an online request reaches its engine, in milliseconds. */
-export const UNDER_WAY_MS = 10;
+export const REQUEST_TRANSIT_MS = 10;
 
 /** Changes of an engine's online streams that are kept until its next load report. */
 export const MAX_RECENT_CHANGES = 256;
--- a/packages/stallpaddle-routing/src/RoutingView.ts
+++ b/packages/stallpaddle-routing/src/RoutingView.ts
@@ -22,8 +22,8 @@
   QUARANTINE_FAILURES,
   QUARANTINE_MS,
   REPORTED_STREAMS_TTL_MS,
+  REQUEST_TRANSIT_MS,
   SMOOTHING,
-  UNDER_WAY_MS,
 } from './RoutingConstants';
 
 const NO_LOAD: EngineLoad = {batch: 0, online: 0, queued: 0, tokenMs: 0, weights: []};
@@ -87,7 +87,7 @@
     return view;
   }
   // What was sent just before may have been under way when the load was taken.
-  const recent = view.recent.filter((change) => change.at > at - UNDER_WAY_MS);
+  const recent = view.recent.filter((change) => change.at > at - REQUEST_TRANSIT_MS);
   return {...view, load, loadAt: at, recent, told: withoutOld(view.told, now)};
 }
 
