--- a/packages/stallpaddle-routing/src/RoutingConstants.ts
+++ b/packages/stallpaddle-routing/src/RoutingConstants.ts
@@ -21,7 +21,7 @@
 export const AFFINITY_LOAD_FACTOR = 1.25;
 
 /** Engines that a prompt prefix may call home. */
-export const AFFINE_ENGINES = 2;
+export const AFFINITY_ENGINES = 2;
 
 /** Online streams that an engine may have waiting, as a part of its slots. */
 export const ENGINE_QUEUE_FRACTION = 0.5;
--- a/packages/stallpaddle-routing/src/RoutingPlacement.ts
+++ b/packages/stallpaddle-routing/src/RoutingPlacement.ts
@@ -8,7 +8,7 @@
 import type {EngineView, Placement, PlacementRequest, RoutingState} from './RoutingTypes';
 
 import {
-  AFFINE_ENGINES,
+  AFFINITY_ENGINES,
   AFFINITY_LOAD_FACTOR,
   ENGINE_QUEUE_FRACTION,
   FULL_RETRY_MS,
@@ -84,7 +84,7 @@
     all.map(({view}) => view.setup.engine),
   );
   return order
-    .slice(0, AFFINE_ENGINES)
+    .slice(0, AFFINITY_ENGINES)
     .map((engine) => all.find(({view}) => view.setup.engine === engine)!)
     .find(({cost, fill}) => fill <= 1 && cost <= mean * AFFINITY_LOAD_FACTOR);
 }
