--- a/packages/stallpaddle-experiment/src/ExperimentCurrent.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentCurrent.ts
@@ -9,8 +9,8 @@
   countRequest,
   EMPTY_QUEUE,
   EMPTY_ROUTING,
+  enqueue,
   FULL_RETRY_BUDGET,
-  joinQueue,
   onlineStreams,
   ownerOf,
   placeOnline,
@@ -121,7 +121,7 @@
     const {now} = this.policy.fleet.clock;
     const id = this.nextId++;
     const entry = {customer, deadlineAt: now + 60_000, id, since: now, weight: 1};
-    const joined = joinQueue(this.queue, entry, QUEUE_CAPACITY);
+    const joined = enqueue(this.queue, entry, QUEUE_CAPACITY);
     if (joined.kind === 'refused') {
       this.policy.comeBack(req, RETRY_AFTER_MS);
       return;
--- a/packages/stallpaddle-gateway/src/GatewayQueue.ts
+++ b/packages/stallpaddle-gateway/src/GatewayQueue.ts
@@ -4,7 +4,7 @@
 import type {CustomerId, MonotonicMs, RefusalError} from 'stallpaddle';
 
 import {refuse} from 'stallpaddle';
-import {EMPTY_QUEUE, joinQueue, leaveQueue, takeNext} from 'stallpaddle-routing';
+import {EMPTY_QUEUE, enqueue, leaveQueue, takeNext} from 'stallpaddle-routing';
 
 import type {GatewayContext} from './GatewayContext';
 
@@ -54,7 +54,7 @@
     const since = this.context.clock.monotonicMs();
     const id = this.nextId++;
     const request = {customer, deadlineAt, id, since, weight};
-    const joined = joinQueue(this.queue, request, this.context.limits.queuedRequests);
+    const joined = enqueue(this.queue, request, this.context.limits.queuedRequests);
     if (joined.kind === 'refused') {
       return Promise.reject(this.overloaded());
     }
--- a/packages/stallpaddle-routing/src/RoutingQueue.ts
+++ b/packages/stallpaddle-routing/src/RoutingQueue.ts
@@ -55,7 +55,7 @@
  * @param req the request
  * @param capacity most requests that may wait
  */
-export function joinQueue(queue: FairQueue, req: QueuedRequest, capacity: number): JoinResult {
+export function enqueue(queue: FairQueue, req: QueuedRequest, capacity: number): JoinResult {
   if (queue.requests.length < capacity) {
     return {kind: 'joined', queue: withRequest(queue, req)};
   }
--- a/packages/stallpaddle-routing/src/__tests__/unit/RoutingQueue.test.ts
+++ b/packages/stallpaddle-routing/src/__tests__/unit/RoutingQueue.test.ts
@@ -5,7 +5,7 @@
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {EMPTY_QUEUE, joinQueue, leaveQueue, takeNext} from '../../RoutingQueue';
+import {EMPTY_QUEUE, enqueue, leaveQueue, takeNext} from '../../RoutingQueue';
 import {countRequest, FULL_RETRY_BUDGET, takeRetry} from '../../RoutingRetries';
 
 function entry(id: number, customer: string) {
@@ -27,7 +27,7 @@
         steps.forEach((next, id) => {
           switch (next.kind) {
             case 'join': {
-              const joined = joinQueue(queue, entry(id, next.customer), 5);
+              const joined = enqueue(queue, entry(id, next.customer), 5);
               if (joined.kind !== 'refused') {
                 queue = joined.queue;
                 waiting.add(id);
@@ -63,10 +63,10 @@
   test('serve a customer with one request before the flood of another', () => {
     let queue = EMPTY_QUEUE;
     for (let id = 0; id < 10; id++) {
-      const joined = joinQueue(queue, entry(id, 'flood'), 10);
+      const joined = enqueue(queue, entry(id, 'flood'), 10);
       queue = joined.kind === 'refused' ? queue : joined.queue;
     }
-    const joined = joinQueue(queue, entry(99, 'small'), 10);
+    const joined = enqueue(queue, entry(99, 'small'), 10);
     expect(joined).toMatchObject({kind: 'full', victim: {customer: 'flood', id: 9}});
     queue = joined.kind === 'refused' ? queue : joined.queue;
     const order: string[] = [];
--- a/packages/stallpaddle-routing/src/index.ts
+++ b/packages/stallpaddle-routing/src/index.ts
@@ -10,8 +10,8 @@
 export {medianTokenMs, placeOnline, slowness} from './RoutingPlacement';
 export {
   EMPTY_QUEUE,
+  enqueue,
   type FairQueue,
-  joinQueue,
   type JoinResult,
   leaveQueue,
   type QueuedRequest,
