--- a/packages/stallpaddle-experiment/src/ExperimentCurrent.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentCurrent.ts
@@ -7,6 +7,7 @@
 import {
   batchAllowance,
   countRequest,
+  dequeue,
   EMPTY_QUEUE,
   EMPTY_ROUTING,
   enqueue,
@@ -16,7 +17,6 @@
   placeOnline,
   stepRouting,
   streamsToCancel,
-  takeNext,
   takeRetry,
 } from 'stallpaddle-routing';
 
@@ -136,7 +136,7 @@
   }
 
   private wake(): void {
-    const next = takeNext(this.queue);
+    const next = dequeue(this.queue);
     if (next !== undefined) {
       this.queue = next.queue;
       const req = this.waiting.get(next.req.id)!;
--- a/packages/stallpaddle-gateway/src/GatewayQueue.ts
+++ b/packages/stallpaddle-gateway/src/GatewayQueue.ts
@@ -4,7 +4,7 @@
 import type {CustomerId, MonotonicMs, RefusalError} from 'stallpaddle';
 
 import {refuse} from 'stallpaddle';
-import {EMPTY_QUEUE, enqueue, leaveQueue, takeNext} from 'stallpaddle-routing';
+import {dequeue, EMPTY_QUEUE, enqueue, leaveQueue} from 'stallpaddle-routing';
 
 import type {GatewayContext} from './GatewayContext';
 
@@ -72,7 +72,7 @@
   /** Lets the next request look for room. */
   wake(): void {
     this.refuseLate();
-    const next = takeNext(this.queue);
+    const next = dequeue(this.queue);
     if (next !== undefined) {
       this.queue = next.queue;
       this.settle(next.req.id)?.resolve();
--- a/packages/stallpaddle-routing/src/RoutingQueue.ts
+++ b/packages/stallpaddle-routing/src/RoutingQueue.ts
@@ -83,7 +83,7 @@
  *
  * @param queue present queue
  */
-export function takeNext(
+export function dequeue(
   queue: FairQueue,
 ): {readonly queue: FairQueue; readonly req: QueuedRequest} | undefined {
   const [first] = queue.requests;
--- a/packages/stallpaddle-routing/src/__tests__/unit/RoutingQueue.test.ts
+++ b/packages/stallpaddle-routing/src/__tests__/unit/RoutingQueue.test.ts
@@ -5,7 +5,7 @@
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {EMPTY_QUEUE, enqueue, leaveQueue, takeNext} from '../../RoutingQueue';
+import {dequeue, EMPTY_QUEUE, enqueue, leaveQueue} from '../../RoutingQueue';
 import {countRequest, FULL_RETRY_BUDGET, takeRetry} from '../../RoutingRetries';
 
 function entry(id: number, customer: string) {
@@ -42,7 +42,7 @@
               waiting.delete(next.id);
               break;
             case 'take': {
-              const taken = takeNext(queue);
+              const taken = dequeue(queue);
               expect(taken === undefined).toBe(waiting.size === 0);
               if (taken !== undefined) {
                 queue = taken.queue;
@@ -70,7 +70,7 @@
     expect(joined).toMatchObject({kind: 'full', victim: {customer: 'flood', id: 9}});
     queue = joined.kind === 'refused' ? queue : joined.queue;
     const order: string[] = [];
-    for (let taken = takeNext(queue); taken !== undefined; taken = takeNext(taken.queue)) {
+    for (let taken = dequeue(queue); taken !== undefined; taken = dequeue(taken.queue)) {
       order.push(taken.req.customer);
     }
     expect(order.indexOf('small')).toBeLessThanOrEqual(1);
--- a/packages/stallpaddle-routing/src/index.ts
+++ b/packages/stallpaddle-routing/src/index.ts
@@ -9,13 +9,13 @@
 export {NO_ENGINE_RETRY_MS} from './RoutingConstants';
 export {medianTokenMs, placeOnline, slowness} from './RoutingPlacement';
 export {
+  dequeue,
   EMPTY_QUEUE,
   enqueue,
   type FairQueue,
   type JoinResult,
   leaveQueue,
   type QueuedRequest,
-  takeNext,
 } from './RoutingQueue';
 export {countRequest, FULL_RETRY_BUDGET, type RetryBudget, takeRetry} from './RoutingRetries';
 export type {
