--- a/packages/stallpaddle-gateway/src/GatewayQueue.ts
+++ b/packages/stallpaddle-gateway/src/GatewayQueue.ts
@@ -4,7 +4,7 @@
 import type {CustomerId, MonotonicMs, RefusalError} from 'stallpaddle';
 
 import {refuse} from 'stallpaddle';
-import {dequeue, EMPTY_QUEUE, enqueue, leaveQueue} from 'stallpaddle-routing';
+import {dequeue, EMPTY_QUEUE, enqueue, removeFromQueue} from 'stallpaddle-routing';
 
 import type {GatewayContext} from './GatewayContext';
 
@@ -81,14 +81,14 @@
   }
 
   private giveUp(id: number): void {
-    this.queue = leaveQueue(this.queue, id);
+    this.queue = removeFromQueue(this.queue, id);
     this.settle(id)?.reject(refuse('deadlineExceeded', 'the caller has gone'));
   }
 
   private refuseLate(): void {
     const now = this.context.clock.monotonicMs();
     for (const late of this.queue.requests.filter((req) => req.deadlineAt <= now)) {
-      this.queue = leaveQueue(this.queue, late.id);
+      this.queue = removeFromQueue(this.queue, late.id);
       const refusal = refuse('deadlineExceeded', 'no engine had room in time', {
         retryAfterMs: LEAST_RETRY_MS,
       });
--- a/packages/stallpaddle-routing/src/RoutingQueue.ts
+++ b/packages/stallpaddle-routing/src/RoutingQueue.ts
@@ -105,6 +105,6 @@
  * @param queue present queue
  * @param id the request
  */
-export function leaveQueue(queue: FairQueue, id: number): FairQueue {
+export function removeFromQueue(queue: FairQueue, id: number): FairQueue {
   return withoutRequest(queue, id);
 }
--- a/packages/stallpaddle-routing/src/__tests__/unit/RoutingQueue.test.ts
+++ b/packages/stallpaddle-routing/src/__tests__/unit/RoutingQueue.test.ts
@@ -5,7 +5,7 @@
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {dequeue, EMPTY_QUEUE, enqueue, leaveQueue} from '../../RoutingQueue';
+import {dequeue, EMPTY_QUEUE, enqueue, removeFromQueue} from '../../RoutingQueue';
 import {countRequest, FULL_RETRY_BUDGET, takeRetry} from '../../RoutingRetries';
 
 function entry(id: number, customer: string) {
@@ -38,7 +38,7 @@
               break;
             }
             case 'leave':
-              queue = leaveQueue(queue, next.id);
+              queue = removeFromQueue(queue, next.id);
               waiting.delete(next.id);
               break;
             case 'take': {
--- a/packages/stallpaddle-routing/src/index.ts
+++ b/packages/stallpaddle-routing/src/index.ts
@@ -14,8 +14,8 @@
   enqueue,
   type FairQueue,
   type JoinResult,
-  leaveQueue,
   type QueuedRequest,
+  removeFromQueue,
 } from './RoutingQueue';
 export {countRequest, FULL_RETRY_BUDGET, type RetryBudget, takeRetry} from './RoutingRetries';
 export type {
