--- a/packages/stallpaddle-routing/src/RoutingQueue.ts
+++ b/packages/stallpaddle-routing/src/RoutingQueue.ts
@@ -23,7 +23,7 @@
 export const EMPTY_QUEUE: FairQueue = {requests: [], served: new Map()};
 
 /** Outcome of joining. */
-export type JoinResult =
+export type EnqueueResult =
   | {readonly kind: 'full'; readonly victim: QueuedRequest; readonly queue: FairQueue}
   | {readonly kind: 'joined'; readonly queue: FairQueue}
   | {readonly kind: 'refused'};
@@ -55,7 +55,7 @@
  * @param req the request
  * @param capacity most requests that may wait
  */
-export function enqueue(queue: FairQueue, req: QueuedRequest, capacity: number): JoinResult {
+export function enqueue(queue: FairQueue, req: QueuedRequest, capacity: number): EnqueueResult {
   if (queue.requests.length < capacity) {
     return {kind: 'joined', queue: withRequest(queue, req)};
   }
--- a/packages/stallpaddle-routing/src/index.ts
+++ b/packages/stallpaddle-routing/src/index.ts
@@ -12,8 +12,8 @@
   dequeue,
   EMPTY_QUEUE,
   enqueue,
+  type EnqueueResult,
   type FairQueue,
-  type JoinResult,
   type QueuedRequest,
   removeFromQueue,
 } from './RoutingQueue';
