--- a/packages/stallpaddle-ledger/src/LedgerClock.ts
+++ b/packages/stallpaddle-ledger/src/LedgerClock.ts
@@ -33,7 +33,7 @@
  * @param draft draft of the running command
  * @param elapsedMs time since the command before it, in milliseconds
  */
-export function $countTime(draft: LedgerDraft, elapsedMs: number): void {
+export function $advanceClock(draft: LedgerDraft, elapsedMs: number): void {
   const isFirst = draft.clockMs === 0 && elapsedMs > 0;
   draft.clockMs += elapsedMs;
   if (isFirst) {
--- a/packages/stallpaddle-ledger/src/LedgerShard.ts
+++ b/packages/stallpaddle-ledger/src/LedgerShard.ts
@@ -17,7 +17,7 @@
 } from './LedgerTypes';
 
 import {$dropCall, $dropOldCalls, $endCall, $startCall} from './LedgerCalls';
-import {$countTime} from './LedgerClock';
+import {$advanceClock} from './LedgerClock';
 import {OPEN_FILE_MS} from './LedgerConstants';
 import {closeDraft, openDraft} from './LedgerDraft';
 import {$appendFile, $dropOpenFiles, $sealFile} from './LedgerFiles';
@@ -88,7 +88,7 @@
   elapsedMs: number,
 ): MachineResult<LedgerState> & {readonly result: LedgerAnswer} {
   const draft = openDraft(state);
-  $countTime(draft, elapsedMs);
+  $advanceClock(draft, elapsedMs);
   const result = $run(draft, command);
   return {blobs: draft.placed, result, state: closeDraft(draft)};
 }
