--- a/packages/stallpaddle-ledger/src/LedgerConstants.ts
+++ b/packages/stallpaddle-ledger/src/LedgerConstants.ts
@@ -15,7 +15,7 @@
  * Time that leases of releases that counted no time get once time is counted, in milliseconds: the full time that
  * those releases leased for.
  */
-export const EARLIER_LEASE_MS = 4_000;
+export const LEGACY_LEASE_MS = 4_000;
 
 /** How long an upload that doesn't end is kept, on the shard's clock, in milliseconds. */
 export const OPEN_FILE_MS = 600_000;
--- a/packages/stallpaddle-ledger/src/__tests__/unit/LedgerShard.test.ts
+++ b/packages/stallpaddle-ledger/src/__tests__/unit/LedgerShard.test.ts
@@ -9,7 +9,7 @@
  */
 import type {LeasedChunk, LedgerAnswer, LedgerCommand, LedgerState} from '../../LedgerTypes';
 
-import {CALL_RECORD_MS, EARLIER_LEASE_MS, OPEN_FILE_MS} from '../../LedgerConstants';
+import {CALL_RECORD_MS, LEGACY_LEASE_MS, OPEN_FILE_MS} from '../../LedgerConstants';
 import {hasExpiredLeases} from '../../LedgerLeases';
 import {EMPTY_LEDGER, ledgerMachine} from '../../LedgerShard';
 import {NaiveLedger} from './NaiveLedger';
@@ -522,7 +522,7 @@
     ledger.now = 5;
     ledger.apply({now: FAST_MS, type: 'expire'});
     expect(ledger.state.leases.size).toBe(1);
-    ledger.now += EARLIER_LEASE_MS - 1;
+    ledger.now += LEGACY_LEASE_MS - 1;
     ledger.apply({now: FAST_MS, type: 'expire'});
     expect(ledger.state.leases.size).toBe(1);
     ledger.now += 1;
