--- a/packages/stallpaddle-ledger/src/LedgerClock.ts
+++ b/packages/stallpaddle-ledger/src/LedgerClock.ts
@@ -6,7 +6,7 @@
 import type {LedgerDraft} from './LedgerDraft';
 import type {LedgerState, WallMs} from './LedgerTypes';
 
-import {LEGACY_LEASE_MS, OPEN_FILE_MS} from './LedgerConstants';
+import {LEGACY_LEASE_MS, UPLOAD_TIMEOUT_MS} from './LedgerConstants';
 
 /**
  * The time that leases and open uploads are compared with. Until a command has counted time, it is the proposing
@@ -22,7 +22,7 @@
 /** Times of releases that counted none mean nothing on the shard's clock: what is held gets its full time anew. */
 function $restartTimes(draft: LedgerDraft): void {
   const leaseEnd = draft.clockMs + LEGACY_LEASE_MS;
-  const uploadEnd = draft.clockMs + OPEN_FILE_MS;
+  const uploadEnd = draft.clockMs + UPLOAD_TIMEOUT_MS;
   draft.leases = draft.leases.map((lease) => ({...lease, until: leaseEnd}));
   draft.files = draft.files.map((file) => (file.sealed ? file : {...file, openUntil: uploadEnd}));
 }
--- a/packages/stallpaddle-ledger/src/LedgerConstants.ts
+++ b/packages/stallpaddle-ledger/src/LedgerConstants.ts
@@ -18,7 +18,7 @@
 export const LEGACY_LEASE_MS = 4_000;
 
 /** How long an upload that doesn't end is kept, on the shard's clock, in milliseconds. */
-export const OPEN_FILE_MS = 600_000;
+export const UPLOAD_TIMEOUT_MS = 600_000;
 
 /** How long the record of a call is kept for a resend, in milliseconds. */
 export const CALL_RECORD_MS = 86_400_000;
--- a/packages/stallpaddle-ledger/src/LedgerFiles.ts
+++ b/packages/stallpaddle-ledger/src/LedgerFiles.ts
@@ -7,7 +7,7 @@
 import type {FileChunk, LedgerAnswer, LedgerCommand, LedgerFile} from './LedgerTypes';
 
 import {expiryNow} from './LedgerClock';
-import {OPEN_FILE_MS} from './LedgerConstants';
+import {UPLOAD_TIMEOUT_MS} from './LedgerConstants';
 import {$place} from './LedgerDraft';
 import {refusal} from './LedgerUtils';
 
@@ -24,7 +24,7 @@
     id: command.fileId,
     items: 0,
     model: command.model,
-    openUntil: expiryNow(draft, command.now) + OPEN_FILE_MS,
+    openUntil: expiryNow(draft, command.now) + UPLOAD_TIMEOUT_MS,
     sealed: false,
   };
 }
--- a/packages/stallpaddle-ledger/src/LedgerShard.ts
+++ b/packages/stallpaddle-ledger/src/LedgerShard.ts
@@ -18,7 +18,7 @@
 
 import {$dropCall, $dropOldCalls, $endCall, $startCall} from './LedgerCalls';
 import {$advanceClock} from './LedgerClock';
-import {OPEN_FILE_MS} from './LedgerConstants';
+import {UPLOAD_TIMEOUT_MS} from './LedgerConstants';
 import {closeDraft, openDraft} from './LedgerDraft';
 import {$appendFile, $dropOpenFiles, $sealFile} from './LedgerFiles';
 import {$cancelJob, $createJob} from './LedgerJobs';
@@ -148,7 +148,7 @@
   const files = (encoded.files as readonly EncodedFile[]).map((file): LedgerFile => ({
     ...file,
     chunks: List(file.chunks),
-    openUntil: file.openUntil ?? file.createdAt + OPEN_FILE_MS,
+    openUntil: file.openUntil ?? file.createdAt + UPLOAD_TIMEOUT_MS,
   }));
   const runnable = jobs
     .filter((job) => job.status === 'running' && job.queuedChunks > 0)
--- a/packages/stallpaddle-ledger/src/__tests__/unit/LedgerShard.test.ts
+++ b/packages/stallpaddle-ledger/src/__tests__/unit/LedgerShard.test.ts
@@ -9,7 +9,7 @@
  */
 import type {LeasedChunk, LedgerAnswer, LedgerCommand, LedgerState} from '../../LedgerTypes';
 
-import {CALL_RECORD_MS, LEGACY_LEASE_MS, OPEN_FILE_MS} from '../../LedgerConstants';
+import {CALL_RECORD_MS, LEGACY_LEASE_MS, UPLOAD_TIMEOUT_MS} from '../../LedgerConstants';
 import {hasExpiredLeases} from '../../LedgerLeases';
 import {EMPTY_LEDGER, ledgerMachine} from '../../LedgerShard';
 import {NaiveLedger} from './NaiveLedger';
@@ -539,7 +539,7 @@
     const chunks = [{items: 1, lines: Buffer.from('a\n')}];
     const part = {chunks, customer: 'ana', fileId: 'file', firstChunk: 0, model: 'm'};
     ledger.apply({...part, now: SLOW_MS, type: 'appendFile'});
-    ledger.now += OPEN_FILE_MS - 1;
+    ledger.now += UPLOAD_TIMEOUT_MS - 1;
     ledger.restart();
     ledger.apply({now: FAST_MS, type: 'expire'});
     expect(ledger.state.files.has('file')).toBe(true);
@@ -558,12 +558,12 @@
     );
     const files = snapshot.files.map(({openUntil: _, ...file}) => file);
     const decoded = ledgerMachine.decode(encodeValue({...snapshot, files}));
-    expect(decoded.files.get('file')!.openUntil).toBe(SLOW_MS + OPEN_FILE_MS);
+    expect(decoded.files.get('file')!.openUntil).toBe(SLOW_MS + UPLOAD_TIMEOUT_MS);
     ledger.state = decoded;
     ledger.now = 5;
-    ledger.apply({now: FAST_MS + OPEN_FILE_MS, type: 'expire'});
+    ledger.apply({now: FAST_MS + UPLOAD_TIMEOUT_MS, type: 'expire'});
     expect(ledger.state.files.has('file')).toBe(true);
-    ledger.now += OPEN_FILE_MS;
+    ledger.now += UPLOAD_TIMEOUT_MS;
     ledger.apply({now: SLOW_MS, type: 'expire'});
     expect(ledger.state.files.has('file')).toBe(false);
   });
