--- a/packages/stallpaddle-ledger/src/LedgerCalls.ts
+++ b/packages/stallpaddle-ledger/src/LedgerCalls.ts
@@ -4,7 +4,7 @@
 import type {LedgerDraft} from './LedgerDraft';
 import type {LedgerAnswer, LedgerCommand} from './LedgerTypes';
 
-import {CALL_RECORD_MS} from './LedgerConstants';
+import {CALL_RECORD_TTL_MS} from './LedgerConstants';
 import {$place} from './LedgerDraft';
 import {customerKey, refusal} from './LedgerUtils';
 
@@ -79,5 +79,5 @@
  * @param now time of the command
  */
 export function $dropOldCalls(draft: LedgerDraft, now: number): void {
-  draft.calls = draft.calls.filter((call) => call.at + CALL_RECORD_MS > now);
+  draft.calls = draft.calls.filter((call) => call.at + CALL_RECORD_TTL_MS > now);
 }
--- a/packages/stallpaddle-ledger/src/LedgerConstants.ts
+++ b/packages/stallpaddle-ledger/src/LedgerConstants.ts
@@ -21,7 +21,7 @@
 export const UPLOAD_TIMEOUT_MS = 600_000;
 
 /** How long the record of a call is kept for a resend, in milliseconds. */
-export const CALL_RECORD_MS = 86_400_000;
+export const CALL_RECORD_TTL_MS = 86_400_000;
 
 /** A job that would end later than this before its due time goes before all others, in milliseconds. */
 export const URGENT_SLACK_MS = 600_000;
--- a/packages/stallpaddle-ledger/src/__tests__/unit/LedgerShard.test.ts
+++ b/packages/stallpaddle-ledger/src/__tests__/unit/LedgerShard.test.ts
@@ -9,7 +9,7 @@
  */
 import type {LeasedChunk, LedgerAnswer, LedgerCommand, LedgerState} from '../../LedgerTypes';
 
-import {CALL_RECORD_MS, LEGACY_LEASE_MS, UPLOAD_TIMEOUT_MS} from '../../LedgerConstants';
+import {CALL_RECORD_TTL_MS, LEGACY_LEASE_MS, UPLOAD_TIMEOUT_MS} from '../../LedgerConstants';
 import {hasExpiredLeases} from '../../LedgerLeases';
 import {EMPTY_LEDGER, ledgerMachine} from '../../LedgerShard';
 import {NaiveLedger} from './NaiveLedger';
@@ -572,9 +572,9 @@
     const ledger = new LedgerUnderTest();
     const call = {attempt: '1', content: 'c', customer: 'ana', key: 'k', now: SLOW_MS};
     ledger.apply({...call, type: 'startCall'});
-    ledger.apply({now: SLOW_MS + CALL_RECORD_MS - 1, type: 'expire'});
+    ledger.apply({now: SLOW_MS + CALL_RECORD_TTL_MS - 1, type: 'expire'});
     expect(ledger.state.calls.size).toBe(1);
-    ledger.apply({now: SLOW_MS + CALL_RECORD_MS, type: 'expire'});
+    ledger.apply({now: SLOW_MS + CALL_RECORD_TTL_MS, type: 'expire'});
     expect(ledger.state.calls.size).toBe(0);
   });
 });
