--- a/packages/stallpaddle-ledger/src/LedgerFiles.ts
+++ b/packages/stallpaddle-ledger/src/LedgerFiles.ts
@@ -88,7 +88,7 @@
  * @param draft draft of the running command
  * @param now time of the command
  */
-export function $dropOpenFiles(draft: LedgerDraft, now: number): void {
+export function $dropExpiredUploads(draft: LedgerDraft, now: number): void {
   const at = expiryNow(draft, now);
   draft.files = draft.files.filter((file) => file.sealed || file.openUntil > at);
 }
--- a/packages/stallpaddle-ledger/src/LedgerShard.ts
+++ b/packages/stallpaddle-ledger/src/LedgerShard.ts
@@ -20,7 +20,7 @@
 import {$advanceClock} from './LedgerClock';
 import {UPLOAD_TIMEOUT_MS} from './LedgerConstants';
 import {closeDraft, openDraft} from './LedgerDraft';
-import {$appendFile, $dropOpenFiles, $sealFile} from './LedgerFiles';
+import {$appendFile, $dropExpiredUploads, $sealFile} from './LedgerFiles';
 import {$cancelJob, $createJob} from './LedgerJobs';
 import {$expireLeases, $lease, $report, $startItems} from './LedgerLeases';
 
@@ -41,7 +41,7 @@
 
 function $expire(draft: LedgerDraft, now: number): LedgerAnswer {
   $expireLeases(draft, now);
-  $dropOpenFiles(draft, now);
+  $dropExpiredUploads(draft, now);
   $dropOldCalls(draft, now);
   return {kind: 'ok'};
 }
