--- a/packages/stallpaddle-ledger/src/LedgerLeases.ts
+++ b/packages/stallpaddle-ledger/src/LedgerLeases.ts
@@ -35,7 +35,7 @@
 type LeasedState = Extract<ChunkState, {kind: 'leased'}>;
 
 /** Positions of items in `lineless`: chunk number times this, plus the item's. */
-export const LINELESS_FACTOR = 256;
+export const LINELESS_CHUNK_STRIDE = 256;
 
 function fileChunk(draft: LedgerDraft, job: LedgerJob, chunk: number): FileChunk {
   const found = draft.files.get(job.fileId)?.chunks.get(chunk);
@@ -149,7 +149,7 @@
   for (let item = 0; item < items.length; item++) {
     if (itemStatus(items, item) === 'started') {
       setStatus(items, item, 'mayHaveRun');
-      const lineless = next.lineless.push(chunk * LINELESS_FACTOR + item);
+      const lineless = next.lineless.push(chunk * LINELESS_CHUNK_STRIDE + item);
       next = {...next, counts: addCount(next.counts, 'mayHaveRun', 1), lineless};
     }
   }
--- a/packages/stallpaddle-ledger/src/LedgerQueries.ts
+++ b/packages/stallpaddle-ledger/src/LedgerQueries.ts
@@ -18,7 +18,7 @@
 } from './LedgerTypes';
 
 import {finalItems} from './LedgerDraft';
-import {LINELESS_FACTOR} from './LedgerLeases';
+import {LINELESS_CHUNK_STRIDE} from './LedgerLeases';
 import {customerKey} from './LedgerUtils';
 
 /** Questions to a shard. A null customer stands for an operator. */
@@ -117,8 +117,8 @@
   return {
     errors: job.errors.toArray(),
     lineless: job.lineless.toArray().map((position) => ({
-      input: chunks!.get(Math.floor(position / LINELESS_FACTOR))!.ref,
-      item: position % LINELESS_FACTOR,
+      input: chunks!.get(Math.floor(position / LINELESS_CHUNK_STRIDE))!.ref,
+      item: position % LINELESS_CHUNK_STRIDE,
     })),
     outputs: job.outputs.toArray(),
   };
