--- a/packages/stallpaddle-ledger/src/LedgerDraft.ts
+++ b/packages/stallpaddle-ledger/src/LedgerDraft.ts
@@ -23,7 +23,7 @@
  *
  * @param state current state
  */
-export function openDraft(state: LedgerState): LedgerDraft {
+export function createDraft(state: LedgerState): LedgerDraft {
   return {...state, placed: []};
 }
 
--- a/packages/stallpaddle-ledger/src/LedgerShard.ts
+++ b/packages/stallpaddle-ledger/src/LedgerShard.ts
@@ -19,7 +19,7 @@
 import {$dropCall, $dropOldCalls, $endCall, $startCall} from './LedgerCalls';
 import {$advanceClock} from './LedgerClock';
 import {UPLOAD_TIMEOUT_MS} from './LedgerConstants';
-import {closeDraft, openDraft} from './LedgerDraft';
+import {closeDraft, createDraft} from './LedgerDraft';
 import {$appendFile, $dropExpiredUploads, $sealFile} from './LedgerFiles';
 import {$cancelJob, $createJob} from './LedgerJobs';
 import {$expireLeases, $lease, $report, $startItems} from './LedgerLeases';
@@ -87,7 +87,7 @@
   command: LedgerCommand,
   elapsedMs: number,
 ): MachineResult<LedgerState> & {readonly result: LedgerAnswer} {
-  const draft = openDraft(state);
+  const draft = createDraft(state);
   $advanceClock(draft, elapsedMs);
   const result = $run(draft, command);
   return {blobs: draft.placed, result, state: closeDraft(draft)};
