--- a/packages/stallpaddle-ledger/src/LedgerDraft.ts
+++ b/packages/stallpaddle-ledger/src/LedgerDraft.ts
@@ -32,7 +32,7 @@
  *
  * @param draft finished draft
  */
-export function closeDraft(draft: LedgerDraft): LedgerState {
+export function finishDraft(draft: LedgerDraft): LedgerState {
   const {placed: _placed, ...state} = draft;
   return state;
 }
--- a/packages/stallpaddle-ledger/src/LedgerShard.ts
+++ b/packages/stallpaddle-ledger/src/LedgerShard.ts
@@ -19,7 +19,7 @@
 import {$dropCall, $dropOldCalls, $endCall, $startCall} from './LedgerCalls';
 import {$advanceClock} from './LedgerClock';
 import {UPLOAD_TIMEOUT_MS} from './LedgerConstants';
-import {closeDraft, createDraft} from './LedgerDraft';
+import {createDraft, finishDraft} from './LedgerDraft';
 import {$appendFile, $dropExpiredUploads, $sealFile} from './LedgerFiles';
 import {$cancelJob, $createJob} from './LedgerJobs';
 import {$expireLeases, $lease, $report, $startItems} from './LedgerLeases';
@@ -90,7 +90,7 @@
   const draft = createDraft(state);
   $advanceClock(draft, elapsedMs);
   const result = $run(draft, command);
-  return {blobs: draft.placed, result, state: closeDraft(draft)};
+  return {blobs: draft.placed, result, state: finishDraft(draft)};
 }
 
 interface EncodedLedger {
