--- a/packages/stallpaddle-ledger/src/LedgerCalls.ts
+++ b/packages/stallpaddle-ledger/src/LedgerCalls.ts
@@ -5,7 +5,7 @@
 import type {LedgerAnswer, LedgerCommand} from './LedgerTypes';
 
 import {CALL_RECORD_TTL_MS} from './LedgerConstants';
-import {$place} from './LedgerDraft';
+import {$placeBlob} from './LedgerDraft';
 import {customerKey, refusal} from './LedgerUtils';
 
 type Command<Type> = Extract<LedgerCommand, {type: Type}>;
@@ -48,7 +48,7 @@
     return {call, kind: 'callExists'};
   }
   draft.calls = draft.calls.set(name, {
-    answer: $place(draft, command.body),
+    answer: $placeBlob(draft, command.body),
     at: command.now,
     content: call.content,
     contentType: command.contentType,
--- a/packages/stallpaddle-ledger/src/LedgerDraft.ts
+++ b/packages/stallpaddle-ledger/src/LedgerDraft.ts
@@ -43,7 +43,7 @@
  * @param draft draft of the running command
  * @param payload content
  */
-export function $place(draft: LedgerDraft, payload: Uint8Array): BlobRef {
+export function $placeBlob(draft: LedgerDraft, payload: Uint8Array): BlobRef {
   const {end, ref} = placeBlob(draft.blobEnd, payload.length);
   draft.blobEnd = end;
   draft.placed.push({payload, ref});
--- a/packages/stallpaddle-ledger/src/LedgerFiles.ts
+++ b/packages/stallpaddle-ledger/src/LedgerFiles.ts
@@ -8,7 +8,7 @@
 
 import {expiryNow} from './LedgerClock';
 import {UPLOAD_TIMEOUT_MS} from './LedgerConstants';
-import {$place} from './LedgerDraft';
+import {$placeBlob} from './LedgerDraft';
 import {refusal} from './LedgerUtils';
 
 type Command<Type> = Extract<LedgerCommand, {type: Type}>;
@@ -48,7 +48,7 @@
   if (file.sealed || firstChunk !== file.chunks.size) {
     return refusal('conflict', `chunk ${firstChunk} does not follow those before it`);
   }
-  const added = chunks.map(({items, lines}) => ({items, ref: $place(draft, lines)}));
+  const added = chunks.map(({items, lines}) => ({items, ref: $placeBlob(draft, lines)}));
   draft.files = draft.files.set(file.id, {
     ...file,
     chunks: file.chunks.concat(added),
--- a/packages/stallpaddle-ledger/src/LedgerLeases.ts
+++ b/packages/stallpaddle-ledger/src/LedgerLeases.ts
@@ -19,7 +19,7 @@
 
 import {expiryNow} from './LedgerClock';
 import {MAX_ITEM_LOSSES} from './LedgerConstants';
-import {$place, $putJob, addCount, completeWhenDone} from './LedgerDraft';
+import {$placeBlob, $putJob, addCount, completeWhenDone} from './LedgerDraft';
 import {
   addLoss,
   copyItems,
@@ -205,7 +205,9 @@
 
 function $placeLines(draft: LedgerDraft, job: LedgerJob, lines: GatheredLines): LedgerJob {
   const place = (group: readonly string[], known: LedgerJob['outputs']): LedgerJob['outputs'] =>
-    group.length === 0 ? known : known.push($place(draft, Buffer.from(`${group.join('\n')}\n`)));
+    group.length === 0
+      ? known
+      : known.push($placeBlob(draft, Buffer.from(`${group.join('\n')}\n`)));
   return {
     ...job,
     errors: place(lines.errors, job.errors),
