--- a/packages/stallpaddle-routing/src/RoutingTypes.ts
+++ b/packages/stallpaddle-routing/src/RoutingTypes.ts
@@ -53,7 +53,7 @@
   readonly recent: readonly StreamChange[];
   readonly setup: EngineSetup;
   /** What other VMs told this one, as the engine's owner, by VM. */
-  readonly told: ReadonlyMap<VmId, ReportedStreams>;
+  readonly reported: ReadonlyMap<VmId, ReportedStreams>;
   /** Mean time between tokens as this VM measured, in milliseconds; 0 when unknown. */
   readonly tokenMs: number;
 }
--- a/packages/stallpaddle-routing/src/RoutingView.ts
+++ b/packages/stallpaddle-routing/src/RoutingView.ts
@@ -40,9 +40,9 @@
     ownOnline: 0,
     quarantinedUntil: -Infinity,
     recent: [],
+    reported: new Map(),
     setup,
     tokenMs: 0,
-    told: new Map(),
   };
 }
 
@@ -53,7 +53,7 @@
  * @param view an engine
  */
 export function onlineStreams(view: EngineView): number {
-  const {load, ownOnline, recent, told} = view;
+  const {load, ownOnline, recent, reported: told} = view;
   if (told.size > 0) {
     const others = [...told.values()].reduce((sum, {online}) => sum + online, 0);
     // Online requests that wait beside batch work show that some count was lost.
@@ -88,16 +88,16 @@
   }
   // What was sent just before may have been under way when the load was taken.
   const recent = view.recent.filter((change) => change.at > at - REQUEST_TRANSIT_MS);
-  return {...view, load, loadAt: at, recent, told: withoutOld(view.told, now)};
+  return {...view, load, loadAt: at, recent, reported: withoutOld(view.reported, now)};
 }
 
-function withoutOld(told: EngineView['told'], now: MonotonicMs): EngineView['told'] {
+function withoutOld(told: EngineView['reported'], now: MonotonicMs): EngineView['reported'] {
   const kept = [...told].filter(([, {at}]) => now - at < REPORTED_STREAMS_TTL_MS);
   return kept.length === told.size ? told : new Map(kept);
 }
 
 function hearTold(view: EngineView, vm: VmId, online: number, now: MonotonicMs): EngineView {
-  return {...view, told: new Map(view.told).set(vm, {at: now, online})};
+  return {...view, reported: new Map(view.reported).set(vm, {at: now, online})};
 }
 
 function withChange(view: EngineView, at: MonotonicMs, delta: StreamChange['delta']): EngineView {
