--- a/packages/stallpaddle-ledger/src/LedgerCalls.ts
+++ b/packages/stallpaddle-ledger/src/LedgerCalls.ts
@@ -1,5 +1,5 @@
 /**
- * Online calls that must not run twice: the start is on record before the first byte goes out.
+ * Online calls that must not run twice: a call's start is recorded before it is sent to an engine.
  */
 import type {LedgerDraft} from './LedgerDraft';
 import type {LedgerAnswer, LedgerCommand} from './LedgerTypes';
@@ -11,7 +11,7 @@
 type Command<Type> = Extract<LedgerCommand, {type: Type}>;
 
 /**
- * Records a start, or finds the record of an earlier one.
+ * Records a call's start, or returns the existing record of that call.
  *
  * @param draft draft of the running command
  * @param command the call
@@ -26,23 +26,23 @@
   if (call !== undefined) {
     return call.content === command.content
       ? {call, kind: 'callExists'}
-      : refusal('keyReused', 'the key was used for a call with other content');
+      : refusal('keyReused', 'the key was already used for a call with different content');
   }
   draft.calls = draft.calls.set(name, {at: now, attempt, content, kind: 'started'});
   return {kind: 'ok'};
 }
 
 /**
- * Records a call's answer for resends; the first one stands.
+ * Records a call's response for resent calls. The first one recorded is kept.
  *
  * @param draft draft of the running command
- * @param command the answer
+ * @param command the response
  */
 export function $endCall(draft: LedgerDraft, command: Command<'endCall'>): LedgerAnswer {
   const name = customerKey(command.customer, command.key);
   const call = draft.calls.get(name);
   if (call === undefined) {
-    return refusal('notFound', 'the call has no start on record');
+    return refusal('notFound', 'the call has no recorded start');
   }
   if (call.kind === 'ended') {
     return {call, kind: 'callExists'};
@@ -59,7 +59,7 @@
 }
 
 /**
- * Takes back a start that was never sent, so that the key may be used again.
+ * Removes the start of a call that was never sent, so that its key can be used again.
  *
  * @param draft draft of the running command
  * @param command the call
@@ -73,7 +73,7 @@
 }
 
 /**
- * Forgets records that are too old for a resend.
+ * Drops call records past their lifetime.
  *
  * @param draft draft of the running command
  * @param now time of the command
--- a/packages/stallpaddle-ledger/src/LedgerClock.ts
+++ b/packages/stallpaddle-ledger/src/LedgerClock.ts
@@ -1,5 +1,5 @@
 /**
- * The shard's own clock: leases and open uploads run out by it, whatever the VMs' times of day are.
+ * The shard's own clock. Leases and unsealed uploads expire by it, so that VMs' wall clocks don't matter.
  */
 import type {GroupMs} from 'stallpaddle-replication';
 
@@ -9,8 +9,8 @@
 import {LEGACY_LEASE_MS, UPLOAD_TIMEOUT_MS} from './LedgerConstants';
 
 /**
- * The time that leases and open uploads are compared with. Until a command has counted time, it is the proposing
- * VM's time of day: so ran the entries of releases that counted none, and their replay must end in the same state.
+ * The time that expiry is measured by: the shard's clock, or the proposing VM's wall clock until the shard's clock has
+ * started. Log entries of releases without a shard clock ran that way, and their replay must give the same state.
  *
  * @param state the shard
  * @param now time of the command
@@ -19,8 +19,8 @@
   return clockMs > 0 ? clockMs : now;
 }
 
-/** Times of releases that counted none mean nothing on the shard's clock: what is held gets its full time anew. */
-function $restartTimes(draft: LedgerDraft): void {
+/** Replaces expiry times that were set by a wall clock: leases and unsealed uploads get their full time again. */
+function $resetExpiry(draft: LedgerDraft): void {
   const leaseEnd = draft.clockMs + LEGACY_LEASE_MS;
   const uploadEnd = draft.clockMs + UPLOAD_TIMEOUT_MS;
   draft.leases = draft.leases.map((lease) => ({...lease, until: leaseEnd}));
@@ -28,15 +28,15 @@
 }
 
 /**
- * Moves the shard's clock on; the first time that is counted ends that of earlier releases.
+ * Advances the shard's clock. The first advance resets expiry times set by releases without the clock.
  *
  * @param draft draft of the running command
- * @param elapsedMs time since the command before it, in milliseconds
+ * @param elapsedMs time since the previous command, in milliseconds
  */
 export function $advanceClock(draft: LedgerDraft, elapsedMs: number): void {
   const isFirst = draft.clockMs === 0 && elapsedMs > 0;
   draft.clockMs += elapsedMs;
   if (isFirst) {
-    $restartTimes(draft);
+    $resetExpiry(draft);
   }
 }
--- a/packages/stallpaddle-ledger/src/LedgerConstants.ts
+++ b/packages/stallpaddle-ledger/src/LedgerConstants.ts
@@ -1,30 +1,30 @@
 /**
- * Fixed numbers of the ledger.
+ * Constants of the ledger.
  */
 
-/** Most items in one chunk. */
+/** Maximum number of items in one chunk. */
 export const CHUNK_ITEMS = 32;
 
-/** Most bytes of input in one chunk, unless a single item is larger. */
+/** Maximum input size of one chunk, in bytes, unless a single item is larger. */
 export const CHUNK_BYTES = 262_144;
 
-/** Engine losses with an item in flight after which the item has failed. */
+/** Number of engine losses while an item was running after which the item fails. */
 export const MAX_ITEM_LOSSES = 3;
 
 /**
- * Time that leases of releases that counted no time get once time is counted, in milliseconds: the full time that
- * those releases leased for.
+ * Lease time of releases without a shard clock, in milliseconds. Their leases are renewed for this long when the clock
+ * starts.
  */
 export const LEGACY_LEASE_MS = 4_000;
 
-/** How long an upload that doesn't end is kept, on the shard's clock, in milliseconds. */
+/** Time after which an unsealed upload is dropped, on the shard's clock, in milliseconds. */
 export const UPLOAD_TIMEOUT_MS = 600_000;
 
-/** How long the record of a call is kept for a resend, in milliseconds. */
+/** How long a call record is kept to answer resent calls, in milliseconds. */
 export const CALL_RECORD_TTL_MS = 86_400_000;
 
-/** A job that would end later than this before its due time goes before all others, in milliseconds. */
+/** Slack below which a job is urgent and takes precedence over all others, in milliseconds. */
 export const URGENT_SLACK_MS = 600_000;
 
-/** Items are spread over so many buckets, and the buckets over the shards. */
+/** Number of hash buckets for customers; shards hold contiguous ranges of buckets. */
 export const LEDGER_BUCKETS = 1024;
--- a/packages/stallpaddle-ledger/src/LedgerDraft.ts
+++ b/packages/stallpaddle-ledger/src/LedgerDraft.ts
@@ -1,6 +1,6 @@
 /**
- * The shard's next state while one command builds it. Functions whose names begin with `$` may be
- * called only while a command is applied: they change the draft.
+ * Mutable draft of a shard's next state. Functions whose names begin with `$` modify the draft and may be called only
+ * while a command is applied.
  */
 import type {PlacedBlob} from 'stallpaddle-replication';
 import type {BlobRef} from 'stallpaddle-storage';
@@ -13,13 +13,13 @@
 
 type Mutable<T> = {-readonly [Key in keyof T]: T[Key]};
 
-/** State under construction, with the bulk data placed so far. */
+/** The next state, and the blobs to write with it. */
 export interface LedgerDraft extends Mutable<LedgerState> {
   readonly placed: PlacedBlob[];
 }
 
 /**
- * Opens a draft.
+ * Creates a draft.
  *
  * @param state current state
  */
@@ -28,7 +28,7 @@
 }
 
 /**
- * Closes a draft.
+ * Returns the state that a draft has built.
  *
  * @param draft finished draft
  */
@@ -38,7 +38,7 @@
 }
 
 /**
- * Gives bulk data its place.
+ * Allocates space for a blob, which is written when the command is applied.
  *
  * @param draft draft of the running command
  * @param payload content
@@ -51,16 +51,16 @@
 }
 
 /**
- * Stores a job and keeps the index of runnable jobs in step.
+ * Stores a job and updates the index of runnable jobs.
  *
  * @param draft draft of the running command
  * @param job new state of the job
  */
 export function $putJob(draft: LedgerDraft, job: LedgerJob): void {
   draft.jobs = draft.jobs.set(job.id, job);
-  const known = draft.runnable.get(job.model) ?? ImmutableSet<string>();
-  const runs = job.status === 'running' && job.queuedChunks > 0;
-  const next = runs ? known.add(job.id) : known.remove(job.id);
+  const jobs = draft.runnable.get(job.model) ?? ImmutableSet<string>();
+  const isRunnable = job.status === 'running' && job.queuedChunks > 0;
+  const next = isRunnable ? jobs.add(job.id) : jobs.remove(job.id);
   draft.runnable =
     next.size > 0 ? draft.runnable.set(job.model, next) : draft.runnable.remove(job.model);
 }
@@ -69,7 +69,7 @@
  * Adds to a job's counts.
  *
  * @param counts counts so far
- * @param end how items ended
+ * @param end final status of the items
  * @param items number of items
  */
 export function addCount(counts: ItemCounts, end: keyof ItemCounts, items: number): ItemCounts {
@@ -86,14 +86,14 @@
 }
 
 /**
- * Ends a job whose items are all final; others are returned as they are.
+ * Completes a job whose items are all final; returns other jobs unchanged.
  *
  * @param job a job
  * @param now time of the command
  */
 export function completeWhenDone(job: LedgerJob, now: number): LedgerJob {
   const final = finalItems(job.counts);
-  invariant(final <= job.items, 'job %s has more ends than items', job.id);
+  invariant(final <= job.items, 'job %s has more final items than items', job.id);
   if (job.status !== 'running' || final < job.items) {
     return job;
   }
--- a/packages/stallpaddle-ledger/src/LedgerFiles.ts
+++ b/packages/stallpaddle-ledger/src/LedgerFiles.ts
@@ -1,5 +1,5 @@
 /**
- * Uploads: read in part by part, accepted only when sealed.
+ * File uploads: received in parts, and usable by jobs once sealed.
  */
 import {List} from 'immutable';
 
@@ -30,7 +30,7 @@
 }
 
 /**
- * Takes one part of an upload; a resent part is taken once.
+ * Appends one part of an upload; ignores a resent part.
  *
  * @param draft draft of the running command
  * @param command the part
@@ -46,7 +46,7 @@
     return {kind: 'ok'};
   }
   if (file.sealed || firstChunk !== file.chunks.size) {
-    return refusal('conflict', `chunk ${firstChunk} does not follow those before it`);
+    return refusal('conflict', `chunk ${firstChunk} does not follow the last received chunk`);
   }
   const added = chunks.map(({items, lines}) => ({items, ref: $placeBlob(draft, lines)}));
   draft.files = draft.files.set(file.id, {
@@ -58,15 +58,15 @@
 }
 
 /**
- * Accepts an upload whose parts have all arrived.
+ * Seals an upload whose parts have all arrived.
  *
  * @param draft draft of the running command
- * @param command what the parts must add up to
+ * @param command the file's properties and its expected number of chunks
  */
 export function $sealFile(draft: LedgerDraft, command: Command<'sealFile'>): LedgerAnswer {
   const file = draft.files.get(command.fileId);
   if (file === undefined || file.customer !== command.customer) {
-    return refusal('notFound', 'the upload is not known');
+    return refusal('notFound', 'the upload does not exist');
   }
   if (file.chunks.size !== command.size) {
     return refusal('conflict', `${file.chunks.size} of ${command.size} chunks have arrived`);
@@ -83,7 +83,7 @@
 }
 
 /**
- * Forgets uploads that were never sealed.
+ * Drops uploads that were not sealed in time.
  *
  * @param draft draft of the running command
  * @param now time of the command
--- a/packages/stallpaddle-ledger/src/LedgerItems.ts
+++ b/packages/stallpaddle-ledger/src/LedgerItems.ts
@@ -1,11 +1,11 @@
 /**
- * Packed state of the items in a chunk; see `ItemBytes`.
+ * Reads and writes the packed item states of a chunk (`ItemBytes`).
  */
 import {unreachable} from 'stallpaddle';
 
 import type {ItemBytes, ItemEnd} from './LedgerTypes';
 
-/** Status of one item. */
+/** Status of one item; `open` and `started` are not final. */
 export type ItemStatus = ItemEnd | 'open' | 'started';
 
 const STATUS_MASK = 0x0f;
@@ -21,7 +21,7 @@
 ];
 
 /**
- * Whether a status is one that never changes again.
+ * Whether a status is final.
  *
  * @param status an item's status
  */
@@ -51,7 +51,7 @@
 }
 
 /**
- * Reads how often an engine was lost with the item in flight.
+ * Reads how many engines failed while running the item.
  *
  * @param items the chunk's items
  * @param item position in the chunk, from 0
@@ -61,7 +61,7 @@
 }
 
 /**
- * Copies a chunk's items so that they may be changed.
+ * Copies a chunk's items for modification.
  *
  * @param items the chunk's items
  * @param count number of items
@@ -71,7 +71,7 @@
 }
 
 /**
- * Sets an item's status in a copy.
+ * Sets an item's status.
  *
  * @param items a copy from {@link copyItems}; changed in place
  * @param item position in the chunk, from 0
@@ -82,7 +82,7 @@
 }
 
 /**
- * Counts one more engine loss in a copy and makes the item open again.
+ * Counts one more engine loss and reopens the item.
  *
  * @param items a copy from {@link copyItems}; changed in place
  * @param item position in the chunk, from 0
--- a/packages/stallpaddle-ledger/src/LedgerJobs.ts
+++ b/packages/stallpaddle-ledger/src/LedgerJobs.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs: accepted once by key, cancelled for good.
+ * Creation and cancellation of jobs.
  */
 import type {BlobRef} from 'stallpaddle-storage';
 
@@ -15,9 +15,9 @@
 type Command<Type> = Extract<LedgerCommand, {type: Type}>;
 
 const QUEUED: ChunkState = {items: null, kind: 'queued'};
-const NO_ENDS = {cancelled: 0, done: 0, failed: 0, mayHaveRun: 0};
+const ZERO_COUNTS = {cancelled: 0, done: 0, failed: 0, mayHaveRun: 0};
 
-function knownJob(draft: LedgerDraft, command: Command<'createJob'>): LedgerJob | undefined {
+function findExistingJob(draft: LedgerDraft, command: Command<'createJob'>): LedgerJob | undefined {
   const byId = draft.jobs.get(command.jobId);
   if (byId !== undefined || command.key === null) {
     return byId;
@@ -26,8 +26,8 @@
   return jobId === undefined ? undefined : draft.jobs.get(jobId);
 }
 
-/** A customer that comes anew must not be owed for the time it was away. */
-function $admitCustomer(draft: LedgerDraft, customer: string): void {
+/** Raises a customer to the lowest active count, so that it gains no credit for the time without jobs. */
+function $raiseServed(draft: LedgerDraft, customer: string): void {
   const active = [...draft.runnable.values()].flatMap((jobs) =>
     [...jobs].map((jobId) => draft.served.get(draft.jobs.get(jobId)!.customer) ?? 0),
   );
@@ -37,27 +37,30 @@
 }
 
 /**
- * Accepts a job, or finds the one that was accepted under the same key.
+ * Creates a job, or returns the existing one with the same id or key.
  *
  * @param draft draft of the running command
  * @param command the job
  */
 export function $createJob(draft: LedgerDraft, command: Command<'createJob'>): LedgerAnswer {
-  const known = knownJob(draft, command);
-  if (known !== undefined) {
-    return known.content === command.content
-      ? {jobId: known.id, kind: 'job', resent: true}
-      : refusal('keyReused', `the key was used for job ${known.id} with other content`);
+  const existing = findExistingJob(draft, command);
+  if (existing !== undefined) {
+    return existing.content === command.content
+      ? {jobId: existing.id, kind: 'job', resent: true}
+      : refusal(
+          'keyReused',
+          `the key was already used for job ${existing.id} with different content`,
+        );
   }
   const file = draft.files.get(command.fileId);
   if (file === undefined || !file.sealed || file.customer !== command.customer) {
-    return refusal('notFound', `no file ${command.fileId}`);
+    return refusal('notFound', `file ${command.fileId} does not exist`);
   }
-  $admitCustomer(draft, command.customer);
+  $raiseServed(draft, command.customer);
   const job: LedgerJob = {
     chunks: List(Array.from({length: file.chunks.size}, () => QUEUED)),
     content: command.content,
-    counts: NO_ENDS,
+    counts: ZERO_COUNTS,
     createdAt: command.now,
     cursor: 0,
     customer: command.customer,
@@ -85,21 +88,21 @@
 }
 
 /**
- * Cancels a job: nothing of it starts again, and what is open ends here.
+ * Cancels a job: revokes its leases and ends all open items as `cancelled`.
  *
  * @param draft draft of the running command
- * @param command the job and who cancels
+ * @param command the job and the requester
  */
 export function $cancelJob(draft: LedgerDraft, command: Command<'cancelJob'>): LedgerAnswer {
   const job = draft.jobs.get(command.jobId);
   if (job === undefined || (command.customer !== null && job.customer !== command.customer)) {
-    return refusal('notFound', `no job ${command.jobId}`);
+    return refusal('notFound', `job ${command.jobId} does not exist`);
   }
   if (job.status === 'cancelled') {
     return {jobId: job.id, kind: 'job', resent: true};
   }
   if (job.status === 'completed') {
-    return refusal('alreadyFinal', `job ${job.id} has completed`);
+    return refusal('alreadyFinal', `job ${job.id} is already completed`);
   }
   $revokeLeases(draft, job);
   const open = job.items - finalItems(job.counts);
--- a/packages/stallpaddle-ledger/src/LedgerLeases.ts
+++ b/packages/stallpaddle-ledger/src/LedgerLeases.ts
@@ -1,5 +1,5 @@
 /**
- * Chunks in VMs' hands: grants, reports, expiry. An item's first end stands.
+ * Leases on chunks: grants, reports and expiry. An item's first final status is kept.
  */
 import {invariant} from 'stallpaddle';
 
@@ -34,7 +34,7 @@
 type Command<Type> = Extract<LedgerCommand, {type: Type}>;
 type LeasedState = Extract<ChunkState, {kind: 'leased'}>;
 
-/** Positions of items in `lineless`: chunk number times this, plus the item's. */
+/** Stride between chunks in the positions of `lineless`; a stored format. */
 export const LINELESS_CHUNK_STRIDE = 256;
 
 function fileChunk(draft: LedgerDraft, job: LedgerJob, chunk: number): FileChunk {
@@ -86,28 +86,28 @@
 }
 
 /**
- * Hands out chunks.
+ * Grants leases on queued chunks until the requested number of items is reached.
  *
  * @param draft draft of the running command
- * @param command who asks, for which models and how much
+ * @param command the requesting VM, its models and the number of items
  */
 export function $lease(draft: LedgerDraft, command: Command<'lease'>): LedgerAnswer {
   const chunks: LeasedChunk[] = [];
-  let room = command.maxItems;
-  while (room > 0) {
+  let remaining = command.maxItems;
+  while (remaining > 0) {
     const job = pickJob(draft, command.models, command.now);
     if (job === undefined) {
       break;
     }
     const granted = $grantChunk(draft, job, command);
     chunks.push(granted);
-    room -= granted.items.length;
+    remaining -= granted.items.length;
   }
   return {chunks, kind: 'leased'};
 }
 
-/** The job and chunk that a lease stands for, when the token is still the chunk's. */
-function leasedBy(
+/** Finds the chunk that a token holds; undefined when the lease is no longer valid. */
+function findHeldChunk(
   draft: LedgerDraft,
   token: LeaseToken,
 ): {readonly chunk: number; readonly job: LedgerJob; readonly state: LeasedState} | undefined {
@@ -120,7 +120,7 @@
   return {chunk: lease!.chunk, job, state};
 }
 
-/** Puts a chunk back: ended when nothing is open, else queued. */
+/** Ends a chunk's lease and queues the chunk again unless all its items are final. */
 function $returnChunk(
   draft: LedgerDraft,
   job: LedgerJob,
@@ -141,9 +141,7 @@
   $putJob(draft, completeWhenDone(changed, now));
 }
 
-/**
- * Started items of a job that must not repeat have an unknown end once their VM gave up the chunk.
- */
+/** Ends started items as `mayHaveRun`: once their lease has ended, whether they ran is unknown. */
 function endStarted(job: LedgerJob, chunk: number, items: Uint8Array): LedgerJob {
   let next = job;
   for (let item = 0; item < items.length; item++) {
@@ -156,13 +154,13 @@
   return next;
 }
 
-interface GatheredLines {
+interface ResultLines {
   readonly errors: string[];
   readonly outputs: string[];
 }
 
-/** How a reported item ends now, or undefined when it stays open. */
-function endOf(
+/** Records a loss or return of an item. Returns the item's final status, or undefined when it stays open. */
+function applyItemReport(
   items: Uint8Array,
   report: ChunkReport['items'][number],
   job: LedgerJob,
@@ -180,20 +178,20 @@
   return addLoss(items, report.item) >= MAX_ITEM_LOSSES ? 'failed' : undefined;
 }
 
-function $takeItems(
+function $applyItemReports(
   draft: LedgerDraft,
   job: LedgerJob,
   report: ChunkReport,
   items: Uint8Array,
-): {readonly job: LedgerJob; readonly lines: GatheredLines} {
-  const lines: GatheredLines = {errors: [], outputs: []};
+): {readonly job: LedgerJob; readonly lines: ResultLines} {
+  const lines: ResultLines = {errors: [], outputs: []};
   let {counts} = job;
   for (const entry of report.items) {
     if (!(entry.item in items) || isFinal(itemStatus(items, entry.item))) {
       draft.counters = {...draft.counters, doubledResults: draft.counters.doubledResults + 1};
       continue;
     }
-    const end = endOf(items, entry, job);
+    const end = applyItemReport(items, entry, job);
     if (end !== undefined) {
       setStatus(items, entry.item, end);
       counts = addCount(counts, end, 1);
@@ -203,20 +201,20 @@
   return {job: {...job, counts}, lines};
 }
 
-function $placeLines(draft: LedgerDraft, job: LedgerJob, lines: GatheredLines): LedgerJob {
-  const place = (group: readonly string[], known: LedgerJob['outputs']): LedgerJob['outputs'] =>
+function $storeLines(draft: LedgerDraft, job: LedgerJob, lines: ResultLines): LedgerJob {
+  const store = (group: readonly string[], known: LedgerJob['outputs']): LedgerJob['outputs'] =>
     group.length === 0
       ? known
       : known.push($placeBlob(draft, Buffer.from(`${group.join('\n')}\n`)));
   return {
     ...job,
-    errors: place(lines.errors, job.errors),
-    outputs: place(lines.outputs, job.outputs),
+    errors: store(lines.errors, job.errors),
+    outputs: store(lines.outputs, job.outputs),
   };
 }
 
-function $takeReport(draft: LedgerDraft, report: ChunkReport, now: number): boolean {
-  const held = leasedBy(draft, report.token);
+function $applyChunkReport(draft: LedgerDraft, report: ChunkReport, now: number): boolean {
+  const held = findHeldChunk(draft, report.token);
   if (held === undefined || held.job.id !== report.jobId || held.chunk !== report.chunk) {
     const lateResults = draft.counters.lateResults + report.items.length;
     draft.counters = {...draft.counters, lateResults};
@@ -224,8 +222,8 @@
   }
   const count = fileChunk(draft, held.job, held.chunk).items;
   const items = copyItems(held.state.items, count);
-  const taken = $takeItems(draft, held.job, report, items);
-  const job = $placeLines(draft, taken.job, taken.lines);
+  const applied = $applyItemReports(draft, held.job, report, items);
+  const job = $storeLines(draft, applied.job, applied.lines);
   if (report.release) {
     $returnChunk(draft, endStarted(job, held.chunk, items), held.chunk, report.token, items, now);
   } else if (openCount(items, count) === 0) {
@@ -238,7 +236,7 @@
 }
 
 /**
- * Takes in results, returns and renewals of one VM.
+ * Applies a VM's results, releases and lease renewals.
  *
  * @param draft draft of the running command
  * @param command the VM's report
@@ -246,7 +244,7 @@
 export function $report(draft: LedgerDraft, command: Command<'report'>): LedgerAnswer {
   const revoked: LeaseToken[] = [];
   for (const report of command.reports) {
-    if (!$takeReport(draft, report, command.now)) {
+    if (!$applyChunkReport(draft, report, command.now)) {
       revoked.push(report.token);
     }
   }
@@ -263,20 +261,20 @@
 }
 
 /**
- * Records that items of a job that must not repeat are about to be sent.
+ * Records that items of a non-repeatable job are about to be sent to an engine.
  *
  * @param draft draft of the running command
  * @param command lease and items
- * @returns the items that may be sent; none without the lease
+ * @returns the items that may be sent; none when the lease is no longer valid
  */
 export function $startItems(draft: LedgerDraft, command: Command<'startItems'>): LedgerAnswer {
-  const held = leasedBy(draft, command.token);
+  const held = findHeldChunk(draft, command.token);
   if (held === undefined) {
     return {items: [], kind: 'started'};
   }
   const count = fileChunk(draft, held.job, held.chunk).items;
   const items = copyItems(held.state.items, count);
-  // A resent start finds its items started already: only the lease's holder asks for them.
+  // Items that are already started are included: only the lease holder asks, so this is a resent command.
   const started = command.items.filter(
     (item) => item in items && !isFinal(itemStatus(items, item)),
   );
@@ -287,10 +285,10 @@
 }
 
 /**
- * Whether any lease has run out; an `expire` command is worth its place in the log only then.
+ * Whether any lease has expired, so that an `expire` command is needed.
  *
  * @param state the shard
- * @param aheadMs time that no command has counted yet, in milliseconds
+ * @param aheadMs time since the last command, in milliseconds
  */
 export function hasExpiredLeases(state: LedgerState, aheadMs: number): boolean {
   const at = state.clockMs + aheadMs;
@@ -298,7 +296,7 @@
 }
 
 /**
- * Takes chunks back from VMs that did not renew.
+ * Ends leases that were not renewed in time and queues their chunks again.
  *
  * @param draft draft of the running command
  * @param now time of the command
@@ -309,7 +307,7 @@
     if (lease.until > at) {
       continue;
     }
-    const held = leasedBy(draft, token);
+    const held = findHeldChunk(draft, token);
     if (held === undefined) {
       draft.leases = draft.leases.remove(token);
       continue;
@@ -322,10 +320,10 @@
 }
 
 /**
- * Drops all leases of a job.
+ * Removes all leases of a job.
  *
  * @param draft draft of the running command
- * @param job a job whose chunks are about to end
+ * @param job a job that is about to end
  */
 export function $revokeLeases(draft: LedgerDraft, job: LedgerJob): void {
   for (const state of job.chunks) {
--- a/packages/stallpaddle-ledger/src/LedgerOrder.ts
+++ b/packages/stallpaddle-ledger/src/LedgerOrder.ts
@@ -1,16 +1,16 @@
 /**
- * Which job gives the next chunk: urgent ones by slack, else the customer served least.
+ * Order in which jobs get leases: urgent jobs by slack, others by the least served customer.
  */
 import type {LedgerJob, LedgerState} from './LedgerTypes';
 
 import {URGENT_SLACK_MS} from './LedgerConstants';
 import {finalItems} from './LedgerDraft';
 
-/** Time that an open item is reckoned with when slack is estimated, in milliseconds. */
+/** Assumed run time of an open item in estimates of slack, in milliseconds. */
 const ITEM_ESTIMATE_MS = 20;
 
 /**
- * Time left after the job's open items, were they run at the estimated pace.
+ * Estimated time between the end of a job's open items and its due time.
  *
  * @param job a job
  * @param now time of the command
@@ -27,7 +27,7 @@
   readonly slackMs: number;
 }
 
-function goesBefore(a: Candidate, b: Candidate): boolean {
+function hasPriority(a: Candidate, b: Candidate): boolean {
   const urgent = a.slackMs < URGENT_SLACK_MS || b.slackMs < URGENT_SLACK_MS;
   if (urgent || a.served === b.served) {
     return a.slackMs < b.slackMs || (a.slackMs === b.slackMs && a.job.id < b.job.id);
@@ -36,10 +36,10 @@
 }
 
 /**
- * Picks the job that gives the next chunk.
+ * Picks the job whose chunk is leased next.
  *
  * @param state the shard
- * @param models models that the asking VM can serve
+ * @param models models that the requesting VM can serve
  * @param now time of the command
  */
 export function pickJob(
@@ -53,7 +53,7 @@
       const job = state.jobs.get(jobId)!;
       const served = state.served.get(job.customer) ?? 0;
       const candidate = {job, served, slackMs: jobSlackMs(job, now)};
-      if (best === undefined || goesBefore(candidate, best)) {
+      if (best === undefined || hasPriority(candidate, best)) {
         best = candidate;
       }
     }
--- a/packages/stallpaddle-ledger/src/LedgerQueries.ts
+++ b/packages/stallpaddle-ledger/src/LedgerQueries.ts
@@ -1,5 +1,5 @@
 /**
- * What may be asked of a shard. Answers hold plain data only.
+ * Read-only queries on a shard. Replies hold plain data only.
  */
 import type {CustomerId} from 'stallpaddle';
 import type {BlobRef} from 'stallpaddle-storage';
@@ -21,7 +21,7 @@
 import {LINELESS_CHUNK_STRIDE} from './LedgerLeases';
 import {customerKey} from './LedgerUtils';
 
-/** Questions to a shard. A null customer stands for an operator. */
+/** A query to a shard. A null customer stands for an operator. */
 export type LedgerQuery =
   | {readonly customer: CustomerId | null; readonly fileId: string; readonly type: 'file'}
   | {readonly customer: CustomerId | null; readonly jobId: string; readonly type: 'job'}
@@ -65,15 +65,15 @@
   readonly status: JobStatus;
 }
 
-/** Where a job's lines lie. */
+/** Blobs that hold a job's result and error lines. */
 export interface JobRefs {
   readonly errors: readonly BlobRef[];
-  /** Items that may have run and have no line: their input says which they are. */
+  /** Items that ended as `mayHaveRun` without an error line, located by their input. */
   readonly lineless: readonly {readonly input: BlobRef; readonly item: number}[];
   readonly outputs: readonly BlobRef[];
 }
 
-/** Answers; undefined data means that there is none, or that it is another customer's. */
+/** Reply to a query; data is undefined when it does not exist or belongs to another customer. */
 export type LedgerReply =
   | {readonly call: CallRecord | undefined; readonly type: 'call'}
   | {
@@ -137,24 +137,24 @@
 }
 
 /**
- * Answers a question.
+ * Runs a query.
  *
  * @param state the shard
- * @param query the question
+ * @param query the query
  */
 export function queryLedger(state: LedgerState, query: LedgerQuery): LedgerReply {
-  const may = (owner: CustomerId): boolean =>
+  const isVisible = (owner: CustomerId): boolean =>
     !('customer' in query) || query.customer === null || query.customer === owner;
   const findJob = (jobId: string): LedgerJob | undefined => {
     const job = state.jobs.get(jobId);
-    return job !== undefined && may(job.customer) ? job : undefined;
+    return job !== undefined && isVisible(job.customer) ? job : undefined;
   };
   switch (query.type) {
     case 'call':
       return {call: state.calls.get(customerKey(query.customer, query.key)), type: 'call'};
     case 'file': {
       const file = state.files.get(query.fileId);
-      const found = file !== undefined && file.sealed && may(file.customer);
+      const found = file !== undefined && file.sealed && isVisible(file.customer);
       return {
         chunks: found ? file.chunks.toArray() : [],
         file: found ? fileView(file) : undefined,
@@ -162,7 +162,9 @@
       };
     }
     case 'files': {
-      const files = [...state.files.values()].filter((file) => file.sealed && may(file.customer));
+      const files = [...state.files.values()].filter(
+        (file) => file.sealed && isVisible(file.customer),
+      );
       return {files: files.map(fileView), type: 'files'};
     }
     case 'job': {
@@ -174,7 +176,7 @@
       return {refs: job && jobRefs(state, job), type: 'jobRefs'};
     }
     case 'jobs': {
-      const jobs = [...state.jobs.values()].filter((job) => may(job.customer));
+      const jobs = [...state.jobs.values()].filter((job) => isVisible(job.customer));
       return {jobs: jobs.map(jobView), type: 'jobs'};
     }
     case 'summary':
--- a/packages/stallpaddle-ledger/src/LedgerShard.ts
+++ b/packages/stallpaddle-ledger/src/LedgerShard.ts
@@ -1,5 +1,5 @@
 /**
- * A ledger shard as a pure state machine: one command in, the next state and an answer out.
+ * A ledger shard as a pure, replicated state machine.
  */
 import type {MachineResult, ReplicaMachine} from 'stallpaddle-replication';
 
@@ -24,7 +24,7 @@
 import {$cancelJob, $createJob} from './LedgerJobs';
 import {$expireLeases, $lease, $report, $startItems} from './LedgerLeases';
 
-/** A shard that holds nothing. */
+/** State of an empty shard. */
 export const EMPTY_LEDGER: LedgerState = {
   blobEnd: 0,
   calls: ImmutableMap<string, CallRecord>(),
@@ -46,7 +46,7 @@
   return {kind: 'ok'};
 }
 
-function $run(draft: LedgerDraft, command: LedgerCommand): LedgerAnswer {
+function $applyCommand(draft: LedgerDraft, command: LedgerCommand): LedgerAnswer {
   switch (command.type) {
     case 'appendFile':
       return $appendFile(draft, command);
@@ -79,8 +79,8 @@
  * Applies one command.
  *
  * @param state current state
- * @param command what to change
- * @param elapsedMs time since the command before it, in milliseconds
+ * @param command the command
+ * @param elapsedMs time since the previous command, in milliseconds
  */
 export function updateLedger(
   state: LedgerState,
@@ -89,14 +89,14 @@
 ): MachineResult<LedgerState> & {readonly result: LedgerAnswer} {
   const draft = createDraft(state);
   $advanceClock(draft, elapsedMs);
-  const result = $run(draft, command);
+  const result = $applyCommand(draft, command);
   return {blobs: draft.placed, result, state: finishDraft(draft)};
 }
 
 interface EncodedLedger {
   readonly blobEnd: number;
   readonly calls: readonly (readonly [string, CallRecord])[];
-  /** Missing in snapshots of releases that counted no time. */
+  /** Missing in snapshots of releases without a shard clock. */
   readonly clockMs?: number;
   readonly counters: LedgerState['counters'];
   readonly files: readonly unknown[];
@@ -133,7 +133,7 @@
   readonly [Key in keyof T]: T[Key] extends List<infer Item> ? readonly Item[] : T[Key];
 };
 
-/** Snapshots of releases that counted no time hold no `openUntil`: an upload ran out by its `createdAt`. */
+/** Snapshots of releases without a shard clock hold no `openUntil`; it is derived from `createdAt`. */
 type EncodedFile = Omit<Plain<LedgerFile>, 'openUntil'> & Partial<Pick<LedgerFile, 'openUntil'>>;
 
 function decodeLedger(bytes: Uint8Array): LedgerState {
@@ -171,7 +171,7 @@
   };
 }
 
-/** The shard as a replicated state machine. */
+/** Adapts the shard to the replication interface, with its encoding of commands and snapshots. */
 export const ledgerMachine: ReplicaMachine<LedgerState> = {
   apply: (state, command, elapsedMs) =>
     updateLedger(state, decodeValue<LedgerCommand>(command), elapsedMs),
--- a/packages/stallpaddle-ledger/src/LedgerTypes.ts
+++ b/packages/stallpaddle-ledger/src/LedgerTypes.ts
@@ -6,19 +6,19 @@
 import type {GroupMs} from 'stallpaddle-replication';
 import type {BlobRef} from 'stallpaddle-storage';
 
-/** Milliseconds since 1970, as the proposing VM saw them. */
+/** Wall-clock time of the proposing VM, in milliseconds since 1970. */
 export type WallMs = number;
-/** Fencing number of a chunk's lease; rises with each grant. */
+/** Fencing token of a chunk's lease; increases with each grant. */
 export type LeaseToken = number;
 
-/** A run of consecutive items of a file. */
+/** Consecutive items of a file, stored as one blob. */
 export interface FileChunk {
   readonly items: number;
   /** The items' input lines, separated by newlines. */
   readonly ref: BlobRef;
 }
 
-/** An uploaded file. Until it is sealed it was not accepted. */
+/** An uploaded file. Jobs can use it only once it is sealed. */
 export interface LedgerFile {
   readonly bytes: number;
   readonly chunks: List<FileChunk>;
@@ -29,22 +29,22 @@
   readonly filename: string;
   readonly id: string;
   readonly items: number;
-  /** Model that every item names. */
+  /** Model that all items request. */
   readonly model: string;
-  /** When the upload is forgotten unless it was sealed before. */
+  /** When the upload is dropped unless it has been sealed. */
   readonly openUntil: GroupMs;
   readonly sealed: boolean;
 }
 
-/** How an item ended; the first end stands. */
+/** Final status of an item. The first one recorded is kept. */
 export type ItemEnd = 'cancelled' | 'done' | 'failed' | 'mayHaveRun';
 
-/** Items by how they ended. */
+/** Number of items by final status. */
 export type ItemCounts = Readonly<Record<ItemEnd, number>>;
 
 /**
- * State of a chunk's items: one byte each, in which the low four bits hold the status and the high
- * four bits count engine losses with the item in flight. Null while all of them are untouched.
+ * State of a chunk's items, one byte per item: the low four bits hold the status, the high four bits count engine
+ * losses while the item was running. Null while no item has been touched.
  */
 export type ItemBytes = Uint8Array | null;
 
@@ -54,55 +54,55 @@
   | {readonly items: ItemBytes; readonly kind: 'queued'}
   | {readonly kind: 'ended'};
 
-/** What a job does at present; all but `running` are final. */
+/** Status of a job; all but `running` are final. */
 export type JobStatus = 'cancelled' | 'completed' | 'running';
 
 /** A batch job. */
 export interface LedgerJob {
   /** Empty once the job is final. */
   readonly chunks: List<ChunkState>;
-  /** SHA-256 of what the job asks for; tells a resent job from another one. */
+  /** SHA-256 of the job's request; distinguishes a resent request from a different one under the same key. */
   readonly content: string;
   readonly counts: ItemCounts;
   readonly createdAt: WallMs;
-  /** First chunk that may be queued. */
+  /** No chunk before this one is queued. */
   readonly cursor: number;
   readonly customer: CustomerId;
   readonly dueAt: WallMs;
   readonly endedAt: WallMs | null;
   readonly endpoint: string;
-  /** Groups of error lines. */
+  /** Blobs of error lines. */
   readonly errors: List<BlobRef>;
   readonly fileId: string;
   readonly id: string;
   readonly items: number;
   readonly key: string | null;
-  /** Items that ended as `mayHaveRun` without a line, as `chunk * 256 + item`. */
+  /** Items that ended as `mayHaveRun` without an error line, as `chunk * 256 + item`. */
   readonly lineless: List<number>;
   readonly metadata: Readonly<Record<string, string>>;
   readonly model: string;
-  /** Groups of result lines. */
+  /** Blobs of result lines. */
   readonly outputs: List<BlobRef>;
-  /** Chunks that wait for a lease. */
+  /** Number of chunks that wait for a lease. */
   readonly queuedChunks: number;
   readonly repeatable: boolean;
   readonly status: JobStatus;
 }
 
-/** A chunk in a VM's hands. */
+/** A VM's lease on a chunk. */
 export interface ChunkLease {
   readonly chunk: number;
   readonly jobId: string;
-  /** When the chunk is taken back unless the lease was renewed before. */
+  /** When the lease expires unless it is renewed. */
   readonly until: GroupMs;
   readonly vm: VmId;
 }
 
-/** A call that must not run twice, or whose answer is kept for a resend. */
+/** A call that must not run twice: started, or ended with a response that is kept for resent calls. */
 export type CallRecord =
   | {
       readonly at: WallMs;
-      /** Tells a resent start from a second one. */
+      /** Identifies the attempt, so that a resent start is not mistaken for a second one. */
       readonly attempt: string;
       readonly content: string;
       readonly kind: 'started';
@@ -116,60 +116,60 @@
       readonly status: number;
     };
 
-/** Events that operators watch. */
+/** Event counters for operators. */
 export interface LedgerCounters {
-  /** Results for items that were final already. */
+  /** Results for items that were already final. */
   readonly doubledResults: number;
   readonly expiredLeases: number;
-  /** Results under a lease that is no longer the chunk's. */
+  /** Results reported under a lease that no longer holds the chunk. */
   readonly lateResults: number;
 }
 
-/** Everything a shard knows. */
+/** State of a shard. */
 export interface LedgerState {
   readonly blobEnd: number;
   readonly calls: ImmutableMap<string, CallRecord>;
-  /** 0 until a command has counted time. */
+  /** Time on the shard's clock; 0 until the first command with elapsed time. */
   readonly clockMs: GroupMs;
   readonly counters: LedgerCounters;
   readonly files: ImmutableMap<string, LedgerFile>;
   readonly jobs: ImmutableMap<string, LedgerJob>;
-  /** Jobs by customer and key. */
+  /** Job ids by customer and key. */
   readonly keys: ImmutableMap<string, string>;
   readonly leases: ImmutableMap<LeaseToken, ChunkLease>;
   readonly nextToken: LeaseToken;
   /** Jobs with queued chunks, by model. */
   readonly runnable: ImmutableMap<string, ImmutableSet<string>>;
-  /** Items leased so far, by customer; a new customer starts at the smallest. */
+  /** Items leased so far, by customer. A new job raises its customer to the lowest count among runnable jobs. */
   readonly served: ImmutableMap<CustomerId, number>;
 }
 
-/** What became of one item at an engine. */
+/** Result of one item at an engine. */
 export interface ItemReport {
   readonly item: number;
   /**
-   * `lost`: the engine went with the item in flight; `line` is kept if that was once too often.
-   * `returned`: no engine saw the item; `line` is empty.
+   * `lost`: the engine failed while the item was running; `line` is stored only if this makes the item final.
+   * `returned`: the item was not sent to an engine; `line` is empty.
    */
   readonly kind: 'done' | 'failed' | 'lost' | 'mayHaveRun' | 'returned';
   /** Complete output or error line without its newline. */
   readonly line: string;
 }
 
-/** What a VM says of a chunk it holds. */
+/** A VM's report on a chunk that it has leased. */
 export interface ChunkReport {
   readonly chunk: number;
   readonly items: readonly ItemReport[];
   readonly jobId: string;
-  /** Give the chunk back with whatever is open. */
+  /** Release the lease; items that are not final may be leased again. */
   readonly release: boolean;
   readonly token: LeaseToken;
 }
 
-/** A chunk on its way in. */
+/** A chunk of an upload. */
 export interface UploadedChunk {
   readonly items: number;
-  /** The items' input lines, each ended by a newline. */
+  /** The items' input lines, each terminated by a newline. */
   readonly lines: Uint8Array;
 }
 
@@ -179,7 +179,7 @@
       readonly chunks: readonly UploadedChunk[];
       readonly customer: CustomerId;
       readonly fileId: string;
-      /** Number of the first of these chunks, from 0; a resent part is taken once. */
+      /** Index of the first of these chunks, from 0; resent chunks are ignored. */
       readonly firstChunk: number;
       readonly model: string;
       readonly now: WallMs;
@@ -192,7 +192,7 @@
       readonly fileId: string;
       readonly filename: string;
       readonly now: WallMs;
-      /** Number of chunks that the upload has. */
+      /** Number of chunks in the upload. */
       readonly size: number;
       readonly type: 'sealFile';
     }
@@ -220,14 +220,14 @@
       readonly leaseMs: number;
       readonly maxItems: number;
       readonly models: readonly string[];
-      /** Tells which jobs are nearly due; their due times are times of day. */
+      /** Wall-clock time that is compared with the jobs' due times. */
       readonly now: WallMs;
       readonly type: 'lease';
       readonly vm: VmId;
     }
   | {
       readonly leaseMs: number;
-      /** When jobs end that end by this report. */
+      /** End time of jobs that this report completes. */
       readonly now: WallMs;
       readonly renew: readonly LeaseToken[];
       readonly reports: readonly ChunkReport[];
@@ -239,7 +239,7 @@
       readonly token: LeaseToken;
       readonly type: 'startItems';
     }
-  /** `now`: when jobs end that end by this, and by which old records are dropped; leases have the shard's clock. */
+  /** `now`: end time of jobs that this completes, and what the age of call records is measured by. */
   | {readonly now: WallMs; readonly type: 'expire'}
   | {
       readonly attempt: string;
@@ -260,13 +260,13 @@
     }
   | {readonly customer: CustomerId; readonly key: string; readonly type: 'dropCall'};
 
-/** A chunk as handed to a VM. */
+/** A chunk as leased to a VM. */
 export interface LeasedChunk {
   readonly chunk: number;
   readonly customer: CustomerId;
   readonly endpoint: string;
   readonly input: BlobRef;
-  /** Items still open, with their losses so far. */
+  /** Items that are not final, with their engine losses so far. */
   readonly items: readonly {readonly item: number; readonly losses: number}[];
   readonly jobId: string;
   readonly model: string;
@@ -289,5 +289,5 @@
   | {readonly items: readonly number[]; readonly kind: 'started'}
   | {readonly jobId: string; readonly kind: 'job'; readonly resent: boolean}
   | {readonly kind: 'ok'}
-  /** `revoked`: leases that are no longer the VM's; their work must stop. */
+  /** `revoked`: leases that the VM no longer holds; it must stop working on them. */
   | {readonly kind: 'reported'; readonly revoked: readonly LeaseToken[]};
--- a/packages/stallpaddle-ledger/src/LedgerUtils.ts
+++ b/packages/stallpaddle-ledger/src/LedgerUtils.ts
@@ -1,5 +1,5 @@
 /**
- * Small helpers of the ledger.
+ * Refusals, customer keys and the mapping of customers to shards.
  */
 import type {CustomerId} from 'stallpaddle';
 
@@ -12,26 +12,26 @@
 /**
  * Builds a refusal.
  *
- * @param code stable reason
- * @param message one sentence for a person
+ * @param code stable, machine-readable reason
+ * @param message human-readable reason
  */
 export function refusal(code: LedgerRefusal['code'], message: string): LedgerRefusal {
   return {code, kind: 'refused', message};
 }
 
 /**
- * Name under which a customer's key is kept; two customers' equal keys never meet.
+ * Map key for a customer's key; equal keys of two customers stay distinct.
  *
- * @param customer who sent the key
- * @param key as sent
+ * @param customer customer that sent the key
+ * @param key key as sent
  */
 export function customerKey(customer: CustomerId, key: string): string {
   return `${customer}\u0000${key}`;
 }
 
 /**
- * The shard that holds a customer's files, jobs and calls. All of a customer's are in one shard, so
- * that a key is compared in one place.
+ * Index of the shard that holds a customer's files, jobs and calls. One shard holds all of them, so that a key can be
+ * checked for reuse there.
  *
  * @param customer the customer
  * @param shards number of shards
--- a/packages/stallpaddle-ledger/src/index.ts
+++ b/packages/stallpaddle-ledger/src/index.ts
@@ -1,4 +1,4 @@
-/** Ledger of batch jobs and non-repeatable calls: each item exactly one answer. */
+/** Replicated ledger of batch jobs and of calls that must not run twice. Each item gets exactly one final status. */
 export {CHUNK_BYTES, CHUNK_ITEMS, LEDGER_BUCKETS, MAX_ITEM_LOSSES} from './LedgerConstants';
 export {finalItems} from './LedgerDraft';
 export {hasExpiredLeases} from './LedgerLeases';
