--- a/packages/stallpaddle-ledger/src/__tests__/unit/LedgerShard.test.ts
+++ b/packages/stallpaddle-ledger/src/__tests__/unit/LedgerShard.test.ts
@@ -4,8 +4,8 @@
 import {describe, expect, test} from 'vitest';
 
 /**
- * The ledger beside its naive version, under resends, late and doubled reports, expiry, cancels and
- * restarts from a snapshot.
+ * Compares the ledger with its reference model under resent commands, late and duplicate reports, expiry, cancellation
+ * and restarts from a snapshot.
  */
 import type {LeasedChunk, LedgerAnswer, LedgerCommand, LedgerState} from '../../LedgerTypes';
 
@@ -16,20 +16,20 @@
 
 const CUSTOMERS = ['ana', 'bea'] as const;
 const LEASE_MS = 100;
-/** How far VMs' times of day are from real time, in milliseconds: one after the other. */
+/** Offsets of the VMs' wall clocks from real time, in milliseconds, used in turn. */
 const SKEWS_MS = [0, 600_000, -600_000, 5_000] as const;
 
-/** The real ledger behind its replicated form, with the bulk data it wrote. */
+/** The ledger behind its replication interface, with the blobs that it wrote. */
 class LedgerUnderTest {
   readonly blobs = new Map<number, Uint8Array>();
   /** Real time, in milliseconds. */
   now = 0;
   state: LedgerState = EMPTY_LEDGER;
-  private countedUntil = 0;
+  private lastCommandAt = 0;
 
   apply(command: LedgerCommand): LedgerAnswer {
-    const elapsedMs = this.now - this.countedUntil;
-    this.countedUntil = this.now;
+    const elapsedMs = this.now - this.lastCommandAt;
+    this.lastCommandAt = this.now;
     const {blobs, result, state} = ledgerMachine.apply(this.state, encodeValue(command), elapsedMs);
     this.state = state;
     blobs.forEach(({payload, ref}) => this.blobs.set(ref.offset, payload));
@@ -136,12 +136,12 @@
 
 type Step = typeof step extends fc.Arbitrary<infer T> ? T : never;
 
-/** Runs one step on both ledgers and compares what they answered. */
+/** Runs steps on the ledger and its reference model, and compares their answers and states. */
 class Comparison {
   readonly naive = new NaiveLedger();
   readonly real = new LedgerUnderTest();
   private created = 0;
-  private said = 0;
+  private commandsSent = 0;
   private readonly tokens: {
     readonly chunk: number;
     readonly jobId: string;
@@ -149,7 +149,7 @@
   }[] = [];
 
   constructor() {
-    // Without any time counted the ledger replays entries of earlier releases.
+    // At 0 the ledger would use the wall clocks, as it does for entries of releases without a shard clock.
     this.real.now = 1;
   }
 
@@ -157,9 +157,9 @@
     return this.real.now;
   }
 
-  /** Time of day of the VM that sends the next command; the VMs disagree. */
+  /** Wall-clock time of the VM that sends the next command; the VMs' clocks differ. */
   private wallMs(): number {
-    return this.now + SKEWS_MS[this.said++ % SKEWS_MS.length]!;
+    return this.now + SKEWS_MS[this.commandsSent++ % SKEWS_MS.length]!;
   }
 
   run(next: Step): void {
@@ -202,7 +202,7 @@
     this.compare();
   }
 
-  /** Leases and ends whatever is left. */
+  /** Leases and completes all remaining items. */
   finish(): void {
     for (let round = 0; round < 200; round++) {
       this.real.now += LEASE_MS * 2;
@@ -244,8 +244,8 @@
       repeatable,
     });
     const answer = this.real.apply(command);
-    const wanted = this.naive.create(command, chunks);
-    expect(answer.kind === 'job' ? answer.jobId : answer.kind).toBe(wanted);
+    const expected = this.naive.create(command, chunks);
+    expect(answer.kind === 'job' ? answer.jobId : answer.kind).toBe(expected);
   }
 
   private lease(vm: string, most: number): void {
@@ -301,13 +301,13 @@
       type: 'report',
       vm,
     });
-    const taken = this.naive.report(report);
+    const accepted = this.naive.report(report);
     const lease = this.naive.leases.get(token);
     const renewed = renew && lease !== undefined;
     if (renewed) {
       lease.until = Math.max(lease.until, this.now + LEASE_MS);
     }
-    const revoked = [...(taken ? [] : [token]), ...(renew && !renewed ? [token] : [])];
+    const revoked = [...(accepted ? [] : [token]), ...(renew && !renewed ? [token] : [])];
     expect(answer).toEqual({kind: 'reported', revoked});
   }
 
@@ -338,7 +338,7 @@
 
 describe('updateLedger', () => {
   test(
-    'does as its naive version does, and every item ends exactly once',
+    'matches its reference model, and ends every item exactly once',
     async () => {
       const property = fc.property(
         fc.array(step, {maxLength: 80, minLength: 10, size: 'max'}),
@@ -353,7 +353,7 @@
     fuzzTimeoutMs(),
   );
 
-  test('refuses a key with other content, and keeps customers apart', () => {
+  test('refuses a reused key with different content, and separates the keys and files of customers', () => {
     const ledger = new LedgerUnderTest();
     ledger.upload('file', 'ana', [1], 0);
     ledger.upload('bea-file', 'bea', [1], 0);
@@ -363,14 +363,21 @@
     expect(ledger.apply({...first, content: 'other', jobId: 'three'})).toMatchObject({
       code: 'keyReused',
     });
-    const stranger = createCommand({customer: 'bea', fileId: 'bea-file', jobId: 'four', key: 'k'});
-    expect(ledger.apply(stranger)).toMatchObject({jobId: 'four', resent: false});
-    expect(ledger.apply({...stranger, fileId: 'file', jobId: 'five', key: null})).toMatchObject({
+    const otherCustomer = createCommand({
+      customer: 'bea',
+      fileId: 'bea-file',
+      jobId: 'four',
+      key: 'k',
+    });
+    expect(ledger.apply(otherCustomer)).toMatchObject({jobId: 'four', resent: false});
+    expect(
+      ledger.apply({...otherCustomer, fileId: 'file', jobId: 'five', key: null}),
+    ).toMatchObject({
       code: 'notFound',
     });
   });
 
-  test('does not accept an upload that broke off, and lets its key be used again', () => {
+  test('refuses a job on an unsealed upload without using up its key, and drops the upload after a timeout', () => {
     const ledger = new LedgerUnderTest();
     ledger.now = 1;
     const part = {customer: 'ana', fileId: 'file', model: 'm', now: 0, type: 'appendFile' as const};
@@ -389,7 +396,7 @@
     expect(ledger.apply(createCommand({fileId: 'again', key: 'k'}))).toMatchObject({kind: 'job'});
   });
 
-  test('serves the customer that was served least, but first what is nearly due', () => {
+  test('leases to the least served customer, but urgent jobs first', () => {
     const ledger = new LedgerUnderTest();
     const far = 100_000_000;
     ledger.upload(
@@ -424,7 +431,7 @@
     expect([lease(), lease()]).toEqual(['due', 'due']);
   });
 
-  test('runs a call that must not repeat once, and gives a resend the first answer', () => {
+  test('starts a call that must not run twice only once, and answers resent calls with the first response', () => {
     const ledger = new LedgerUnderTest();
     const call = {content: 'c', customer: 'ana', key: 'k', now: 0};
     const start = {...call, attempt: '1', type: 'startCall' as const};
@@ -447,11 +454,11 @@
   });
 });
 
-/** Time of day of a VM, in milliseconds since 1970, and of one that is ten minutes ahead of it. */
+/** Wall-clock times of two VMs, in milliseconds since 1970; the second is ten minutes ahead. */
 const SLOW_MS = 1_790_000_000_000;
 const FAST_MS = SLOW_MS + 600_000;
 
-/** A ledger with a job of three chunks that must not be repeated, time counted. */
+/** A ledger with a non-repeatable job of three chunks, whose shard clock runs unless `now` is 0. */
 function ledgerWithJob(now = 1): LedgerUnderTest {
   const ledger = new LedgerUnderTest();
   ledger.now = now;
@@ -461,7 +468,7 @@
 }
 
 describe('leases', () => {
-  test('to a VM whose time of day is behind are not taken back early', () => {
+  test('of a VM whose wall clock is behind do not expire early', () => {
     const ledger = ledgerWithJob();
     const {token} = ledger.lease('slow', SLOW_MS)!;
     ledger.apply({items: [0], token, type: 'startItems'});
@@ -475,7 +482,7 @@
     expect(ledger.state.jobs.get('job')!.counts.mayHaveRun).toBe(1);
   });
 
-  test('to a VM whose time of day is ahead are not kept long', () => {
+  test('of a VM whose wall clock is ahead do not expire late', () => {
     const ledger = ledgerWithJob();
     ledger.lease('fast', FAST_MS);
     ledger.now += LEASE_MS;
@@ -483,7 +490,7 @@
     expect(ledger.state.leases.size).toBe(0);
   });
 
-  test('are renewed for a full lease time, whatever the time of day says', () => {
+  test('are renewed for a full lease time, whatever the wall clocks say', () => {
     const ledger = ledgerWithJob();
     const {token} = ledger.lease('vm', SLOW_MS)!;
     const renewal = {leaseMs: LEASE_MS, renew: [token], reports: [], type: 'report', vm: 'vm'};
@@ -498,7 +505,7 @@
     expect(ledger.state.leases.has(token)).toBe(false);
   });
 
-  test('that have run out are seen before a command counts the time', () => {
+  test('that have expired are detected before the next command advances the clock', () => {
     const ledger = ledgerWithJob();
     ledger.lease('vm', SLOW_MS);
     ledger.restart();
@@ -506,7 +513,7 @@
     expect(hasExpiredLeases(ledger.state, LEASE_MS)).toBe(true);
   });
 
-  test('of releases that counted no time replay as they ran, then run out by the clock', () => {
+  test('of releases without a shard clock replay by wall clock, then expire by the shard clock', () => {
     const ledger = ledgerWithJob(0);
     ledger.lease('a', SLOW_MS);
     ledger.apply({now: SLOW_MS + LEASE_MS - 1, type: 'expire'});
@@ -533,7 +540,7 @@
 });
 
 describe('records', () => {
-  test('of an upload that goes on last their time, whatever the time of day says', () => {
+  test('of an unsealed upload are kept until its timeout, whatever the wall clocks say', () => {
     const ledger = new LedgerUnderTest();
     ledger.now = 1;
     const chunks = [{items: 1, lines: Buffer.from('a\n')}];
@@ -548,7 +555,7 @@
     expect(ledger.state.files.has('file')).toBe(false);
   });
 
-  test('of an upload that an earlier release took in get a fresh time', () => {
+  test('of an unsealed upload of a release without a shard clock get the full timeout again', () => {
     const ledger = new LedgerUnderTest();
     const chunks = [{items: 1, lines: Buffer.from('a\n')}];
     const part = {chunks, customer: 'ana', fileId: 'file', firstChunk: 0, model: 'm'};
--- a/packages/stallpaddle-ledger/src/__tests__/unit/NaiveLedger.ts
+++ b/packages/stallpaddle-ledger/src/__tests__/unit/NaiveLedger.ts
@@ -1,6 +1,5 @@
 /**
- * The ledger in its simplest form: one record an item, no chunks' packing, no cursors, no indexes.
- * Slow and plain, to compare the real one with.
+ * Reference model of the ledger for randomized tests.
  */
 import type {ItemEnd, LedgerCommand} from '../../LedgerTypes';
 
@@ -27,7 +26,7 @@
   readonly vm: string;
 }
 
-/** See the module's comment. */
+/** Keeps one plain record per item, without packing, cursors or indexes, to compare the real ledger with. */
 export class NaiveLedger {
   readonly jobs = new Map<string, NaiveJob>();
   readonly keys = new Map<string, {readonly content: string; readonly jobId: string}>();
@@ -36,9 +35,9 @@
   /** Adds a job whose file has chunks of the given sizes. */
   create(command: Extract<LedgerCommand, {type: 'createJob'}>, chunks: readonly number[]): string {
     const name = `${command.customer}/${command.key}`;
-    const known = command.key === null ? undefined : this.keys.get(name);
-    if (known !== undefined) {
-      return known.content === command.content ? known.jobId : 'refused';
+    const existing = command.key === null ? undefined : this.keys.get(name);
+    if (existing !== undefined) {
+      return existing.content === command.content ? existing.jobId : 'refused';
     }
     const items = chunks.flatMap((count, chunk) =>
       Array.from({length: count}, (_, item) => ({
@@ -58,7 +57,7 @@
     return jobId;
   }
 
-  /** Notes a lease that the real ledger granted, and checks that it was free to. */
+  /** Records a lease that the real ledger granted; returns whether it was allowed to grant it. */
   grant(jobId: string, chunk: number, token: number, vm: string, until: number): boolean {
     const job = this.jobs.get(jobId)!;
     const held = [...this.leases.values()].some(
@@ -70,7 +69,7 @@
     return !held && open && fresh && !job.cancelled;
   }
 
-  /** Applies one report of a chunk; false when the lease is no longer the chunk's. */
+  /** Applies a chunk report; returns false when the lease is no longer valid. */
   report(report: Extract<LedgerCommand, {type: 'report'}>['reports'][number]): boolean {
     const lease = this.leases.get(report.token);
     if (lease === undefined || lease.jobId !== report.jobId || lease.chunk !== report.chunk) {
@@ -101,12 +100,12 @@
       }
     }
     if (report.release || items.every(({end}) => end !== null)) {
-      this.giveBack(report.token);
+      this.endLease(report.token);
     }
     return true;
   }
 
-  /** Notes that items are about to be sent. */
+  /** Marks items as started; returns those that may be sent. */
   start(token: number, items: readonly number[]): readonly number[] {
     const lease = this.leases.get(token);
     if (lease === undefined) {
@@ -121,16 +120,15 @@
     return items.filter((item) => found.some((one) => one.item === item));
   }
 
-  /** Takes back every lease that has run out. */
+  /** Ends every expired lease. */
   expire(now: number): void {
     for (const [token, lease] of this.leases) {
       if (lease.until <= now) {
-        this.giveBack(token);
+        this.endLease(token);
       }
     }
   }
 
-  /** Cancels a job. */
   cancel(jobId: string): void {
     const job = this.jobs.get(jobId);
     if (job === undefined || job.cancelled || job.items.every(({end}) => end !== null)) {
@@ -153,7 +151,7 @@
     return this.jobs.get(jobId)!.items.filter((item) => item.chunk === chunk);
   }
 
-  private giveBack(token: number): void {
+  private endLease(token: number): void {
     const {chunk, jobId} = this.leases.get(token)!;
     this.leases.delete(token);
     for (const item of this.itemsOf(jobId, chunk)) {
