--- a/packages/stallpaddle-ledger/src/__tests__/unit/LedgerShard.test.ts
+++ b/packages/stallpaddle-ledger/src/__tests__/unit/LedgerShard.test.ts
@@ -1,12 +1,12 @@
+/**
+ * Compares the ledger with its reference model under resent commands, late and duplicate reports, expiry, cancellation
+ * and restarts from a snapshot.
+ */
 import fc from 'fast-check';
 import {decodeValue, encodeValue} from 'stallpaddle';
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-/**
- * Compares the ledger with its reference model under resent commands, late and duplicate reports, expiry, cancellation
- * and restarts from a snapshot.
- */
 import type {LeasedChunk, LedgerAnswer, LedgerCommand, LedgerState} from '../../LedgerTypes';
 
 import {CALL_RECORD_TTL_MS, LEGACY_LEASE_MS, UPLOAD_TIMEOUT_MS} from '../../LedgerConstants';
