--- a/packages/stallpaddle-routing/src/RoutingBatch.ts
+++ b/packages/stallpaddle-routing/src/RoutingBatch.ts
@@ -1,5 +1,5 @@
 /**
- * How much batch work an engine's owner may run on it, and what gives way in a burst.
+ * Limits on the batch work of an engine, and which batch streams are preempted for online requests.
  */
 import type {EngineId, MonotonicMs, VmId} from 'stallpaddle';
 
@@ -11,29 +11,29 @@
 import {onlineStreams} from './RoutingView';
 
 /**
- * The VM that places all batch work on an engine. When a VM goes, only its engines change hands.
+ * The VM that places all batch work on an engine. When a VM leaves, only its own engines get a new owner.
  *
  * @param engine the engine
- * @param vms VMs that are live and stay
+ * @param vms live VMs that are not draining
  */
 export function ownerOf(engine: EngineId, vms: readonly VmId[]): VmId | undefined {
   return rendezvousOwner(engine, vms);
 }
 
-/** How many batch streams an engine's owner may have there. */
+/** Limits on the batch streams that an engine's owner runs there. */
 export interface BatchAllowance {
-  /** More than these must go. */
+  /** Streams above this number are cancelled. */
   readonly keep: number;
-  /** New ones are started up to here; at most `keep`. */
+  /** New streams are started up to this number; at most `keep`. */
   readonly start: number;
 }
 
 const NO_BATCH: BatchAllowance = {keep: 0, start: 0};
 
 /**
- * Batch streams that the owner may have on an engine now: every slot that online requests leave. No
- * slot is held in reserve, for the owner is told of each online request as it is sent and cancels
- * a batch stream for it.
+ * Batch streams that the owner may run on an engine: one for every slot without an online request. No slots are
+ * reserved, because each online request is reported to the owner as it is sent, and the owner cancels a batch stream
+ * for it.
  *
  * @param state the owner's view
  * @param engine the engine
@@ -52,27 +52,27 @@
   if (now < view.quarantinedUntil || now - view.loadAt > LOAD_STALE_MS) {
     return {keep, start: 0};
   }
-  // An engine that fails gets one stream at a time until one succeeds.
+  // A failing engine gets one stream at a time until one succeeds.
   if (view.failures > 0) {
     return {keep, start: Math.min(1, keep)};
   }
   return {keep, start: keep};
 }
 
-/** A batch stream that runs on an engine. */
+/** A batch stream running on an engine. */
 export interface BatchStream {
   readonly id: string;
-  /** Whether it may be cancelled and repeated. */
+  /** Whether the stream may be cancelled and run again. */
   readonly repeatable: boolean;
   readonly startedAt: MonotonicMs;
 }
 
 /**
- * The streams to cancel so that no more than the allowance run: latest started first, as they are
- * the cheapest to repeat. Streams that must not repeat stay.
+ * Selects the streams to cancel to meet the allowance: the latest started first, because repeating them costs least.
+ * Non-repeatable streams are never cancelled.
  *
  * @param streams batch streams on one engine
- * @param allowance streams that may stay
+ * @param allowance maximum number of streams
  */
 export function streamsToCancel(
   streams: readonly BatchStream[],
--- a/packages/stallpaddle-routing/src/RoutingPlacement.ts
+++ b/packages/stallpaddle-routing/src/RoutingPlacement.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses the engine for an online request: affinity bounded by load, else the better of two.
+ * Chooses the engine for an online request: by prefix affinity if load permits, else the cheaper of two random engines.
  */
 import type {MonotonicMs, Random} from 'stallpaddle';
 
@@ -18,30 +18,31 @@
 import {onlineStreams} from './RoutingView';
 
 interface Candidate {
-  /** Time that one more stream costs, relative to the other candidates. */
+  /** Relative cost of one more stream: the fill level, scaled by the engine's slowness. */
   readonly cost: number;
+  /** Fraction of the slots in use with one more stream. */
   readonly fill: number;
   readonly view: EngineView;
 }
 
 function canServe(view: EngineView, req: PlacementRequest): boolean {
   const {engine, role} = view.setup;
-  const answersOnline = role === 'all' || role === 'online';
-  return answersOnline && !req.excluded.includes(engine) && view.load.weights.includes(req.weights);
+  const servesOnline = role === 'all' || role === 'online';
+  return servesOnline && !req.excluded.includes(engine) && view.load.weights.includes(req.weights);
 }
 
 function isUsable(view: EngineView, now: MonotonicMs): boolean {
-  // While quarantined, one request at a time tries whether the engine is back.
+  // After a failure, one request at a time probes the engine until one succeeds.
   return now >= view.quarantinedUntil && (view.failures === 0 || view.ownOnline === 0);
 }
 
-/** Online streams that an engine takes at most: its slots and a short queue. */
+/** Maximum number of online streams on an engine: its slots and a short queue. */
 function streamLimit(view: EngineView): number {
   return Math.ceil(view.setup.slots * (1 + ENGINE_QUEUE_FRACTION));
 }
 
 /**
- * Median of the engines' time between tokens, in milliseconds; 0 when none is known.
+ * Median time between tokens over the engines, in milliseconds; 0 when none is known.
  *
  * @param views engines to compare
  */
@@ -54,7 +55,7 @@
 }
 
 /**
- * How many times slower an engine is than the median; at least 1.
+ * Ratio of an engine's time between tokens to the median; at least 1.
  *
  * @param view the engine
  * @param median median time between tokens, in milliseconds
@@ -73,11 +74,11 @@
   });
 }
 
-function better(a: Candidate, b: Candidate): Candidate {
+function cheaper(a: Candidate, b: Candidate): Candidate {
   return a.cost <= b.cost ? a : b;
 }
 
-function affineCandidate(all: readonly Candidate[], affinity: string): Candidate | undefined {
+function affinityCandidate(all: readonly Candidate[], affinity: string): Candidate | undefined {
   const mean = all.reduce((sum, {cost}) => sum + cost, 0) / all.length;
   const order = rendezvousOrder(
     affinity,
@@ -89,19 +90,19 @@
     .find(({cost, fill}) => fill <= 1 && cost <= mean * AFFINITY_LOAD_FACTOR);
 }
 
-function ofTwo(all: readonly Candidate[], random: Random): Candidate {
+function cheaperOfTwo(all: readonly Candidate[], random: Random): Candidate {
   const first = all[Math.floor(random() * all.length)]!;
   const second = all[Math.floor(random() * all.length)]!;
-  return better(first, second);
+  return cheaper(first, second);
 }
 
 /**
- * Places an online request.
+ * Selects an engine for an online request.
  *
  * @param state this VM's view of the engines
  * @param req the request
  * @param now monotonic time
- * @param random source of the second choice
+ * @param random random source for choosing two engines
  */
 export function placeOnline(
   state: RoutingState,
@@ -115,8 +116,8 @@
     .filter((view) => canServe(view, req));
   const usable = serving.filter((view) => isUsable(view, now));
   if (usable.length === 0) {
-    const back = Math.min(...serving.map((view) => view.quarantinedUntil - now));
-    const retryAfterMs = Number.isFinite(back) ? Math.max(back, 100) : NO_ENGINE_RETRY_MS;
+    const soonestMs = Math.min(...serving.map((view) => view.quarantinedUntil - now));
+    const retryAfterMs = Number.isFinite(soonestMs) ? Math.max(soonestMs, 100) : NO_ENGINE_RETRY_MS;
     return {kind: 'noEngine', retryAfterMs};
   }
   const free = usable.filter((view) => onlineStreams(view) < streamLimit(view));
@@ -124,6 +125,6 @@
     return {kind: 'full', retryAfterMs: FULL_RETRY_MS};
   }
   const all = candidates(free);
-  const chosen = affineCandidate(all, req.affinity) ?? ofTwo(all, random);
+  const chosen = affinityCandidate(all, req.affinity) ?? cheaperOfTwo(all, random);
   return {engine: chosen.view.setup.engine, kind: 'engine'};
 }
--- a/packages/stallpaddle-routing/src/RoutingQueue.ts
+++ b/packages/stallpaddle-routing/src/RoutingQueue.ts
@@ -1,9 +1,9 @@
 /**
- * Bounded queue of online requests that shares fairly between customers. Pure.
+ * Bounded queue of online requests with weighted fair sharing between customers. All functions are pure.
  */
 import type {CustomerId, MonotonicMs} from 'stallpaddle';
 
-/** A request that waits. */
+/** A waiting request. */
 export interface QueuedRequest {
   readonly customer: CustomerId;
   readonly deadlineAt: MonotonicMs;
@@ -12,28 +12,28 @@
   readonly weight: number;
 }
 
-/** A queue with the service that each waiting customer has had. */
+/** Waiting requests, and the service that their customers have received. */
 export interface FairQueue {
   readonly requests: readonly QueuedRequest[];
   /** Requests served divided by weight, for customers with requests in the queue. */
   readonly served: ReadonlyMap<CustomerId, number>;
 }
 
-/** A queue in which nobody waits. */
+/** A queue without requests. */
 export const EMPTY_QUEUE: FairQueue = {requests: [], served: new Map()};
 
-/** Outcome of joining. */
+/** Outcome of adding a request; `full` names the waiting request that was dropped for it. */
 export type EnqueueResult =
   | {readonly kind: 'full'; readonly victim: QueuedRequest; readonly queue: FairQueue}
   | {readonly kind: 'joined'; readonly queue: FairQueue}
   | {readonly kind: 'refused'};
 
-function waitingOf(queue: FairQueue, customer: CustomerId): number {
+function waitingCount(queue: FairQueue, customer: CustomerId): number {
   return queue.requests.filter((req) => req.customer === customer).length;
 }
 
 function withRequest(queue: FairQueue, req: QueuedRequest): FairQueue {
-  // A customer that comes anew starts level with the least served, not with old credit.
+  // A customer without waiting requests starts at the lowest count, so that it gains no credit for its idle time.
   const least = queue.served.size === 0 ? 0 : Math.min(...queue.served.values());
   const served = new Map(queue.served);
   served.set(req.customer, Math.max(served.get(req.customer) ?? least, least));
@@ -48,27 +48,28 @@
 }
 
 /**
- * Adds a request. In a full queue the customer with the most requests by weight gives up its newest
- * one, so that one customer's flood never shuts the others out.
+ * Adds a request. When the queue is full, the customer with the most requests by weight loses its newest one, so that
+ * no customer can block the others by filling the queue. The request is refused when its own customer would have at
+ * least as many.
  *
- * @param queue present queue
+ * @param queue current queue
  * @param req the request
- * @param capacity most requests that may wait
+ * @param capacity maximum number of waiting requests
  */
 export function enqueue(queue: FairQueue, req: QueuedRequest, capacity: number): EnqueueResult {
   if (queue.requests.length < capacity) {
     return {kind: 'joined', queue: withRequest(queue, req)};
   }
-  const share = (customer: CustomerId, weight: number): number =>
-    waitingOf(queue, customer) / weight;
+  const weightedCount = (customer: CustomerId, weight: number): number =>
+    waitingCount(queue, customer) / weight;
   const heaviest = queue.requests.reduce<QueuedRequest | undefined>((most, other) => {
     const isHeavier =
       most === undefined ||
-      share(other.customer, other.weight) >= share(most.customer, most.weight);
+      weightedCount(other.customer, other.weight) >= weightedCount(most.customer, most.weight);
     return isHeavier ? other : most;
   }, undefined);
-  const own = (waitingOf(queue, req.customer) + 1) / req.weight;
-  if (heaviest === undefined || share(heaviest.customer, heaviest.weight) <= own) {
+  const own = (waitingCount(queue, req.customer) + 1) / req.weight;
+  if (heaviest === undefined || weightedCount(heaviest.customer, heaviest.weight) <= own) {
     return {kind: 'refused'};
   }
   return {
@@ -79,9 +80,9 @@
 }
 
 /**
- * Takes out the next request: of the customer served least, the one that came first.
+ * Removes and returns the oldest request of the least served customer.
  *
- * @param queue present queue
+ * @param queue current queue
  */
 export function dequeue(
   queue: FairQueue,
@@ -100,10 +101,10 @@
 }
 
 /**
- * Takes out a request that gave up.
+ * Removes a request that no longer waits.
  *
- * @param queue present queue
- * @param id the request
+ * @param queue current queue
+ * @param id the request's id
  */
 export function removeFromQueue(queue: FairQueue, id: number): FairQueue {
   return withoutRequest(queue, id);
--- a/packages/stallpaddle-routing/src/RoutingRetries.ts
+++ b/packages/stallpaddle-routing/src/RoutingRetries.ts
@@ -1,13 +1,13 @@
 /**
- * A budget for retries. Pure.
+ * Budget that limits retries to a fraction of the requests. All functions are pure.
  */
 
-/** Retries allowed so far; requests add to it, retries take from it. */
+/** Retries that are currently allowed; requests add to it and retries use it up. */
 export interface RetryBudget {
   readonly tokens: number;
 }
 
-/** Retries that each request pays for. */
+/** Retries that each request adds to the budget. */
 const RETRIES_PER_REQUEST = 0.1;
 const MAX_RETRY_TOKENS = 10;
 
@@ -15,19 +15,18 @@
 export const FULL_RETRY_BUDGET: RetryBudget = {tokens: MAX_RETRY_TOKENS};
 
 /**
- * Counts a first attempt.
+ * Adds a request's first attempt to the budget.
  *
- * @param budget present budget
+ * @param budget current budget
  */
 export function countRequest(budget: RetryBudget): RetryBudget {
   return {tokens: Math.min(MAX_RETRY_TOKENS, budget.tokens + RETRIES_PER_REQUEST)};
 }
 
 /**
- * Takes one retry, or undefined when the budget is used up: retries then would only feed the
- * overload that made them.
+ * Uses one retry; returns undefined when the budget is used up, since more retries would add to the overload.
  *
- * @param budget present budget
+ * @param budget current budget
  */
 export function takeRetry(budget: RetryBudget): RetryBudget | undefined {
   return budget.tokens >= 1 ? {tokens: budget.tokens - 1} : undefined;
--- a/packages/stallpaddle-routing/src/RoutingTypes.ts
+++ b/packages/stallpaddle-routing/src/RoutingTypes.ts
@@ -1,12 +1,13 @@
 /**
- * What a VM knows of the engines. Advisory: rebuilt within seconds, never persisted.
+ * A VM's view of the engines and the events that change it. It is approximate, kept in memory only and rebuilt after a
+ * restart.
  */
 import type {CustomerId, EngineId, MonotonicMs, VmId, ZoneId} from 'stallpaddle';
 
-/** Two kinds of work; online goes first everywhere. */
+/** Kind of work; online takes precedence over batch. */
 export type WorkClass = 'batch' | 'online';
 
-/** What an engine is set up for, from the configuration. */
+/** An engine's settings from the configuration. */
 export interface EngineSetup {
   readonly engine: EngineId;
   readonly role: 'all' | 'batch' | 'off' | 'online';
@@ -14,13 +15,13 @@
   readonly zone: ZoneId;
 }
 
-/** Load that an engine reported; it is old by the time it is read. */
+/** Load that an engine reported, some time ago. */
 export interface EngineLoad {
   readonly batch: number;
   readonly online: number;
-  /** Online requests that wait inside the engine. */
+  /** Online requests that are queued in the engine. */
   readonly queued: number;
-  /** Mean time between tokens of a stream, in milliseconds; 0 when unknown. */
+  /** Mean time between tokens of a stream, in milliseconds; 0 if unknown. */
   readonly tokenMs: number;
   readonly weights: readonly string[];
 }
@@ -31,30 +32,31 @@
   readonly delta: -1 | 1;
 }
 
-/** Online streams that another VM has on an engine, as it told the engine's owner. */
+/** Number of online streams on an engine that another VM reported to the engine's owner. */
 export interface ReportedStreams {
   readonly at: MonotonicMs;
   readonly online: number;
 }
 
-/** Everything known of one engine. */
+/** A VM's view of one engine. */
 export interface EngineView {
-  /** Failures in a row; a success ends the row. */
+  /** Consecutive failures; a success resets it. */
   readonly failures: number;
   readonly load: EngineLoad;
-  /** When the load was true, on this VM's clock; -Infinity before the first report. */
+  /** When the load was measured, on this VM's clock; -Infinity before the first report. */
   readonly loadAt: MonotonicMs;
-  /** Batch streams of this VM that run on the engine. */
+  /** Batch streams that this VM runs on the engine. */
   readonly ownBatch: number;
+  /** Online streams that this VM runs on the engine. */
   readonly ownOnline: number;
-  /** Until then the engine gets at most one request at a time. */
+  /** Until then no online requests and no new batch streams are placed on the engine. */
   readonly quarantinedUntil: MonotonicMs;
-  /** Online streams that this VM started or ended since the load was true. */
+  /** Online streams that this VM started or ended since the load was measured. */
   readonly recent: readonly StreamChange[];
   readonly setup: EngineSetup;
-  /** What other VMs told this one, as the engine's owner, by VM. */
+  /** Online streams that other VMs reported to this one as the engine's owner, by VM. */
   readonly reported: ReadonlyMap<VmId, ReportedStreams>;
-  /** Mean time between tokens as this VM measured, in milliseconds; 0 when unknown. */
+  /** Mean time between tokens as measured by this VM, in milliseconds; 0 if unknown. */
   readonly tokenMs: number;
 }
 
@@ -66,7 +68,7 @@
 /** How a request at an engine ended. */
 export type EngineOutcome = 'cancelled' | 'failed' | 'succeeded';
 
-/** What changes a view. */
+/** An event that changes a VM's view. */
 export type RoutingEvent =
   | {readonly kind: 'configured'; readonly setups: readonly EngineSetup[]}
   | {
@@ -82,25 +84,25 @@
       readonly engine: EngineId;
       readonly kind: 'ended';
       readonly outcome: EngineOutcome;
-      /** Measured time between tokens, in milliseconds; 0 when unknown. */
+      /** Measured time between tokens, in milliseconds; 0 if unknown. */
       readonly tokenMs: number;
       readonly work: WorkClass;
     };
 
-/** An online request as far as placement needs it. */
+/** The properties of an online request that decide its placement. */
 export interface PlacementRequest {
-  /** Same for requests that share a prompt prefix and a customer. */
+  /** Equal for requests of one customer with the same prompt prefix. */
   readonly affinity: string;
   readonly customer: CustomerId;
-  /** Engines that this request has failed on. */
+  /** Engines on which this request has failed. */
   readonly excluded: readonly EngineId[];
-  /** Engines that the configuration names for the model version. */
+  /** Engines that the configuration assigns to the model version. */
   readonly serving: readonly EngineId[];
   readonly weights: string;
   readonly zone: ZoneId;
 }
 
-/** Where a request goes, or when to come back. */
+/** The engine for a request, or when to retry. */
 export type Placement =
   | {readonly engine: EngineId; readonly kind: 'engine'}
   | {readonly kind: 'full'; readonly retryAfterMs: number}
--- a/packages/stallpaddle-routing/src/RoutingView.ts
+++ b/packages/stallpaddle-routing/src/RoutingView.ts
@@ -28,7 +28,7 @@
 
 const NO_LOAD: EngineLoad = {batch: 0, online: 0, queued: 0, tokenMs: 0, weights: []};
 
-/** A view that knows no engine. */
+/** A view without engines. */
 export const EMPTY_ROUTING: RoutingState = {engines: new Map()};
 
 function newView(setup: EngineSetup): EngineView {
@@ -47,16 +47,16 @@
 }
 
 /**
- * Online streams on an engine by the best estimate. Other VMs tell an engine's owner their exact
- * counts; without such word, the report counts, corrected by what this VM started and ended since.
+ * Estimated number of online streams on an engine. The owner has exact counts reported by the other VMs. Without them,
+ * the engine's load report is used, adjusted by the streams that this VM has started and ended since.
  *
  * @param view an engine
  */
 export function onlineStreams(view: EngineView): number {
-  const {load, ownOnline, recent, reported: told} = view;
-  if (told.size > 0) {
-    const others = [...told.values()].reduce((sum, {online}) => sum + online, 0);
-    // Online requests that wait beside batch work show that some count was lost.
+  const {load, ownOnline, recent, reported} = view;
+  if (reported.size > 0) {
+    const others = [...reported.values()].reduce((sum, {online}) => sum + online, 0);
+    // Online requests queued behind batch work mean that some VM's report was lost.
     return ownOnline + others + (load.batch > 0 ? load.queued : 0);
   }
   const since = recent.reduce((sum, {delta}) => sum + delta, 0);
@@ -76,27 +76,30 @@
   return {engines: new Map(state.engines).set(view.setup.engine, view)};
 }
 
-function hearLoad(
+function applyLoad(
   view: EngineView,
   load: EngineLoad,
   at: MonotonicMs,
   now: MonotonicMs,
 ): EngineView {
-  // An older report than the one known says nothing new.
+  // Load reports can arrive out of order.
   if (at <= view.loadAt) {
     return view;
   }
-  // What was sent just before may have been under way when the load was taken.
+  // Requests sent just before the load was measured may not have reached the engine yet.
   const recent = view.recent.filter((change) => change.at > at - REQUEST_TRANSIT_MS);
-  return {...view, load, loadAt: at, recent, reported: withoutOld(view.reported, now)};
+  return {...view, load, loadAt: at, recent, reported: withoutExpired(view.reported, now)};
 }
 
-function withoutOld(told: EngineView['reported'], now: MonotonicMs): EngineView['reported'] {
-  const kept = [...told].filter(([, {at}]) => now - at < REPORTED_STREAMS_TTL_MS);
-  return kept.length === told.size ? told : new Map(kept);
+function withoutExpired(
+  reported: EngineView['reported'],
+  now: MonotonicMs,
+): EngineView['reported'] {
+  const valid = [...reported].filter(([, {at}]) => now - at < REPORTED_STREAMS_TTL_MS);
+  return valid.length === reported.size ? reported : new Map(valid);
 }
 
-function hearTold(view: EngineView, vm: VmId, online: number, now: MonotonicMs): EngineView {
+function applyReport(view: EngineView, vm: VmId, online: number, now: MonotonicMs): EngineView {
   return {...view, reported: new Map(view.reported).set(vm, {at: now, online})};
 }
 
@@ -104,7 +107,7 @@
   return {...view, recent: [...view.recent, {at, delta}].slice(-MAX_RECENT_CHANGES)};
 }
 
-function start(view: EngineView, work: WorkClass, now: MonotonicMs): EngineView {
+function recordStart(view: EngineView, work: WorkClass, now: MonotonicMs): EngineView {
   return work === 'online'
     ? {...withChange(view, now, 1), ownOnline: view.ownOnline + 1}
     : {...view, ownBatch: view.ownBatch + 1};
@@ -115,12 +118,12 @@
   return doublings < 0 ? 0 : Math.min(MAX_QUARANTINE_MS, QUARANTINE_MS * 2 ** doublings);
 }
 
-function fail(view: EngineView, now: MonotonicMs): EngineView {
+function recordFailure(view: EngineView, now: MonotonicMs): EngineView {
   const failures = view.failures + 1;
   return {...view, failures, quarantinedUntil: now + quarantineMs(failures)};
 }
 
-function end(
+function recordEnd(
   view: EngineView,
   work: WorkClass,
   outcome: EngineOutcome,
@@ -135,7 +138,7 @@
     case 'cancelled':
       return counted;
     case 'failed':
-      return fail(counted, now);
+      return recordFailure(counted, now);
     case 'succeeded': {
       const known = view.tokenMs === 0 ? tokenMs : view.tokenMs;
       const smoothed = tokenMs === 0 ? known : known + SMOOTHING * (tokenMs - known);
@@ -146,32 +149,32 @@
   }
 }
 
-function stepEngine(
+function updateEngine(
   view: EngineView,
   event: Exclude<RoutingEvent, {kind: 'configured'}>,
   now: MonotonicMs,
 ): EngineView {
   switch (event.kind) {
     case 'ended':
-      return end(view, event.work, event.outcome, event.tokenMs, now);
+      return recordEnd(view, event.work, event.outcome, event.tokenMs, now);
     case 'loadHeard':
-      return hearLoad(view, event.load, now - event.ageMs, now);
+      return applyLoad(view, event.load, now - event.ageMs, now);
     case 'started':
-      return start(view, event.work, now);
+      return recordStart(view, event.work, now);
     case 'told':
-      return hearTold(view, event.vm, event.online, now);
+      return applyReport(view, event.vm, event.online, now);
     case 'unreachable':
-      return fail(view, now);
+      return recordFailure(view, now);
     default:
       return unreachable(event);
   }
 }
 
 /**
- * Takes in one event.
+ * Applies one event to the view.
  *
  * @param state current view
- * @param event what happened
+ * @param event the event
  * @param now monotonic time
  */
 export function stepRouting(
@@ -186,5 +189,5 @@
   if (view === undefined) {
     return state;
   }
-  return withEngine(state, stepEngine(view, event, now));
+  return withEngine(state, updateEngine(view, event, now));
 }
--- a/packages/stallpaddle-routing/src/__tests__/unit/RoutingPlacement.test.ts
+++ b/packages/stallpaddle-routing/src/__tests__/unit/RoutingPlacement.test.ts
@@ -1,11 +1,11 @@
+/**
+ * Checks the invariants of placement, engine ownership and batch allowances.
+ */
 import fc from 'fast-check';
 import {seededRandom} from 'stallpaddle';
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-/**
- * Placement, ownership and batch allowance: what must hold of each decision.
- */
 import type {EngineLoad, PlacementRequest, RoutingEvent, RoutingState} from '../../RoutingTypes';
 
 import {batchAllowance, ownerOf, streamsToCancel} from '../../RoutingBatch';
@@ -31,21 +31,21 @@
   };
 }
 
-function after(events: readonly RoutingEvent[], now = 0): RoutingState {
+function stateAfter(events: readonly RoutingEvent[], now = 0): RoutingState {
   const setups = ENGINES.map((engine) => ({engine, role: 'all' as const, slots: SLOTS, zone: 'z'}));
   const configured = stepRouting(EMPTY_ROUTING, {kind: 'configured', setups}, now);
   return events.reduce((state, event) => stepRouting(state, event, now), configured);
 }
 
-function heard(engine: string, changes: Partial<EngineLoad> = {}): RoutingEvent {
+function loadReport(engine: string, changes: Partial<EngineLoad> = {}): RoutingEvent {
   return {ageMs: 0, engine, kind: 'loadHeard', load: load(changes)};
 }
 
-const allHeard = ENGINES.map((engine) => heard(engine));
+const allReports = ENGINES.map((engine) => loadReport(engine));
 
 describe('placeOnline', () => {
   test(
-    'never names an engine that is excluded, off, full, quarantined or without the weights',
+    'never selects an engine that is excluded, off, full, quarantined or without the weights',
     async () => {
       const engineState = fc.record({
         failures: fc.nat({max: 4}),
@@ -65,7 +65,7 @@
           let state = stepRouting(EMPTY_ROUTING, {kind: 'configured', setups}, 0);
           states.forEach(({failures, online, weights}, index) => {
             const engine = ENGINES[index]!;
-            state = stepRouting(state, heard(engine, {online, weights}), 0);
+            state = stepRouting(state, loadReport(engine, {online, weights}), 0);
             for (let failure = 0; failure < failures; failure++) {
               state = stepRouting(state, {engine, kind: 'unreachable'}, 0);
             }
@@ -88,8 +88,8 @@
     fuzzTimeoutMs(),
   );
 
-  test('keeps a prefix with its engine while that has room, and moves little when one goes', () => {
-    const state = after(allHeard);
+  test('keeps a prefix on its engine while it has free capacity, and moves only those of a failed one', () => {
+    const state = stateAfter(allReports);
     const random = seededRandom(1);
     const keys = Array.from({length: 300}, (_, key) => `key-${key}`);
     const placeOf = (view: RoutingState, affinity: string): string => {
@@ -98,8 +98,8 @@
     };
     const before = keys.map((key) => placeOf(state, key));
     expect(keys.map((key) => placeOf(state, key))).toEqual(before);
-    const without = after([
-      ...allHeard,
+    const without = stateAfter([
+      ...allReports,
       {engine: 'e3', kind: 'unreachable'},
       {engine: 'e3', kind: 'unreachable'},
     ]);
@@ -110,8 +110,12 @@
     });
   });
 
-  test('turns away from an engine at a tenth of its speed', () => {
-    const state = after([heard('e1', {tokenMs: 100}), heard('e2'), heard('e3')]);
+  test('avoids an engine at a tenth of its speed', () => {
+    const state = stateAfter([
+      loadReport('e1', {tokenMs: 100}),
+      loadReport('e2'),
+      loadReport('e3'),
+    ]);
     const random = seededRandom(2);
     for (let key = 0; key < 200; key++) {
       const placement = placeOnline(state, request({affinity: `k${key}`}), 0, random);
@@ -119,23 +123,23 @@
     }
   });
 
-  test('tries a quarantined engine with one request at a time once the time is over', () => {
-    const failed = after([
-      heard('e1'),
+  test('probes an engine with one request at a time after its quarantine', () => {
+    const quarantined = stateAfter([
+      loadReport('e1'),
       {engine: 'e1', kind: 'unreachable'},
       {engine: 'e1', kind: 'unreachable'},
     ]);
     const only = request({serving: ['e1']});
-    expect(placeOnline(failed, only, 0, Math.random).kind).toBe('noEngine');
-    expect(placeOnline(failed, only, 600, Math.random).kind).toBe('engine');
-    const trying = stepRouting(failed, {engine: 'e1', kind: 'started', work: 'online'}, 600);
-    expect(placeOnline(trying, only, 601, Math.random).kind).toBe('noEngine');
+    expect(placeOnline(quarantined, only, 0, Math.random).kind).toBe('noEngine');
+    expect(placeOnline(quarantined, only, 600, Math.random).kind).toBe('engine');
+    const probing = stepRouting(quarantined, {engine: 'e1', kind: 'started', work: 'online'}, 600);
+    expect(placeOnline(probing, only, 601, Math.random).kind).toBe('noEngine');
   });
 });
 
 describe('batchAllowance', () => {
   test(
-    'gives every slot that online work leaves, and none of the others',
+    'allows exactly the slots that are free of online requests',
     async () => {
       const change = fc.oneof(
         fc.record({
@@ -146,8 +150,8 @@
         fc.record({kind: fc.constantFrom('start' as const, 'end' as const)}),
       );
       const property = fc.property(fc.array(change, {maxLength: 20}), (changes) => {
-        let state = after([heard('e1')]);
-        const told = new Map<string, number>();
+        let state = stateAfter([loadReport('e1')]);
+        const reported = new Map<string, number>();
         let own = 0;
         for (const item of changes) {
           switch (item.kind) {
@@ -166,7 +170,7 @@
               state = stepRouting(state, {engine: 'e1', kind: 'started', work: 'online'}, 1);
               break;
             case 'told':
-              told.set(item.vm, item.online);
+              reported.set(item.vm, item.online);
               state = stepRouting(
                 state,
                 {engine: 'e1', kind: 'told', online: item.online, vm: item.vm},
@@ -174,7 +178,7 @@
               );
               break;
           }
-          const online = own + [...told.values()].reduce((sum, one) => sum + one, 0);
+          const online = own + [...reported.values()].reduce((sum, one) => sum + one, 0);
           expect(onlineStreams(state.engines.get('e1')!)).toBe(online);
           const {keep, start} = batchAllowance(state, 'e1', 1);
           expect(keep).toBe(Math.max(0, SLOTS - online));
@@ -186,16 +190,16 @@
     fuzzTimeoutMs(),
   );
 
-  test('starts nothing on old reports, and forgets the word of a VM that is silent', () => {
-    const state = after([heard('e1'), {engine: 'e1', kind: 'told', online: 3, vm: 'v1'}]);
+  test('starts nothing on stale load reports, and drops expired counts of other VMs', () => {
+    const state = stateAfter([loadReport('e1'), {engine: 'e1', kind: 'told', online: 3, vm: 'v1'}]);
     expect(batchAllowance(state, 'e1', 10_000)).toEqual({keep: 1, start: 0});
-    const later = stepRouting(state, heard('e1'), 10_000);
+    const later = stepRouting(state, loadReport('e1'), 10_000);
     expect(batchAllowance(later, 'e1', 10_000)).toEqual({keep: 4, start: 4});
   });
 });
 
 describe('streamsToCancel', () => {
-  test('takes the latest started first, and none that must not repeat', () => {
+  test('cancels the latest started streams first, and no non-repeatable ones', () => {
     const streams = [1, 2, 3, 4].map((startedAt) => ({
       id: String(startedAt),
       repeatable: startedAt !== 4,
@@ -207,7 +211,7 @@
 });
 
 describe('ownerOf', () => {
-  test('names one owner, and changes only what a lost VM owned', () => {
+  test('changes the owner only of the engines of a lost VM, and spreads ownership', () => {
     const vms = ['v1', 'v2', 'v3', 'v4'];
     const engines = Array.from({length: 200}, (_, engine) => `e${engine}`);
     const counts = new Map<string, number>();
--- a/packages/stallpaddle-routing/src/__tests__/unit/RoutingQueue.test.ts
+++ b/packages/stallpaddle-routing/src/__tests__/unit/RoutingQueue.test.ts
@@ -1,5 +1,5 @@
 /**
- * Retries and the fair queue, beside naive versions.
+ * The fair queue, checked against a set of waiting ids, and the retry budget.
  */
 import fc from 'fast-check';
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
@@ -12,9 +12,9 @@
   return {customer, deadlineAt: 1000, id, since: 0, weight: 1};
 }
 
-describe('joinQueue and takeNext', () => {
+describe('enqueue and dequeue', () => {
   test(
-    'lose and double nobody, and stay within the capacity',
+    'neither lose nor duplicate a request, and stay within the capacity',
     async () => {
       const step = fc.oneof(
         fc.record({customer: fc.constantFrom('a', 'b', 'c'), kind: fc.constant('join' as const)}),
@@ -27,13 +27,13 @@
         steps.forEach((next, id) => {
           switch (next.kind) {
             case 'join': {
-              const joined = enqueue(queue, entry(id, next.customer), 5);
-              if (joined.kind !== 'refused') {
-                queue = joined.queue;
+              const result = enqueue(queue, entry(id, next.customer), 5);
+              if (result.kind !== 'refused') {
+                queue = result.queue;
                 waiting.add(id);
               }
-              if (joined.kind === 'full') {
-                expect(waiting.delete(joined.victim.id)).toBe(true);
+              if (result.kind === 'full') {
+                expect(waiting.delete(result.victim.id)).toBe(true);
               }
               break;
             }
@@ -60,7 +60,7 @@
     fuzzTimeoutMs(),
   );
 
-  test('serve a customer with one request before the flood of another', () => {
+  test('serve a customer with one request ahead of a customer that fills the queue', () => {
     let queue = EMPTY_QUEUE;
     for (let id = 0; id < 10; id++) {
       const joined = enqueue(queue, entry(id, 'flood'), 10);
@@ -78,7 +78,7 @@
 });
 
 describe('takeRetry', () => {
-  test('allows a tenth of the requests to be retried, and a small store', () => {
+  test('allows retries for a tenth of the requests, plus a small burst', () => {
     let budget = FULL_RETRY_BUDGET;
     let retries = 0;
     for (let request = 0; request < 1000; request++) {
--- a/packages/stallpaddle-routing/src/index.ts
+++ b/packages/stallpaddle-routing/src/index.ts
@@ -1,4 +1,4 @@
-/** Routing policy: placement, batch filling, retries. Pure decisions only. */
+/** Routing policy for online and batch work: placement, queueing, batch limits and retries. All functions are pure. */
 export {
   type BatchAllowance,
   batchAllowance,
