--- a/packages/stallpaddle-routing/src/RoutingTypes.ts
+++ b/packages/stallpaddle-routing/src/RoutingTypes.ts
@@ -15,7 +15,7 @@
   readonly zone: ZoneId;
 }
 
-/** Load that an engine reported, some time ago. */
+/** Load that an engine reported; possibly outdated. */
 export interface EngineLoad {
   readonly batch: number;
   readonly online: number;
