--- a/packages/stallpaddle-routing/src/RoutingBatch.ts
+++ b/packages/stallpaddle-routing/src/RoutingBatch.ts
@@ -14,7 +14,7 @@
  * The VM that places all batch work on an engine. When a VM leaves, only its own engines get a new owner.
  *
  * @param engine the engine
- * @param vms live VMs that are not draining
+ * @param vms live VMs that are not leaving
  */
 export function ownerOf(engine: EngineId, vms: readonly VmId[]): VmId | undefined {
   return rendezvousOwner(engine, vms);
