--- a/packages/stallpaddle-experiment/src/ExperimentCurrent.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentCurrent.ts
@@ -7,16 +7,16 @@
 import {
   batchAllowance,
   countRequest,
+  dequeue,
   EMPTY_QUEUE,
   EMPTY_ROUTING,
+  enqueue,
   FULL_RETRY_BUDGET,
-  joinQueue,
   onlineStreams,
   ownerOf,
   placeOnline,
   stepRouting,
   streamsToCancel,
-  takeNext,
   takeRetry,
 } from 'stallpaddle-routing';
 
@@ -121,7 +121,7 @@
     const {now} = this.policy.fleet.clock;
     const id = this.nextId++;
     const entry = {customer, deadlineAt: now + 60_000, id, since: now, weight: 1};
-    const joined = joinQueue(this.queue, entry, QUEUE_CAPACITY);
+    const joined = enqueue(this.queue, entry, QUEUE_CAPACITY);
     if (joined.kind === 'refused') {
       this.policy.comeBack(req, RETRY_AFTER_MS);
       return;
@@ -136,7 +136,7 @@
   }
 
   private wake(): void {
-    const next = takeNext(this.queue);
+    const next = dequeue(this.queue);
     if (next !== undefined) {
       this.queue = next.queue;
       const req = this.waiting.get(next.req.id)!;
--- a/packages/stallpaddle-gateway/src/GatewayQueue.ts
+++ b/packages/stallpaddle-gateway/src/GatewayQueue.ts
@@ -4,7 +4,7 @@
 import type {CustomerId, MonotonicMs, RefusalError} from 'stallpaddle';
 
 import {refuse} from 'stallpaddle';
-import {EMPTY_QUEUE, joinQueue, leaveQueue, takeNext} from 'stallpaddle-routing';
+import {dequeue, EMPTY_QUEUE, enqueue, removeFromQueue} from 'stallpaddle-routing';
 
 import type {GatewayContext} from './GatewayContext';
 
@@ -54,7 +54,7 @@
     const since = this.context.clock.monotonicMs();
     const id = this.nextId++;
     const request = {customer, deadlineAt, id, since, weight};
-    const joined = joinQueue(this.queue, request, this.context.limits.queuedRequests);
+    const joined = enqueue(this.queue, request, this.context.limits.queuedRequests);
     if (joined.kind === 'refused') {
       return Promise.reject(this.overloaded());
     }
@@ -72,7 +72,7 @@
   /** Lets the next request look for room. */
   wake(): void {
     this.refuseLate();
-    const next = takeNext(this.queue);
+    const next = dequeue(this.queue);
     if (next !== undefined) {
       this.queue = next.queue;
       this.settle(next.req.id)?.resolve();
@@ -81,14 +81,14 @@
   }
 
   private giveUp(id: number): void {
-    this.queue = leaveQueue(this.queue, id);
+    this.queue = removeFromQueue(this.queue, id);
     this.settle(id)?.reject(refuse('deadlineExceeded', 'the caller has gone'));
   }
 
   private refuseLate(): void {
     const now = this.context.clock.monotonicMs();
     for (const late of this.queue.requests.filter((req) => req.deadlineAt <= now)) {
-      this.queue = leaveQueue(this.queue, late.id);
+      this.queue = removeFromQueue(this.queue, late.id);
       const refusal = refuse('deadlineExceeded', 'no engine had room in time', {
         retryAfterMs: LEAST_RETRY_MS,
       });
--- a/packages/stallpaddle-ledger/src/LedgerFiles.ts
+++ b/packages/stallpaddle-ledger/src/LedgerFiles.ts
@@ -1,5 +1,5 @@
 /**
- * Uploads: read in part by part, accepted only when sealed.
+ * File uploads: received in parts, and usable by jobs once sealed.
  */
 import {List} from 'immutable';
 
@@ -7,8 +7,8 @@
 import type {FileChunk, LedgerAnswer, LedgerCommand, LedgerFile} from './LedgerTypes';
 
 import {expiryNow} from './LedgerClock';
-import {OPEN_FILE_MS} from './LedgerConstants';
-import {$place} from './LedgerDraft';
+import {UPLOAD_TIMEOUT_MS} from './LedgerConstants';
+import {$placeBlob} from './LedgerDraft';
 import {refusal} from './LedgerUtils';
 
 type Command<Type> = Extract<LedgerCommand, {type: Type}>;
@@ -24,13 +24,13 @@
     id: command.fileId,
     items: 0,
     model: command.model,
-    openUntil: expiryNow(draft, command.now) + OPEN_FILE_MS,
+    openUntil: expiryNow(draft, command.now) + UPLOAD_TIMEOUT_MS,
     sealed: false,
   };
 }
 
 /**
- * Takes one part of an upload; a resent part is taken once.
+ * Appends one part of an upload; ignores a resent part.
  *
  * @param draft draft of the running command
  * @param command the part
@@ -46,9 +46,9 @@
     return {kind: 'ok'};
   }
   if (file.sealed || firstChunk !== file.chunks.size) {
-    return refusal('conflict', `chunk ${firstChunk} does not follow those before it`);
+    return refusal('conflict', `chunk ${firstChunk} does not follow the last received chunk`);
   }
-  const added = chunks.map(({items, lines}) => ({items, ref: $place(draft, lines)}));
+  const added = chunks.map(({items, lines}) => ({items, ref: $placeBlob(draft, lines)}));
   draft.files = draft.files.set(file.id, {
     ...file,
     chunks: file.chunks.concat(added),
@@ -58,15 +58,15 @@
 }
 
 /**
- * Accepts an upload whose parts have all arrived.
+ * Seals an upload whose parts have all arrived.
  *
  * @param draft draft of the running command
- * @param command what the parts must add up to
+ * @param command the file's properties and its expected number of chunks
  */
 export function $sealFile(draft: LedgerDraft, command: Command<'sealFile'>): LedgerAnswer {
   const file = draft.files.get(command.fileId);
   if (file === undefined || file.customer !== command.customer) {
-    return refusal('notFound', 'the upload is not known');
+    return refusal('notFound', 'the upload does not exist');
   }
   if (file.chunks.size !== command.size) {
     return refusal('conflict', `${file.chunks.size} of ${command.size} chunks have arrived`);
@@ -83,12 +83,12 @@
 }
 
 /**
- * Forgets uploads that were never sealed.
+ * Drops uploads that were not sealed in time.
  *
  * @param draft draft of the running command
  * @param now time of the command
  */
-export function $dropOpenFiles(draft: LedgerDraft, now: number): void {
+export function $dropExpiredUploads(draft: LedgerDraft, now: number): void {
   const at = expiryNow(draft, now);
   draft.files = draft.files.filter((file) => file.sealed || file.openUntil > at);
 }
--- a/packages/stallpaddle-routing/src/__tests__/unit/RoutingQueue.test.ts
+++ b/packages/stallpaddle-routing/src/__tests__/unit/RoutingQueue.test.ts
@@ -1,20 +1,20 @@
 /**
- * Retries and the fair queue, beside naive versions.
+ * The fair queue, checked against a set of waiting ids, and the retry budget.
  */
 import fc from 'fast-check';
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {EMPTY_QUEUE, joinQueue, leaveQueue, takeNext} from '../../RoutingQueue';
+import {dequeue, EMPTY_QUEUE, enqueue, removeFromQueue} from '../../RoutingQueue';
 import {countRequest, FULL_RETRY_BUDGET, takeRetry} from '../../RoutingRetries';
 
 function entry(id: number, customer: string) {
   return {customer, deadlineAt: 1000, id, since: 0, weight: 1};
 }
 
-describe('joinQueue and takeNext', () => {
+describe('enqueue and dequeue', () => {
   test(
-    'lose and double nobody, and stay within the capacity',
+    'neither lose nor duplicate a request, and stay within the capacity',
     async () => {
       const step = fc.oneof(
         fc.record({customer: fc.constantFrom('a', 'b', 'c'), kind: fc.constant('join' as const)}),
@@ -27,22 +27,22 @@
         steps.forEach((next, id) => {
           switch (next.kind) {
             case 'join': {
-              const joined = joinQueue(queue, entry(id, next.customer), 5);
-              if (joined.kind !== 'refused') {
-                queue = joined.queue;
+              const result = enqueue(queue, entry(id, next.customer), 5);
+              if (result.kind !== 'refused') {
+                queue = result.queue;
                 waiting.add(id);
               }
-              if (joined.kind === 'full') {
-                expect(waiting.delete(joined.victim.id)).toBe(true);
+              if (result.kind === 'full') {
+                expect(waiting.delete(result.victim.id)).toBe(true);
               }
               break;
             }
             case 'leave':
-              queue = leaveQueue(queue, next.id);
+              queue = removeFromQueue(queue, next.id);
               waiting.delete(next.id);
               break;
             case 'take': {
-              const taken = takeNext(queue);
+              const taken = dequeue(queue);
               expect(taken === undefined).toBe(waiting.size === 0);
               if (taken !== undefined) {
                 queue = taken.queue;
@@ -60,17 +60,17 @@
     fuzzTimeoutMs(),
   );
 
-  test('serve a customer with one request before the flood of another', () => {
+  test('serve a customer with one request ahead of a customer that fills the queue', () => {
     let queue = EMPTY_QUEUE;
     for (let id = 0; id < 10; id++) {
-      const joined = joinQueue(queue, entry(id, 'flood'), 10);
+      const joined = enqueue(queue, entry(id, 'flood'), 10);
       queue = joined.kind === 'refused' ? queue : joined.queue;
     }
-    const joined = joinQueue(queue, entry(99, 'small'), 10);
+    const joined = enqueue(queue, entry(99, 'small'), 10);
     expect(joined).toMatchObject({kind: 'full', victim: {customer: 'flood', id: 9}});
     queue = joined.kind === 'refused' ? queue : joined.queue;
     const order: string[] = [];
-    for (let taken = takeNext(queue); taken !== undefined; taken = takeNext(taken.queue)) {
+    for (let taken = dequeue(queue); taken !== undefined; taken = dequeue(taken.queue)) {
       order.push(taken.req.customer);
     }
     expect(order.indexOf('small')).toBeLessThanOrEqual(1);
@@ -78,7 +78,7 @@
 });
 
 describe('takeRetry', () => {
-  test('allows a tenth of the requests to be retried, and a small store', () => {
+  test('allows retries for a tenth of the requests, plus a small burst', () => {
     let budget = FULL_RETRY_BUDGET;
     let retries = 0;
     for (let request = 0; request < 1000; request++) {
--- a/packages/stallpaddle-routing/src/index.ts
+++ b/packages/stallpaddle-routing/src/index.ts
@@ -1,4 +1,4 @@
-/** Routing policy: placement, batch filling, retries. Pure decisions only. */
+/** Routing policy for online and batch work: placement, queueing, batch limits and retries. All functions are pure. */
 export {
   type BatchAllowance,
   batchAllowance,
@@ -9,13 +9,13 @@
 export {NO_ENGINE_RETRY_MS} from './RoutingConstants';
 export {medianTokenMs, placeOnline, slowness} from './RoutingPlacement';
 export {
+  dequeue,
   EMPTY_QUEUE,
+  enqueue,
+  type EnqueueResult,
   type FairQueue,
-  joinQueue,
-  type JoinResult,
-  leaveQueue,
   type QueuedRequest,
-  takeNext,
+  removeFromQueue,
 } from './RoutingQueue';
 export {countRequest, FULL_RETRY_BUDGET, type RetryBudget, takeRetry} from './RoutingRetries';
 export type {
@@ -25,10 +25,10 @@
   EngineView,
   Placement,
   PlacementRequest,
+  ReportedStreams,
   RoutingEvent,
   RoutingState,
   StreamChange,
-  ToldStreams,
   WorkClass,
 } from './RoutingTypes';
 export {EMPTY_ROUTING, onlineStreams, stepRouting} from './RoutingView';
