--- a/packages/stallpaddle-fleet/src/FleetView.ts
+++ b/packages/stallpaddle-fleet/src/FleetView.ts
@@ -18,7 +18,7 @@
 import {applyNews, type NewsUpdate} from './FleetDelta';
 
 /** What a process says of itself each time it asks. */
-export type Hello =
+export type FleetHeartbeat =
   | {
       /** Where callers reach the VM, IP number and port. */
       readonly callerAddress: string;
@@ -56,7 +56,7 @@
 export interface RelayedHello {
   /** Time since it said so, in milliseconds. */
   readonly ageMs: number;
-  readonly hello: Hello;
+  readonly hello: FleetHeartbeat;
 }
 
 /** Versions that a process holds; what is newer is sent. */
@@ -108,7 +108,7 @@
 export type FleetRequest =
   | {
       /** One for each part of the process. */
-      readonly hellos: readonly Hello[];
+      readonly hellos: readonly FleetHeartbeat[];
       readonly kind: 'watch';
       readonly known: KnownVersions;
       /** Whether a replica that doesn't lead may answer, with what the leader told it. */
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -52,7 +52,7 @@
   type FleetNews,
   type FleetRequest,
   type FleetView,
-  type Hello,
+  type FleetHeartbeat,
   type JobsGroupReport,
   type KnownVersions,
   type RelayedHello,
--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -16,7 +16,7 @@
   type FleetRequest,
   type FleetState,
   type FleetView,
-  type Hello,
+  type FleetHeartbeat,
 } from 'stallpaddle-fleet';
 import {loadIdentity, NotLeaderError} from 'stallpaddle-replication';
 import {type RpcServer, startRpcServer, tryLocal} from 'stallpaddle-rpc';
@@ -106,7 +106,7 @@
   }
 
   /** What this part says of itself to the control group's leader. */
-  hellos(): readonly Hello[] {
+  hellos(): readonly FleetHeartbeat[] {
     return this.self === undefined ? [] : [{kind: 'control', replica: this.self}];
   }
 
--- a/packages/stallpaddle-node/src/NodeDesk.ts
+++ b/packages/stallpaddle-node/src/NodeDesk.ts
@@ -14,7 +14,7 @@
   type FleetNews,
   type FleetRequest,
   type FleetState,
-  type Hello,
+  type FleetHeartbeat,
   isEmptyDelta,
   isNews,
   isOutdated,
@@ -237,7 +237,7 @@
     return this.heard;
   }
 
-  private hear(hello: Hello, at: MonotonicMs): void {
+  private hear(hello: FleetHeartbeat, at: MonotonicMs): void {
     const {group} = this.options;
     const heard = this.current();
     heard.hear(hello, at);
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -4,7 +4,7 @@
 
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {LogFields} from 'stallpaddle';
-import type {FleetView, Hello} from 'stallpaddle-fleet';
+import type {FleetView, FleetHeartbeat} from 'stallpaddle-fleet';
 
 import {drawId, errorMessage, RefusalError, refuse, unreachable} from 'stallpaddle';
 import {
@@ -107,7 +107,7 @@
   }
 
   /** What this part says of itself to the control group's leader. */
-  hellos(): readonly Hello[] {
+  hellos(): readonly FleetHeartbeat[] {
     const {callers, name, zone} = this.options.settings;
     return callers === null
       ? []
--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -3,7 +3,7 @@
  * whole. Every process has one, whatever else it does.
  */
 import type {Clock, LogFields, ReplicaId, VmId} from 'stallpaddle';
-import type {FleetView, Hello} from 'stallpaddle-fleet';
+import type {FleetView, FleetHeartbeat} from 'stallpaddle-fleet';
 import type {TryOutcome, TryRequest} from 'stallpaddle-rpc';
 
 import {vmOfReplica} from 'stallpaddle';
@@ -27,7 +27,7 @@
   readonly asksLeader: () => boolean;
   readonly clock: Clock;
   /** What each part of the process says of itself now. */
-  readonly hellos: () => readonly Hello[];
+  readonly hellos: () => readonly FleetHeartbeat[];
   /** Writes a line of the process's log. */
   readonly note: (message: string, fields: LogFields) => void;
   /** Called after each question for news that nobody answered. */
--- a/packages/stallpaddle-node/src/NodeFront.ts
+++ b/packages/stallpaddle-node/src/NodeFront.ts
@@ -2,7 +2,7 @@
  * The process on an entry VM: it serves callers, engines and the operator, and holds a replica of the
  * control group where the VM has a disk.
  */
-import type {FleetView, Hello} from 'stallpaddle-fleet';
+import type {FleetView, FleetHeartbeat} from 'stallpaddle-fleet';
 
 import type {NodeSettings} from './NodeSettings';
 import type {NodeOptions, RunningNode} from './NodeTypes';
@@ -80,7 +80,7 @@
     this.fleet.close();
   }
 
-  private hellos(): readonly Hello[] {
+  private hellos(): readonly FleetHeartbeat[] {
     return [...this.entry.hellos(), ...this.control.hellos()];
   }
 
--- a/packages/stallpaddle-node/src/NodeHeard.ts
+++ b/packages/stallpaddle-node/src/NodeHeard.ts
@@ -3,7 +3,7 @@
  * anew with each leader.
  */
 import type {EngineId, MonotonicMs, ReplicaId, VmId, ZoneId} from 'stallpaddle';
-import type {EntryView, Hello, JobsGroupReport} from 'stallpaddle-fleet';
+import type {EntryView, FleetHeartbeat, JobsGroupReport} from 'stallpaddle-fleet';
 
 import {unreachable} from 'stallpaddle';
 
@@ -54,7 +54,7 @@
    * @param hello its words
    * @param at when it said so
    */
-  hear(hello: Hello, at: MonotonicMs): void {
+  hear(hello: FleetHeartbeat, at: MonotonicMs): void {
     switch (hello.kind) {
       case 'control':
         this.controls.set(hello.replica, Math.max(at, this.controls.get(hello.replica) ?? at));
--- a/packages/stallpaddle-node/src/NodeRelayedHellos.ts
+++ b/packages/stallpaddle-node/src/NodeRelayedHellos.ts
@@ -3,20 +3,20 @@
  * nobody, so it is told all of it again.
  */
 import type {MonotonicMs} from 'stallpaddle';
-import type {Hello, RelayedHello} from 'stallpaddle-fleet';
+import type {FleetHeartbeat, RelayedHello} from 'stallpaddle-fleet';
 
 /** Age beyond which words are not passed on, in milliseconds: they count for nothing after that. */
 const TOO_OLD_MS = 2_000;
 
 interface Heard {
   readonly at: MonotonicMs;
-  readonly hello: Hello;
+  readonly hello: FleetHeartbeat;
   /** Whether the leader was told. */
   told: boolean;
 }
 
 /** Tells processes apart, and the parts of each. */
-function keyOf(hello: Hello): string {
+function keyOf(hello: FleetHeartbeat): string {
   return `${hello.kind} ${hello.kind === 'entry' ? hello.name : hello.replica}`;
 }
 
@@ -33,7 +33,7 @@
    * @param at the present moment
    * @returns whether it says anything that it did not say before
    */
-  note(hellos: readonly Hello[], at: MonotonicMs): boolean {
+  note(hellos: readonly FleetHeartbeat[], at: MonotonicMs): boolean {
     let isNew = false;
     for (const hello of hellos) {
       const key = keyOf(hello);
--- a/packages/stallpaddle-node/src/NodeStore.ts
+++ b/packages/stallpaddle-node/src/NodeStore.ts
@@ -4,7 +4,7 @@
 
 import type {ConnectRouter} from '@connectrpc/connect';
 import type {Logger, ReplicaId} from 'stallpaddle';
-import type {Hello, JobsGroupReport} from 'stallpaddle-fleet';
+import type {FleetHeartbeat, JobsGroupReport} from 'stallpaddle-fleet';
 
 import path from 'node:path';
 import {delay, errorMessage} from 'stallpaddle';
@@ -118,7 +118,7 @@
     return this.fleet.watch;
   }
 
-  private hello(): Hello {
+  private hello(): FleetHeartbeat {
     const {name, zone} = this.options.settings;
     return {kind: 'store', leads: this.report(), name, replica: this.self, zone};
   }
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -11,7 +11,7 @@
   EMPTY_VIEW,
   type FleetRequest,
   type FleetView,
-  type Hello,
+  type FleetHeartbeat,
   type RelayedHello,
   takeAnswer,
   UNPROVEN_TERM,
@@ -41,7 +41,7 @@
   readonly caller: Pick<NodeCaller, 'hosts' | 'tryAt' | 'tryOnce'>;
   readonly clock: Clock;
   /** What each part of the process says of itself now. */
-  readonly hellos: () => readonly Hello[];
+  readonly hellos: () => readonly FleetHeartbeat[];
   /** VMs that may answer for the leader, the best first; none for a process that asks the leader itself. */
   readonly hops: () => readonly VmId[];
   readonly note: (message: string, fields: LogFields) => void;
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeDesk.test.ts
@@ -3,7 +3,7 @@
  * group can't bear the losses yet; what it takes of engines' reports.
  */
 import type {Clock, MonotonicMs, ReplicaId} from 'stallpaddle';
-import type {EngineReport, FleetCommand, FleetNews, FleetState, Hello} from 'stallpaddle-fleet';
+import type {EngineReport, FleetCommand, FleetNews, FleetState, FleetHeartbeat} from 'stallpaddle-fleet';
 import type {ReplicaDriver} from 'stallpaddle-replication';
 
 import {decodeValue, delay, systemClock} from 'stallpaddle';
@@ -59,7 +59,7 @@
   return {desk, held, kinds, proposed, status};
 }
 
-function watch(desk: NodeDesk, hellos: readonly Hello[], ageMs = 0): Promise<unknown> {
+function watch(desk: NodeDesk, hellos: readonly FleetHeartbeat[], ageMs = 0): Promise<unknown> {
   const relayed = hellos.map((hello) => ({ageMs, hello}));
   return desk.answer({
     hellos: [],
@@ -71,7 +71,7 @@
   } as unknown as Parameters<NodeDesk['answer']>[0]);
 }
 
-function store(name: string, replica: ReplicaId): Hello {
+function store(name: string, replica: ReplicaId): FleetHeartbeat {
   return {kind: 'store', leads: null, name, replica, zone: 'a'};
 }
 
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeNews.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeNews.test.ts
@@ -1,7 +1,7 @@
 /**
  * Where callers are told that batch jobs are kept, while the jobs' leader is not known.
  */
-import type {Hello} from 'stallpaddle-fleet';
+import type {FleetHeartbeat} from 'stallpaddle-fleet';
 
 import {fleetMachine, type FleetState} from 'stallpaddle-fleet';
 import {describe, expect, test} from 'vitest';
@@ -26,7 +26,7 @@
   return makeNews({heard, jobsBefore, members, now: 100, reportMs: 1_000, state});
 }
 
-function storeHello(replica: string, term: null | number): Hello {
+function storeHello(replica: string, term: null | number): FleetHeartbeat {
   const leads = term === null ? null : {learners: [], settled: true, term, voters: MEMBERS};
   return {kind: 'store', leads, name: replica, replica, zone: 'z'};
 }
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -10,7 +10,7 @@
   type FleetNews,
   type FleetRequest,
   type FleetView,
-  type Hello,
+  type FleetHeartbeat,
   takeAnswer,
 } from 'stallpaddle-fleet';
 import {NotLeaderError} from 'stallpaddle-replication';
@@ -62,7 +62,7 @@
 }
 
 interface ProcessOptions {
-  readonly hellos?: readonly Hello[];
+  readonly hellos?: readonly FleetHeartbeat[];
   /** Replicas that it may ask, in order; none for one that asks the leader. */
   readonly hops?: readonly VmId[];
   readonly relayed?: NodeRelayedHellos;
@@ -98,7 +98,7 @@
 /** A leader, and replicas that pass on what it tells. */
 function fleetOf(replicas: readonly VmId[]) {
   const network = new Network();
-  const heard: {readonly ageMs: number; readonly hello: Hello}[] = [];
+  const heard: {readonly ageMs: number; readonly hello: FleetHeartbeat}[] = [];
   const board = new NodeNewsBoard(systemClock, () => ({ageMs: 0, config: null}));
   let fleet = 0;
   const tell = (changes: Partial<FleetNews>): void => {
@@ -129,7 +129,7 @@
   }
 }
 
-function entry(name: string): Hello {
+function entry(name: string): FleetHeartbeat {
   return {callerAddress: `${name}:1`, kind: 'entry', name, ready: true, zone: 'z'};
 }
 
