--- a/packages/stallpaddle-fleet/src/FleetView.ts
+++ b/packages/stallpaddle-fleet/src/FleetView.ts
@@ -53,7 +53,7 @@
 }
 
 /** What a process said of itself to a replica that passes it on. */
-export interface RelayedHello {
+export interface ForwardedHeartbeat {
   /** Time since it said so, in milliseconds. */
   readonly ageMs: number;
   readonly hello: FleetHeartbeat;
@@ -114,7 +114,7 @@
       /** Whether a replica that doesn't lead may answer, with what the leader told it. */
       readonly mayRelay: boolean;
       /** What other processes have said to this one since it last passed it on. */
-      readonly relayed: readonly RelayedHello[];
+      readonly relayed: readonly ForwardedHeartbeat[];
       /** Longest time to hold the answer while there is nothing new, in milliseconds. */
       readonly waitMs: number;
     }
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -55,7 +55,7 @@
   type FleetHeartbeat,
   type JobsGroupReport,
   type KnownVersions,
-  type RelayedHello,
+  type ForwardedHeartbeat,
   type RetireAnswer,
   type StoreView,
   takeAnswer,
--- a/packages/stallpaddle-node/src/NodeRelayedHellos.ts
+++ b/packages/stallpaddle-node/src/NodeRelayedHellos.ts
@@ -3,7 +3,7 @@
  * nobody, so it is told all of it again.
  */
 import type {MonotonicMs} from 'stallpaddle';
-import type {FleetHeartbeat, RelayedHello} from 'stallpaddle-fleet';
+import type {FleetHeartbeat, ForwardedHeartbeat} from 'stallpaddle-fleet';
 
 /** Age beyond which words are not passed on, in milliseconds: they count for nothing after that. */
 const TOO_OLD_MS = 2_000;
@@ -49,7 +49,7 @@
    *
    * @param now the present moment
    */
-  take(now: MonotonicMs): readonly RelayedHello[] {
+  take(now: MonotonicMs): readonly ForwardedHeartbeat[] {
     for (const [key, {at}] of this.heard) {
       if (now - at > TOO_OLD_MS) {
         this.heard.delete(key);
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -12,7 +12,7 @@
   type FleetRequest,
   type FleetView,
   type FleetHeartbeat,
-  type RelayedHello,
+  type ForwardedHeartbeat,
   takeAnswer,
   UNPROVEN_TERM,
   type WatchAnswer,
@@ -52,7 +52,7 @@
   /** What other processes have said to this one; only replicas pass it on. */
   readonly relayed: {
     readonly confirm: (term: number) => void;
-    readonly take: () => readonly RelayedHello[];
+    readonly take: () => readonly ForwardedHeartbeat[];
   };
 }
 
