--- a/packages/stallpaddle-fleet/src/FleetDelta.ts
+++ b/packages/stallpaddle-fleet/src/FleetDelta.ts
@@ -3,7 +3,7 @@
  * the whole list: with 170 entry VMs, 52 engines and 30 stores the list has 18 KB. Pure.
  */
 import type {SuspectView} from './FleetSuspects';
-import type {EngineView, EntryView, FleetNews, StoreView} from './FleetView';
+import type {EngineView, EntryView, FleetStatus, StoreView} from './FleetView';
 
 /** Lines of one list that are new, changed or gone. */
 export interface ListDelta<Line> {
@@ -15,7 +15,7 @@
 export interface NewsDelta {
   readonly engines: ListDelta<EngineView>;
   readonly entries: ListDelta<EntryView>;
-  readonly plain: Partial<Omit<FleetNews, 'engines' | 'entries' | 'stores' | 'suspects'>>;
+  readonly plain: Partial<Omit<FleetStatus, 'engines' | 'entries' | 'stores' | 'suspects'>>;
   readonly stores: ListDelta<StoreView>;
   /** Leaders of releases before send none. */
   readonly suspects?: ListDelta<SuspectView>;
@@ -26,12 +26,12 @@
   /** The news under a number, given those under `from`. */
   | {readonly delta: NewsDelta; readonly from: number; readonly kind: 'delta'}
   | {readonly kind: 'same'}
-  | {readonly kind: 'whole'; readonly news: FleetNews};
+  | {readonly kind: 'whole'; readonly news: FleetStatus};
 
 /** A list, by the names of its lines. */
 interface NewsList<Line extends object> {
   readonly nameOf: (line: Line) => string;
-  readonly of: (news: FleetNews) => readonly Line[];
+  readonly of: (news: FleetStatus) => readonly Line[];
 }
 
 const ENGINES: NewsList<EngineView> = {nameOf: ({id}) => id, of: ({engines}) => engines};
@@ -57,14 +57,14 @@
   return a === b || (Array.isArray(a) && Array.isArray(b) && a.join() === b.join());
 }
 
-function byName<Line extends object>(list: NewsList<Line>, news: FleetNews): Map<string, Line> {
+function byName<Line extends object>(list: NewsList<Line>, news: FleetStatus): Map<string, Line> {
   return new Map(list.of(news).map((line) => [list.nameOf(line), line]));
 }
 
 function diffList<Line extends object>(
   list: NewsList<Line>,
-  before: FleetNews,
-  after: FleetNews,
+  before: FleetStatus,
+  after: FleetStatus,
 ): ListDelta<Line> {
   const known = byName(list, before);
   const put: Line[] = [];
@@ -85,7 +85,7 @@
 
 function applyList<Line extends object>(
   list: NewsList<Line>,
-  before: FleetNews,
+  before: FleetStatus,
   delta: ListDelta<Line>,
 ): readonly Line[] {
   if (isEmpty(delta)) {
@@ -116,7 +116,7 @@
  * @param before news as a process holds them
  * @param after news as they are now
  */
-export function diffNews(before: FleetNews, after: FleetNews): NewsDelta {
+export function diffNews(before: FleetStatus, after: FleetStatus): NewsDelta {
   const changed = PLAIN.filter((key) => !isSamePlain(before[key], after[key]));
   return {
     engines: diffList(ENGINES, before, after),
@@ -143,7 +143,7 @@
  * @param before the news from which the delta was made
  * @param delta what differs
  */
-export function applyNews(before: FleetNews, delta: NewsDelta): FleetNews {
+export function applyNews(before: FleetStatus, delta: NewsDelta): FleetStatus {
   return {
     ...before,
     ...delta.plain,
--- a/packages/stallpaddle-fleet/src/FleetHistory.ts
+++ b/packages/stallpaddle-fleet/src/FleetHistory.ts
@@ -3,7 +3,7 @@
  * to one leader's term, and are the same at whoever passes the news on.
  */
 import type {KnownVersions} from './FleetView';
-import type {FleetNews} from './FleetView';
+import type {FleetStatus} from './FleetView';
 
 import {diffNews, type NewsUpdate} from './FleetDelta';
 
@@ -16,14 +16,14 @@
 /** News under their number. */
 export interface NumberedNews {
   readonly fleet: number;
-  readonly news: FleetNews;
+  readonly news: FleetStatus;
   readonly term: number;
 }
 
 /** See the module's comment. */
 export class FleetHistory {
   private current: NumberedNews | undefined;
-  private readonly kept = new Map<number, FleetNews>();
+  private readonly kept = new Map<number, FleetStatus>();
   /** What was worked out for processes that hold an earlier state; most hold the same one. */
   private readonly updates = new Map<number, NewsUpdate>();
 
@@ -66,7 +66,7 @@
     return fleet >= current.fleet ? {kind: 'same'} : this.updateFrom(fleet, current.news);
   }
 
-  private updateFrom(fleet: number, news: FleetNews): NewsUpdate {
+  private updateFrom(fleet: number, news: FleetStatus): NewsUpdate {
     const before = this.kept.get(fleet);
     const update: NewsUpdate = this.updates.get(fleet) ?? {
       ...(before === undefined
--- a/packages/stallpaddle-fleet/src/FleetView.ts
+++ b/packages/stallpaddle-fleet/src/FleetView.ts
@@ -90,7 +90,7 @@
 }
 
 /** Everything but the configuration. */
-export interface FleetNews {
+export interface FleetStatus {
   readonly controls: readonly ReplicaId[];
   readonly engines: readonly EngineView[];
   readonly entries: readonly EntryView[];
@@ -164,13 +164,13 @@
   readonly asOf: MonotonicMs;
   readonly config: FleetConfig | null;
   readonly fleet: number;
-  readonly news: FleetNews;
+  readonly news: FleetStatus;
   readonly term: number;
   /** The news as the leader told them: `news` may name entry VMs besides that a new leader has not heard yet. */
-  readonly told: FleetNews;
+  readonly told: FleetStatus;
 }
 
-const NO_NEWS: FleetNews = {
+const NO_NEWS: FleetStatus = {
   controls: [],
   engines: [],
   entries: [],
@@ -191,7 +191,7 @@
   told: NO_NEWS,
 };
 
-function mergeEntries(before: FleetView, news: FleetNews): readonly EntryView[] {
+function mergeEntries(before: FleetView, news: FleetStatus): readonly EntryView[] {
   if (news.entriesComplete) {
     return news.entries;
   }
@@ -205,7 +205,7 @@
 }
 
 /** News after an update; undefined when the update belongs to news that are not held here. */
-function updated(view: FleetView, {term, update}: WatchAnswer): FleetNews | undefined {
+function updated(view: FleetView, {term, update}: WatchAnswer): FleetStatus | undefined {
   switch (update.kind) {
     case 'delta': {
       const fits = term === view.term && update.from === view.fleet;
@@ -221,7 +221,7 @@
   }
 }
 
-function takeNews(view: FleetView, answer: WatchAnswer, told: FleetNews): FleetView {
+function takeNews(view: FleetView, answer: WatchAnswer, told: FleetStatus): FleetView {
   const {fleet, term} = answer;
   const news = told === view.told ? view.news : {...told, entries: mergeEntries(view, told)};
   return {...view, fleet, news, term, told};
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetHistory.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetHistory.test.ts
@@ -6,7 +6,7 @@
 import {describe, expect, test} from 'vitest';
 
 import type {SuspectView} from '../../FleetSuspects';
-import type {EngineView, EntryView, FleetNews, FleetView, StoreView} from '../../FleetView';
+import type {EngineView, EntryView, FleetStatus, FleetView, StoreView} from '../../FleetView';
 
 import {applyNews, diffNews, isEmptyDelta} from '../../FleetDelta';
 import {FleetHistory} from '../../FleetHistory';
@@ -20,7 +20,7 @@
     .map((bits) => bits.flatMap((bit, at) => (bit === null ? [] : [lineOf(NAMES[at]!, bit)])));
 }
 
-const NEWS: fc.Arbitrary<FleetNews> = fc.record({
+const NEWS: fc.Arbitrary<FleetStatus> = fc.record({
   controls: fc.subarray(['c1', 'c2']),
   engines: listOf((id, silent): EngineView => ({
     address: `${id}:1`,
@@ -69,8 +69,8 @@
     });
     const property = fc.property(fc.array(step, {maxLength: 40}), (steps) => {
       const histories = [new FleetHistory(), new FleetHistory(), new FleetHistory()];
-      const states: FleetNews[] = [];
-      const numbers = new Map<string, FleetNews>();
+      const states: FleetStatus[] = [];
+      const numbers = new Map<string, FleetStatus>();
       let term = 1;
       let fleet = 0;
       let view: FleetView = EMPTY_VIEW;
@@ -111,7 +111,7 @@
   test('one engine that changes costs some hundred bytes, not the list of a fleet of 200 VMs', () => {
     const lines = <Line>(count: number, lineOf: (name: string) => Line): readonly Line[] =>
       Array.from({length: count}, (_, at) => lineOf(`name-${String(at).padStart(3, '0')}`));
-    const news: FleetNews = {
+    const news: FleetStatus = {
       ...EMPTY_VIEW.news,
       engines: lines(52, (id) => ({
         address: `10.0.0.1:8080`,
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -49,7 +49,7 @@
   engineOf,
   type EngineView,
   type EntryView,
-  type FleetNews,
+  type FleetStatus,
   type FleetRequest,
   type FleetView,
   type FleetHeartbeat,
--- a/packages/stallpaddle-node/src/NodeDesk.ts
+++ b/packages/stallpaddle-node/src/NodeDesk.ts
@@ -11,7 +11,7 @@
   type FleetAnswer,
   type FleetCommand,
   type FleetConfig,
-  type FleetNews,
+  type FleetStatus,
   type FleetRequest,
   type FleetState,
   type FleetHeartbeat,
@@ -298,7 +298,7 @@
     return !isSame;
   }
 
-  private makeNews(): FleetNews {
+  private makeNews(): FleetStatus {
     const {clock, group, jobsBefore, reportMs} = this.options;
     const {driver} = group;
     return makeNews({
--- a/packages/stallpaddle-node/src/NodeNews.ts
+++ b/packages/stallpaddle-node/src/NodeNews.ts
@@ -6,7 +6,7 @@
 import type {
   EngineView,
   EntryView,
-  FleetNews,
+  FleetStatus,
   FleetState,
   StoreView,
   SuspectView,
@@ -97,7 +97,7 @@
  *
  * @param input what they are made from
  */
-export function makeNews(input: NewsInput): FleetNews {
+export function makeNews(input: NewsInput): FleetStatus {
   const {heard, members, now, state} = input;
   const {jobsFounders} = state;
   return {
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeDesk.test.ts
@@ -3,7 +3,7 @@
  * group can't bear the losses yet; what it takes of engines' reports.
  */
 import type {Clock, MonotonicMs, ReplicaId} from 'stallpaddle';
-import type {EngineReport, FleetCommand, FleetNews, FleetState, FleetHeartbeat} from 'stallpaddle-fleet';
+import type {EngineReport, FleetCommand, FleetStatus, FleetState, FleetHeartbeat} from 'stallpaddle-fleet';
 import type {ReplicaDriver} from 'stallpaddle-replication';
 
 import {decodeValue, delay, systemClock} from 'stallpaddle';
@@ -194,7 +194,7 @@
     const end = {digest: 'd', kind: 'noteEngineEnd', startedAtMs: 0} as const;
     await desk.answer({...end, engine: 'e1', known: 0});
     await desk.answer({...end, engine: 'e2', known: 1});
-    const told = (await watch(desk, [])) as {update: {news: FleetNews}};
+    const told = (await watch(desk, [])) as {update: {news: FleetStatus}};
     expect(told.update.news.suspects).toEqual([{digest: 'd', holdMs: FIRST_HOLD_MS, level: 2}]);
     expect(await desk.answer({kind: 'listSuspects'})).toEqual([
       {
@@ -209,7 +209,7 @@
     expect(kinds()).not.toContain('releaseRequest');
     await desk.answer({by: 'operator', digest: 'd', kind: 'releaseRequest'});
     await delay(LOOK_MS);
-    const later = (await watch(desk, [])) as {update: {news: FleetNews}};
+    const later = (await watch(desk, [])) as {update: {news: FleetStatus}};
     expect(later.update.news.suspects).toEqual([]);
   });
 
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -7,7 +7,7 @@
 import {decodeValue, delay, systemClock} from 'stallpaddle';
 import {
   EMPTY_VIEW,
-  type FleetNews,
+  type FleetStatus,
   type FleetRequest,
   type FleetView,
   type FleetHeartbeat,
@@ -101,7 +101,7 @@
   const heard: {readonly ageMs: number; readonly hello: FleetHeartbeat}[] = [];
   const board = new NodeNewsBoard(systemClock, () => ({ageMs: 0, config: null}));
   let fleet = 0;
-  const tell = (changes: Partial<FleetNews>): void => {
+  const tell = (changes: Partial<FleetStatus>): void => {
     fleet++;
     board.put({fleet, news: {...EMPTY_VIEW.news, ...changes}, term: 1});
   };
