--- a/packages/stallpaddle-fleet/src/FleetHistory.ts
+++ b/packages/stallpaddle-fleet/src/FleetHistory.ts
@@ -14,7 +14,7 @@
 const KEPT = 16;
 
 /** News under their number. */
-export interface NumberedNews {
+export interface NumberedStatus {
   readonly fleet: number;
   readonly news: FleetStatus;
   readonly term: number;
@@ -22,13 +22,13 @@
 
 /** See the module's comment. */
 export class FleetHistory {
-  private current: NumberedNews | undefined;
+  private current: NumberedStatus | undefined;
   private readonly kept = new Map<number, FleetStatus>();
   /** What was worked out for processes that hold an earlier state; most hold the same one. */
   private readonly updates = new Map<number, NewsUpdate>();
 
   /** The latest state, once there is one. */
-  get latest(): NumberedNews | undefined {
+  get latest(): NumberedStatus | undefined {
     return this.current;
   }
 
@@ -37,7 +37,7 @@
    *
    * @param numbered the state
    */
-  put(numbered: NumberedNews): void {
+  put(numbered: NumberedStatus): void {
     if (this.current?.term !== numbered.term) {
       this.kept.clear();
     }
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -9,7 +9,7 @@
   type NewsUpdate,
   sortLines,
 } from './FleetDelta';
-export {FleetHistory, type NumberedNews} from './FleetHistory';
+export {FleetHistory, type NumberedStatus} from './FleetHistory';
 export {fleetMachine, isNews, isOutdated, laterHolders} from './FleetMachine';
 export {
   afterEngineEnd,
--- a/packages/stallpaddle-node/src/NodeNewsBoard.ts
+++ b/packages/stallpaddle-node/src/NodeNewsBoard.ts
@@ -8,7 +8,7 @@
   type FleetConfig,
   FleetHistory,
   type KnownVersions,
-  type NumberedNews,
+  type NumberedStatus,
   type WatchAnswer,
 } from 'stallpaddle-fleet';
 
@@ -36,7 +36,7 @@
   ) {}
 
   /** The latest news, once there are some. */
-  get latest(): NumberedNews | undefined {
+  get latest(): NumberedStatus | undefined {
     return this.history.latest;
   }
 
@@ -45,7 +45,7 @@
    *
    * @param numbered the news
    */
-  put(numbered: NumberedNews): void {
+  put(numbered: NumberedStatus): void {
     this.history.put(numbered);
     this.wakeAll();
   }
