--- a/packages/stallpaddle-fleet/src/FleetDelta.ts
+++ b/packages/stallpaddle-fleet/src/FleetDelta.ts
@@ -22,7 +22,7 @@
 }
 
 /** A part of an answer that brings news. */
-export type NewsUpdate =
+export type StatusUpdate =
   /** The news under a number, given those under `from`. */
   | {readonly delta: NewsDelta; readonly from: number; readonly kind: 'delta'}
   | {readonly kind: 'same'}
--- a/packages/stallpaddle-fleet/src/FleetHistory.ts
+++ b/packages/stallpaddle-fleet/src/FleetHistory.ts
@@ -5,7 +5,7 @@
 import type {KnownVersions} from './FleetView';
 import type {FleetStatus} from './FleetView';
 
-import {diffNews, type NewsUpdate} from './FleetDelta';
+import {diffNews, type StatusUpdate} from './FleetDelta';
 
 /**
  * States that are kept: a process asks again within 1.3 s, and there are ten a second at most. Whoever is further behind
@@ -25,7 +25,7 @@
   private current: NumberedStatus | undefined;
   private readonly kept = new Map<number, FleetStatus>();
   /** What was worked out for processes that hold an earlier state; most hold the same one. */
-  private readonly updates = new Map<number, NewsUpdate>();
+  private readonly updates = new Map<number, StatusUpdate>();
 
   /** The latest state, once there is one. */
   get latest(): NumberedStatus | undefined {
@@ -55,7 +55,7 @@
    *
    * @param known what the process holds
    */
-  updateFor({fleet, term}: KnownVersions): NewsUpdate {
+  updateFor({fleet, term}: KnownVersions): StatusUpdate {
     const {current} = this;
     if (current === undefined || term > current.term) {
       return {kind: 'same'};
@@ -66,9 +66,9 @@
     return fleet >= current.fleet ? {kind: 'same'} : this.updateFrom(fleet, current.news);
   }
 
-  private updateFrom(fleet: number, news: FleetStatus): NewsUpdate {
+  private updateFrom(fleet: number, news: FleetStatus): StatusUpdate {
     const before = this.kept.get(fleet);
-    const update: NewsUpdate = this.updates.get(fleet) ?? {
+    const update: StatusUpdate = this.updates.get(fleet) ?? {
       ...(before === undefined
         ? {kind: 'whole', news}
         : {delta: diffNews(before, news), from: fleet, kind: 'delta'}),
--- a/packages/stallpaddle-fleet/src/FleetView.ts
+++ b/packages/stallpaddle-fleet/src/FleetView.ts
@@ -15,7 +15,7 @@
   StoredConfig,
 } from './FleetTypes';
 
-import {applyNews, type NewsUpdate} from './FleetDelta';
+import {applyNews, type StatusUpdate} from './FleetDelta';
 
 /** What a process says of itself each time it asks. */
 export type FleetHeartbeat =
@@ -152,7 +152,7 @@
   /** Term of the leader whose news these are. */
   readonly term: number;
   /** What is newer than what the process holds. */
-  readonly update: NewsUpdate;
+  readonly update: StatusUpdate;
 }
 
 /** Answer to `retireStore` and `retireState`. */
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -6,7 +6,7 @@
   diffNews,
   isEmptyDelta,
   type NewsDelta,
-  type NewsUpdate,
+  type StatusUpdate,
   sortLines,
 } from './FleetDelta';
 export {FleetHistory, type NumberedStatus} from './FleetHistory';
