--- a/packages/stallpaddle-fleet/src/FleetDelta.ts
+++ b/packages/stallpaddle-fleet/src/FleetDelta.ts
@@ -12,7 +12,7 @@
 }
 
 /** Everything that differs; what is left out is the same. */
-export interface NewsDelta {
+export interface StatusDelta {
   readonly engines: ListDelta<EngineView>;
   readonly entries: ListDelta<EntryView>;
   readonly plain: Partial<Omit<FleetStatus, 'engines' | 'entries' | 'stores' | 'suspects'>>;
@@ -24,7 +24,7 @@
 /** A part of an answer that brings news. */
 export type StatusUpdate =
   /** The news under a number, given those under `from`. */
-  | {readonly delta: NewsDelta; readonly from: number; readonly kind: 'delta'}
+  | {readonly delta: StatusDelta; readonly from: number; readonly kind: 'delta'}
   | {readonly kind: 'same'}
   | {readonly kind: 'whole'; readonly news: FleetStatus};
 
@@ -116,7 +116,7 @@
  * @param before news as a process holds them
  * @param after news as they are now
  */
-export function diffNews(before: FleetStatus, after: FleetStatus): NewsDelta {
+export function diffNews(before: FleetStatus, after: FleetStatus): StatusDelta {
   const changed = PLAIN.filter((key) => !isSamePlain(before[key], after[key]));
   return {
     engines: diffList(ENGINES, before, after),
@@ -132,7 +132,7 @@
  *
  * @param delta what differs
  */
-export function isEmptyDelta(delta: NewsDelta): boolean {
+export function isEmptyDelta(delta: StatusDelta): boolean {
   const {engines, entries, plain, stores, suspects = NO_LINES} = delta;
   return [engines, entries, stores, suspects].every(isEmpty) && Object.keys(plain).length === 0;
 }
@@ -143,7 +143,7 @@
  * @param before the news from which the delta was made
  * @param delta what differs
  */
-export function applyNews(before: FleetStatus, delta: NewsDelta): FleetStatus {
+export function applyNews(before: FleetStatus, delta: StatusDelta): FleetStatus {
   return {
     ...before,
     ...delta.plain,
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -5,7 +5,7 @@
   applyNews,
   diffNews,
   isEmptyDelta,
-  type NewsDelta,
+  type StatusDelta,
   type StatusUpdate,
   sortLines,
 } from './FleetDelta';
