--- a/packages/stallpaddle-fleet/src/FleetDelta.ts
+++ b/packages/stallpaddle-fleet/src/FleetDelta.ts
@@ -116,7 +116,7 @@
  * @param before news as a process holds them
  * @param after news as they are now
  */
-export function diffNews(before: FleetStatus, after: FleetStatus): StatusDelta {
+export function diffStatus(before: FleetStatus, after: FleetStatus): StatusDelta {
   const changed = PLAIN.filter((key) => !isSamePlain(before[key], after[key]));
   return {
     engines: diffList(ENGINES, before, after),
--- a/packages/stallpaddle-fleet/src/FleetHistory.ts
+++ b/packages/stallpaddle-fleet/src/FleetHistory.ts
@@ -5,7 +5,7 @@
 import type {KnownVersions} from './FleetView';
 import type {FleetStatus} from './FleetView';
 
-import {diffNews, type StatusUpdate} from './FleetDelta';
+import {diffStatus, type StatusUpdate} from './FleetDelta';
 
 /**
  * States that are kept: a process asks again within 1.3 s, and there are ten a second at most. Whoever is further behind
@@ -71,7 +71,7 @@
     const update: StatusUpdate = this.updates.get(fleet) ?? {
       ...(before === undefined
         ? {kind: 'whole', news}
-        : {delta: diffNews(before, news), from: fleet, kind: 'delta'}),
+        : {delta: diffStatus(before, news), from: fleet, kind: 'delta'}),
     };
     this.updates.set(fleet, update);
     return update;
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetView.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetView.test.ts
@@ -7,7 +7,7 @@
 
 import type {FleetConfig} from '../../FleetTypes';
 
-import {diffNews} from '../../FleetDelta';
+import {diffStatus} from '../../FleetDelta';
 import {EMPTY_VIEW, takeAnswer, type WatchAnswer} from '../../FleetView';
 
 function answerOf(changes: Partial<WatchAnswer>): WatchAnswer {
@@ -97,7 +97,7 @@
   test('takes neither news nor a moment from a difference to news that it does not hold', () => {
     const update = {kind: 'whole', news: EMPTY_VIEW.news} as const;
     const held = takeAnswer(EMPTY_VIEW, answerOf({fleet: 4, term: 1, update}), 0);
-    const delta = diffNews(EMPTY_VIEW.news, {...EMPTY_VIEW.news, controls: ['a']});
+    const delta = diffStatus(EMPTY_VIEW.news, {...EMPTY_VIEW.news, controls: ['a']});
     const strange = answerOf({fleet: 6, update: {delta, from: 5, kind: 'delta'}});
     expect(takeAnswer(held, strange, 100)).toEqual(held);
   });
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -3,7 +3,7 @@
 export {CustomerTable, findCustomerFault, keyDigest, toldConfig} from './FleetCustomers';
 export {
   applyNews,
-  diffNews,
+  diffStatus,
   isEmptyDelta,
   type StatusDelta,
   type StatusUpdate,
--- a/packages/stallpaddle-node/src/NodeDesk.ts
+++ b/packages/stallpaddle-node/src/NodeDesk.ts
@@ -6,7 +6,7 @@
 
 import {encodeValue, unreachable} from 'stallpaddle';
 import {
-  diffNews,
+  diffStatus,
   type EngineReport,
   type FleetAnswer,
   type FleetCommand,
@@ -291,7 +291,7 @@
     const news = this.makeNews();
     const {term} = this.current();
     const {latest} = this.board;
-    const isSame = latest?.term === term && isEmptyDelta(diffNews(latest.news, news));
+    const isSame = latest?.term === term && isEmptyDelta(diffStatus(latest.news, news));
     if (!isSame) {
       this.board.put({fleet: (latest?.fleet ?? 0) + 1, news, term});
     }
