--- a/packages/stallpaddle-fleet/src/FleetDelta.ts
+++ b/packages/stallpaddle-fleet/src/FleetDelta.ts
@@ -143,7 +143,7 @@
  * @param before the news from which the delta was made
  * @param delta what differs
  */
-export function applyNews(before: FleetStatus, delta: StatusDelta): FleetStatus {
+export function applyStatusDelta(before: FleetStatus, delta: StatusDelta): FleetStatus {
   return {
     ...before,
     ...delta.plain,
--- a/packages/stallpaddle-fleet/src/FleetView.ts
+++ b/packages/stallpaddle-fleet/src/FleetView.ts
@@ -15,7 +15,7 @@
   StoredConfig,
 } from './FleetTypes';
 
-import {applyNews, type StatusUpdate} from './FleetDelta';
+import {applyStatusDelta, type StatusUpdate} from './FleetDelta';
 
 /** What a process says of itself each time it asks. */
 export type FleetHeartbeat =
@@ -209,7 +209,7 @@
   switch (update.kind) {
     case 'delta': {
       const fits = term === view.term && update.from === view.fleet;
-      return fits ? applyNews(view.told, update.delta) : undefined;
+      return fits ? applyStatusDelta(view.told, update.delta) : undefined;
     }
     case 'same':
       return view.told;
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetHistory.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetHistory.test.ts
@@ -8,7 +8,7 @@
 import type {SuspectView} from '../../FleetSuspects';
 import type {EngineView, EntryView, FleetStatus, FleetView, StoreView} from '../../FleetView';
 
-import {applyNews, diffStatus, isEmptyDelta} from '../../FleetDelta';
+import {applyStatusDelta, diffStatus, isEmptyDelta} from '../../FleetDelta';
 import {FleetHistory} from '../../FleetHistory';
 import {EMPTY_VIEW, takeAnswer} from '../../FleetView';
 
@@ -54,7 +54,7 @@
   test('a difference turns the earlier news into the later ones, and is empty only for the same', async () => {
     const property = fc.property(NEWS, NEWS, (before, after) => {
       const delta = diffStatus(before, after);
-      expect(applyNews(before, delta)).toEqual(after);
+      expect(applyStatusDelta(before, delta)).toEqual(after);
       expect(isEmptyDelta(delta)).toBe(JSON.stringify(before) === JSON.stringify(after));
     });
     await assertHistories('differences of news', property, 300);
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -2,7 +2,7 @@
 export {type ConfigFault, findConfigFault, RouteTable} from './FleetConfigs';
 export {CustomerTable, findCustomerFault, keyDigest, toldConfig} from './FleetCustomers';
 export {
-  applyNews,
+  applyStatusDelta,
   diffStatus,
   isEmptyDelta,
   type StatusDelta,
