--- a/packages/stallpaddle-fleet/src/FleetDelta.ts
+++ b/packages/stallpaddle-fleet/src/FleetDelta.ts
@@ -94,7 +94,7 @@
   const lines = byName(list, before);
   delta.gone.forEach((name) => lines.delete(name));
   delta.put.forEach((line) => lines.set(list.nameOf(line), line));
-  return sortLines([...lines.values()], list.nameOf);
+  return sortByName([...lines.values()], list.nameOf);
 }
 
 /**
@@ -103,7 +103,7 @@
  * @param lines the lines
  * @param nameOf a line's name
  */
-export function sortLines<Line>(
+export function sortByName<Line>(
   lines: readonly Line[],
   nameOf: (line: Line) => string,
 ): readonly Line[] {
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -7,7 +7,7 @@
   isEmptyDelta,
   type StatusDelta,
   type StatusUpdate,
-  sortLines,
+  sortByName,
 } from './FleetDelta';
 export {FleetHistory, type NumberedStatus} from './FleetHistory';
 export {fleetMachine, isNews, isOutdated, laterHolders} from './FleetMachine';
--- a/packages/stallpaddle-node/src/NodeNews.ts
+++ b/packages/stallpaddle-node/src/NodeNews.ts
@@ -13,7 +13,7 @@
 } from 'stallpaddle-fleet';
 import type {GroupMembers} from 'stallpaddle-replication';
 
-import {sortLines, suspectView} from 'stallpaddle-fleet';
+import {sortByName, suspectView} from 'stallpaddle-fleet';
 
 import type {NodeHeard} from './NodeHeard';
 
@@ -56,14 +56,14 @@
     sequence: 0,
     silent: isSilent(heard, engine.id, now, reportMs),
   }));
-  return sortLines(engines, ({id}) => id);
+  return sortByName(engines, ({id}) => id);
 }
 
 function entryViews({heard, now}: NewsInput): readonly EntryView[] {
   const entries = [...heard.entries.values()]
     .filter(({at, ready}) => ready && now - at < ENTRY_SILENT_MS)
     .map(({address, name, zone}) => ({address, name, zone}));
-  return sortLines(entries, ({name}) => name);
+  return sortByName(entries, ({name}) => name);
 }
 
 function storeViews({heard, now, state}: NewsInput): readonly StoreView[] {
@@ -71,7 +71,7 @@
     ...store,
     heard: now - (heard.stores.get(store.replica)?.at ?? -Infinity) < ENTRY_SILENT_MS,
   }));
-  return sortLines(stores, ({name}) => name);
+  return sortByName(stores, ({name}) => name);
 }
 
 /**
@@ -89,7 +89,7 @@
 }
 
 function suspectViews({state}: NewsInput): readonly SuspectView[] {
-  return sortLines([...state.suspects.values()].map(suspectView), ({digest}) => digest);
+  return sortByName([...state.suspects.values()].map(suspectView), ({digest}) => digest);
 }
 
 /**
