--- a/packages/stallpaddle-fleet/src/FleetMachine.ts
+++ b/packages/stallpaddle-fleet/src/FleetMachine.ts
@@ -111,7 +111,7 @@
  * @param state the group's state
  * @param report the report
  */
-export function isNews(state: FleetState, report: EngineReport): boolean {
+export function changesEngine(state: FleetState, report: EngineReport): boolean {
   if (isOutdated(state, report)) {
     return false;
   }
@@ -125,7 +125,7 @@
 }
 
 function reportEngine(state: FleetState, report: EngineReport): FleetStep {
-  if (!isNews(state, report)) {
+  if (!changesEngine(state, report)) {
     return unchanged(state);
   }
   const known = state.engines.get(report.id);
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetMachine.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetMachine.test.ts
@@ -14,7 +14,7 @@
   StoredConfig,
 } from '../../FleetTypes';
 
-import {fleetMachine, isNews, isOutdated, laterHolders} from '../../FleetMachine';
+import {fleetMachine, changesEngine, isOutdated, laterHolders} from '../../FleetMachine';
 
 function apply(state: FleetState, ...commands: readonly FleetCommand[]): FleetState {
   return commands.reduce(
@@ -64,7 +64,7 @@
       {kind: 'reportEngine', report: reportOf('e', {sequence: 9})},
     );
     expect(state.engines.size).toBe(0);
-    expect(isNews(state, reportOf('e', {sequence: 10}))).toBe(false);
+    expect(changesEngine(state, reportOf('e', {sequence: 10}))).toBe(false);
   });
 
   test('another engine at an address ends the one that had it', () => {
@@ -212,7 +212,7 @@
     });
     const state = fleetMachine.decode(bytes);
     expect(state.engines.get('e')?.startedAtMs).toBe(0);
-    expect(isNews(state, reportOf('old', {sequence: 9}))).toBe(false);
+    expect(changesEngine(state, reportOf('old', {sequence: 9}))).toBe(false);
     const removal = encodeValue({id: 'e', kind: 'removeEngine'});
     expect(fleetMachine.apply(state, removal, 0).state.engines.size).toBe(0);
   });
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -10,7 +10,7 @@
   sortByName,
 } from './FleetDelta';
 export {FleetHistory, type NumberedStatus} from './FleetHistory';
-export {fleetMachine, isNews, isOutdated, laterHolders} from './FleetMachine';
+export {fleetMachine, changesEngine, isOutdated, laterHolders} from './FleetMachine';
 export {
   afterEngineEnd,
   afterRelease,
--- a/packages/stallpaddle-node/src/NodeDesk.ts
+++ b/packages/stallpaddle-node/src/NodeDesk.ts
@@ -16,7 +16,7 @@
   type FleetState,
   type FleetHeartbeat,
   isEmptyDelta,
-  isNews,
+  changesEngine,
   isOutdated,
   laterHolders,
   type RetireAnswer,
@@ -203,7 +203,7 @@
       return {kind: 'applied'};
     }
     this.current().engines.set(report.id, this.options.clock.monotonicMs());
-    return isNews(state, report) ? this.propose({kind: 'reportEngine', report}) : {kind: 'applied'};
+    return changesEngine(state, report) ? this.propose({kind: 'reportEngine', report}) : {kind: 'applied'};
   }
 
   /** Whether an engine that started later has the report's address, and lives. */
