--- a/packages/stallpaddle-fleet/src/FleetCustomers.ts
+++ b/packages/stallpaddle-fleet/src/FleetCustomers.ts
@@ -23,7 +23,7 @@
  *
  * @param config the configuration
  */
-export function toldConfig({source: _source, ...told}: StoredConfig): FleetConfig {
+export function withoutSource({source: _source, ...told}: StoredConfig): FleetConfig {
   return told;
 }
 
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetCustomers.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetCustomers.test.ts
@@ -5,7 +5,7 @@
 
 import type {FleetCustomer} from '../../FleetTypes';
 
-import {CustomerTable, findCustomerFault, keyDigest, toldConfig} from '../../FleetCustomers';
+import {CustomerTable, findCustomerFault, keyDigest, withoutSource} from '../../FleetCustomers';
 
 function customerOf(name: string, changes: Partial<FleetCustomer> = {}): FleetCustomer {
   const keys = [keyDigest(`${name} 1`), keyDigest(`${name} 2`)];
@@ -43,6 +43,6 @@
     const limits = {headerTimeoutMs: 1, idleTimeoutMs: 1, maxBodyBytes: 1, maxHeaderBytes: 1};
     const customers = [customerOf('a')];
     const config = {customers, limits, routes: [], services: [], source: 'a 1', version: 1};
-    expect(JSON.stringify(toldConfig(config))).not.toContain('a 1');
+    expect(JSON.stringify(withoutSource(config))).not.toContain('a 1');
   });
 });
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -1,6 +1,6 @@
 /** The control group's state for self-registering engines and whole configurations. */
 export {type ConfigFault, findConfigFault, RouteTable} from './FleetConfigs';
-export {CustomerTable, findCustomerFault, keyDigest, toldConfig} from './FleetCustomers';
+export {CustomerTable, findCustomerFault, keyDigest, withoutSource} from './FleetCustomers';
 export {
   applyStatusDelta,
   diffStatus,
--- a/packages/stallpaddle-node/src/NodeDesk.ts
+++ b/packages/stallpaddle-node/src/NodeDesk.ts
@@ -21,7 +21,7 @@
   laterHolders,
   type RetireAnswer,
   type StoredConfig,
-  toldConfig,
+  withoutSource,
   UNPROVEN_TERM,
   type WatchAnswer,
 } from 'stallpaddle-fleet';
@@ -156,7 +156,7 @@
   /** A configuration without the operator's text; made once for each. */
   private told(config: StoredConfig | null): FleetConfig | null {
     if (this.toldOf.stored !== config) {
-      this.toldOf = {config: config === null ? null : toldConfig(config), stored: config};
+      this.toldOf = {config: config === null ? null : withoutSource(config), stored: config};
     }
     return this.toldOf.config;
   }
