--- a/packages/stallpaddle-fleet/src/FleetMachine.ts
+++ b/packages/stallpaddle-fleet/src/FleetMachine.ts
@@ -17,7 +17,7 @@
 } from './FleetTypes';
 
 import {afterEngineEnd, afterRelease, afterTick} from './FleetSuspects';
-import {UNTOLD_START} from './FleetTypes';
+import {UNKNOWN_START} from './FleetTypes';
 
 /** Ended engines that are remembered: at 290 restarts a day, more than a week of them. */
 const GONE_ENGINES_KEPT = 4_096;
@@ -143,7 +143,7 @@
 function removeEngine(state: FleetState, {id, startedAtMs}: RemoveEngine): FleetStep {
   const running = state.engines.get(id)?.startedAtMs;
   const endedAt = state.goneEngines.get(id);
-  const ending = startedAtMs ?? running ?? endedAt ?? UNTOLD_START;
+  const ending = startedAtMs ?? running ?? endedAt ?? UNKNOWN_START;
   const isKnown = endedAt !== undefined && ending <= endedAt;
   // The word of an earlier start may come after the next one has begun.
   const isEarlier = running !== undefined && ending < running;
@@ -220,7 +220,7 @@
   Partial<Pick<Report, 'startedAtMs'>>;
 
 function withStart(engine: ToldBefore<FleetEngine>): FleetEngine {
-  return {...engine, startedAtMs: engine.startedAtMs ?? UNTOLD_START};
+  return {...engine, startedAtMs: engine.startedAtMs ?? UNKNOWN_START};
 }
 
 function decodeCommand(bytes: Uint8Array): FleetCommand {
@@ -249,7 +249,7 @@
       clockMs: encoded.clockMs ?? 0,
       engines: new Map(encoded.engines.map((engine) => [engine.id, withStart(engine)])),
       goneEngines: new Map(
-        encoded.goneEngines.map((gone) => (typeof gone === 'string' ? [gone, UNTOLD_START] : gone)),
+        encoded.goneEngines.map((gone) => (typeof gone === 'string' ? [gone, UNKNOWN_START] : gone)),
       ),
       stores: new Map(encoded.stores.map((store) => [store.name, store])),
       suspects: new Map((encoded.suspects ?? []).map((suspect) => [suspect.digest, suspect])),
--- a/packages/stallpaddle-fleet/src/FleetTypes.ts
+++ b/packages/stallpaddle-fleet/src/FleetTypes.ts
@@ -101,7 +101,7 @@
   readonly service: string;
   readonly slots: number;
   /**
-   * When it started, in Unix milliseconds of its own time of day; {@link UNTOLD_START} when it doesn't say. An engine that
+   * When it started, in Unix milliseconds of its own time of day; {@link UNKNOWN_START} when it doesn't say. An engine that
    * starts again under its name holds nothing of before, and counts its reports anew.
    */
   readonly startedAtMs: number;
@@ -109,7 +109,7 @@
 }
 
 /** Start of an engine that doesn't say when it started: before all that do. */
-export const UNTOLD_START = 0;
+export const UNKNOWN_START = 0;
 
 /** An engine as the group knows it. */
 export type FleetEngine = EngineReport;
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -42,7 +42,7 @@
   type RouteKind,
   type RouteShare,
   type StoredConfig,
-  UNTOLD_START,
+  UNKNOWN_START,
 } from './FleetTypes';
 export {
   EMPTY_VIEW,
