--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetHistory.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetHistory.test.ts
@@ -10,7 +10,7 @@
 
 import {applyStatusDelta, diffStatus, isEmptyDelta} from '../../FleetDelta';
 import {FleetHistory} from '../../FleetHistory';
-import {EMPTY_VIEW, takeAnswer} from '../../FleetView';
+import {EMPTY_VIEW, applyWatchAnswer} from '../../FleetView';
 
 const NAMES = ['a', 'b', 'c', 'd'] as const;
 
@@ -97,7 +97,7 @@
           term: latest.term,
           update: histories[asks]!.updateFor(known),
         };
-        view = takeAnswer(view, answer, 0);
+        view = applyWatchAnswer(view, answer, 0);
         const isNewer = latest.term > before.term || latest.fleet > before.fleet;
         expect([view.term, view.fleet]).toEqual(
           isNewer ? [latest.term, latest.fleet] : [before.term, before.fleet],
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetView.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetView.test.ts
@@ -8,7 +8,7 @@
 import type {FleetConfig} from '../../FleetTypes';
 
 import {diffStatus} from '../../FleetDelta';
-import {EMPTY_VIEW, takeAnswer, type WatchAnswer} from '../../FleetView';
+import {EMPTY_VIEW, applyWatchAnswer, type WatchAnswer} from '../../FleetView';
 
 function answerOf(changes: Partial<WatchAnswer>): WatchAnswer {
   return {
@@ -36,7 +36,7 @@
     const property = fc.property(answers, (all) => {
       let view = EMPTY_VIEW;
       for (const {held, sentAt, version} of all) {
-        const next = takeAnswer(view, answerOf({config: configOf(version), heldMs: held}), sentAt);
+        const next = applyWatchAnswer(view, answerOf({config: configOf(version), heldMs: held}), sentAt);
         expect(next.config!.version).toBeGreaterThanOrEqual(view.config?.version ?? -1);
         expect(next.asOf).toBe(Math.max(view.asOf, sentAt + held));
         view = next;
@@ -46,7 +46,7 @@
   });
 
   test('takes no moment from what nobody proved', () => {
-    const view = takeAnswer(EMPTY_VIEW, answerOf({config: configOf(3), proven: false}), 50);
+    const view = applyWatchAnswer(EMPTY_VIEW, answerOf({config: configOf(3), proven: false}), 50);
     expect(view.config?.version).toBe(3);
     expect(view.asOf).toBe(-Infinity);
   });
@@ -62,31 +62,31 @@
           news: {...EMPTY_VIEW.news, entries: names.map(entry), entriesComplete},
         },
       });
-    const before = takeAnswer(EMPTY_VIEW, whole(['a', 'b'], true, 1), 0);
-    const during = takeAnswer(before, whole(['b'], false, 2), 1);
+    const before = applyWatchAnswer(EMPTY_VIEW, whole(['a', 'b'], true, 1), 0);
+    const during = applyWatchAnswer(before, whole(['b'], false, 2), 1);
     expect(during.news.entries.map(({name}) => name).sort()).toEqual(['a', 'b']);
-    const after = takeAnswer(during, whole(['b'], true, 3), 2);
+    const after = applyWatchAnswer(during, whole(['b'], true, 3), 2);
     expect(after.news.entries.map(({name}) => name)).toEqual(['b']);
   });
 
   test('adds up the ages of whoever passed the news on', () => {
-    const view = takeAnswer(EMPTY_VIEW, answerOf({ageMs: 350, heldMs: 200}), 1_000);
+    const view = applyWatchAnswer(EMPTY_VIEW, answerOf({ageMs: 350, heldMs: 200}), 1_000);
     expect(view.asOf).toBe(1_000 + 200 - 350);
     // A younger answer counts, an older one takes nothing back.
-    expect(takeAnswer(view, answerOf({ageMs: 900}), 1_100).asOf).toBe(view.asOf);
-    expect(takeAnswer(view, answerOf({ageMs: 10}), 1_100).asOf).toBe(1_090);
+    expect(applyWatchAnswer(view, answerOf({ageMs: 900}), 1_100).asOf).toBe(view.asOf);
+    expect(applyWatchAnswer(view, answerOf({ageMs: 10}), 1_100).asOf).toBe(1_090);
   });
 
   test('takes no news from a replica that lags behind another, whatever the term', () => {
     const whole = (name: string) =>
       ({kind: 'whole', news: {...EMPTY_VIEW.news, controls: [name]}}) as const;
-    const held = takeAnswer(EMPTY_VIEW, answerOf({fleet: 7, term: 3, update: whole('new')}), 0);
+    const held = applyWatchAnswer(EMPTY_VIEW, answerOf({fleet: 7, term: 3, update: whole('new')}), 0);
     const earlier = [
       {fleet: 6, term: 3},
       {fleet: 9, term: 2},
     ];
     for (const numbers of earlier) {
-      const view = takeAnswer(held, answerOf({...numbers, update: whole('old')}), 50);
+      const view = applyWatchAnswer(held, answerOf({...numbers, update: whole('old')}), 50);
       expect(view.news.controls).toEqual(['new']);
       expect([view.fleet, view.term]).toEqual([7, 3]);
       // What is held is at least as new as what that replica tells, so its moment counts.
@@ -96,9 +96,9 @@
 
   test('takes neither news nor a moment from a difference to news that it does not hold', () => {
     const update = {kind: 'whole', news: EMPTY_VIEW.news} as const;
-    const held = takeAnswer(EMPTY_VIEW, answerOf({fleet: 4, term: 1, update}), 0);
+    const held = applyWatchAnswer(EMPTY_VIEW, answerOf({fleet: 4, term: 1, update}), 0);
     const delta = diffStatus(EMPTY_VIEW.news, {...EMPTY_VIEW.news, controls: ['a']});
     const strange = answerOf({fleet: 6, update: {delta, from: 5, kind: 'delta'}});
-    expect(takeAnswer(held, strange, 100)).toEqual(held);
+    expect(applyWatchAnswer(held, strange, 100)).toEqual(held);
   });
 });
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -58,7 +58,7 @@
   type ForwardedHeartbeat,
   type RetireAnswer,
   type StoreView,
-  takeAnswer,
+  applyWatchAnswer,
   UNPROVEN_TERM,
   type WatchAnswer,
 } from './FleetView';
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -13,7 +13,7 @@
   type FleetView,
   type FleetHeartbeat,
   type ForwardedHeartbeat,
-  takeAnswer,
+  applyWatchAnswer,
   UNPROVEN_TERM,
   type WatchAnswer,
 } from 'stallpaddle-fleet';
@@ -305,7 +305,7 @@
 
   private take(answer: WatchAnswer, sentAt: MonotonicMs): void {
     const before = this.current;
-    this.current = takeAnswer(before, answer, sentAt);
+    this.current = applyWatchAnswer(before, answer, sentAt);
     this.options.onView(this.current, before);
   }
 }
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -11,7 +11,7 @@
   type FleetRequest,
   type FleetView,
   type FleetHeartbeat,
-  takeAnswer,
+  applyWatchAnswer,
 } from 'stallpaddle-fleet';
 import {NotLeaderError} from 'stallpaddle-replication';
 import {tryLocal} from 'stallpaddle-rpc';
@@ -253,7 +253,7 @@
   test('holds a question for its time, and tells for how long', async () => {
     const board = new NodeNewsBoard(systemClock, () => ({ageMs: 5, config: null}));
     board.put({fleet: 1, news: EMPTY_VIEW.news, term: 1});
-    const view = takeAnswer(
+    const view = applyWatchAnswer(
       EMPTY_VIEW,
       await board.answer({config: null, fleet: 0, term: -1}, 0),
       0,
