--- a/packages/stallpaddle-experiment/src/ExperimentBlame.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentBlame.ts
@@ -4,7 +4,7 @@
  * begin to run it.
  */
 import {type Random, seededRandom} from 'stallpaddle';
-import {afterEngineEnd, type FleetSuspects, HELD_LEVEL} from 'stallpaddle-fleet';
+import {afterEngineEnd, type FleetSuspects, QUARANTINE_LEVEL} from 'stallpaddle-fleet';
 import {hasOnlyBegun} from 'stallpaddle-relay';
 
 /** What is modelled. */
@@ -136,7 +136,7 @@
       const end = {digest: name, engine: `e${engine}`, kind: 'noteEngineEnd', known} as const;
       this.suspects = afterEngineEnd(this.suspects, {...end, startedAtMs: now}, 0);
     }
-    if ((this.suspects.get(name)?.level ?? 0) >= HELD_LEVEL) {
+    if ((this.suspects.get(name)?.level ?? 0) >= QUARANTINE_LEVEL) {
       this.held[isFatal ? 'guilty' : 'innocent']++;
     } else {
       this.due.push({at: now + AGAIN_MS, isFatal, name});
--- a/packages/stallpaddle-fleet/src/FleetSuspects.ts
+++ b/packages/stallpaddle-fleet/src/FleetSuspects.ts
@@ -35,7 +35,7 @@
   readonly holds: number;
   /** What senders knew when the runs began, each once: as many ends came one after the other, in whatever order they are told. */
   readonly knowns: readonly number[];
-  /** Ends one after the other; {@link HELD_LEVEL} holds it off the engines. */
+  /** Ends one after the other; {@link QUARANTINE_LEVEL} holds it off the engines. */
   readonly level: number;
   /** When the level is lowered, by the group's clock. */
   readonly until: GroupMs;
@@ -66,7 +66,7 @@
  * of 400,000 requests, `npm run blame`) 44 such requests for 349 causes at 6 engines, 1 for 37 at 68, none at 740; with each
  * engine ending once a minute by itself 41, 3 and 3. They were cut off twice already.
  */
-export const HELD_LEVEL = 2;
+export const QUARANTINE_LEVEL = 2;
 
 /** Time for which one end counts, in milliseconds: callers that come again do so within seconds. */
 const SUSPECT_MS = 60_000;
@@ -96,7 +96,7 @@
     return suspects;
   }
   const [oldest] = suspects.keys();
-  const least = [...suspects.values()].find(({level}) => level < HELD_LEVEL)?.digest ?? oldest!;
+  const least = [...suspects.values()].find(({level}) => level < QUARANTINE_LEVEL)?.digest ?? oldest!;
   const kept = new Map(suspects);
   kept.delete(least);
   return kept;
@@ -126,9 +126,9 @@
   // The word of an end may be late, then the others count it; or lost, then whoever knew of as many counts.
   const counted = known >= levelBefore ? levelBefore + 1 : levelBefore;
   const level = Math.max(counted, knowns.length);
-  const isNewHold = level >= HELD_LEVEL && levelBefore < HELD_LEVEL;
+  const isNewHold = level >= QUARANTINE_LEVEL && levelBefore < QUARANTINE_LEVEL;
   const holds = (before?.holds ?? 0) + (isNewHold ? 1 : 0);
-  const lastsMs = level >= HELD_LEVEL ? holdMs(holds) : SUSPECT_MS;
+  const lastsMs = level >= QUARANTINE_LEVEL ? holdMs(holds) : SUSPECT_MS;
   const ended = [...(before?.ended ?? []), start].slice(-ENDS_KEPT);
   const until = Math.max(before?.until ?? 0, now + lastsMs);
   const next = new Map(suspects);
@@ -140,8 +140,8 @@
 /** A suspect once its time is over: one that was held is on trial, any other is forgotten. */
 function afterTime(suspect: FleetSuspect): FleetSuspect | undefined {
   const {holds, level, until} = suspect;
-  return level >= HELD_LEVEL
-    ? {...suspect, knowns: [0], level: HELD_LEVEL - 1, until: until + holdMs(holds)}
+  return level >= QUARANTINE_LEVEL
+    ? {...suspect, knowns: [0], level: QUARANTINE_LEVEL - 1, until: until + holdMs(holds)}
     : undefined;
 }
 
@@ -184,7 +184,7 @@
  * @param suspect the suspect
  */
 export function suspectView({digest, holds, level}: FleetSuspect): SuspectView {
-  return {digest, holdMs: level >= HELD_LEVEL ? holdMs(holds) : 0, level};
+  return {digest, holdMs: level >= QUARANTINE_LEVEL ? holdMs(holds) : 0, level};
 }
 
 /**
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetSuspects.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetSuspects.test.ts
@@ -13,7 +13,7 @@
   afterRelease,
   afterTick,
   FIRST_HOLD_MS,
-  HELD_LEVEL,
+  QUARANTINE_LEVEL,
   suspectView,
 } from '../../FleetSuspects';
 
@@ -43,7 +43,7 @@
 describe('requests during whose runs engines ended', () => {
   test('a second end holds a request only if its run began when the first was known', () => {
     expect(levelOf(after([{}]))).toBe(1);
-    expect(levelOf(after([{}, SECOND]))).toBe(HELD_LEVEL);
+    expect(levelOf(after([{}, SECOND]))).toBe(QUARANTINE_LEVEL);
     // Engines that end at one moment, each with a run of what all callers send.
     const herd = Array.from({length: 60}, (_, at) => ({engine: `e${at}`}));
     expect(levelOf(after(herd))).toBe(1);
@@ -51,7 +51,7 @@
 
   test('an end that several VMs tell of counts once; the next start of that engine is another', () => {
     expect(levelOf(after([{}, {known: 1}, {known: 1}]))).toBe(1);
-    expect(levelOf(after([{}, {known: 1, startedAtMs: 7}]))).toBe(HELD_LEVEL);
+    expect(levelOf(after([{}, {known: 1, startedAtMs: 7}]))).toBe(QUARANTINE_LEVEL);
   });
 
   test('the ends make the same level in whatever order they are told', async () => {
@@ -65,7 +65,7 @@
   });
 
   test('the word of an end that is lost keeps later ends from counting no longer than once', () => {
-    expect(levelOf(after([{known: 1}, {engine: 'e2', known: 1}]))).toBe(HELD_LEVEL);
+    expect(levelOf(after([{known: 1}, {engine: 'e2', known: 1}]))).toBe(QUARANTINE_LEVEL);
   });
 
   test('a run to an end clears it; late words of ends from before begin anew', () => {
@@ -77,9 +77,9 @@
   test('is held for minutes, then on trial; one more end holds it twice as long; at last it is forgotten', () => {
     const held = after([{}, SECOND]);
     expect(suspectView(held.get('d')!).holdMs).toBe(FIRST_HOLD_MS);
-    expect(levelOf(afterTick(held, FIRST_HOLD_MS - 1))).toBe(HELD_LEVEL);
+    expect(levelOf(afterTick(held, FIRST_HOLD_MS - 1))).toBe(QUARANTINE_LEVEL);
     const onTrial = afterTick(held, FIRST_HOLD_MS);
-    expect(levelOf(onTrial)).toBe(HELD_LEVEL - 1);
+    expect(levelOf(onTrial)).toBe(QUARANTINE_LEVEL - 1);
     const again = afterEngineEnd(onTrial, endOf({engine: 'e3', known: 1}), FIRST_HOLD_MS);
     expect(suspectView(again.get('d')!).holdMs).toBe(2 * FIRST_HOLD_MS);
     expect(afterTick(onTrial, 2 * FIRST_HOLD_MS).size).toBe(0);
@@ -92,7 +92,7 @@
       suspects = afterEngineEnd(suspects, endOf({digest: `other ${at}`}), 0);
     }
     expect(suspects.size).toBeLessThanOrEqual(4_096);
-    expect(levelOf(suspects)).toBe(HELD_LEVEL);
+    expect(levelOf(suspects)).toBe(QUARANTINE_LEVEL);
   });
 
   test('whatever is told, in whatever order: no level beyond the engines that ended, and none by words alone', async () => {
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -18,7 +18,7 @@
   FIRST_HOLD_MS,
   type FleetSuspect,
   type FleetSuspects,
-  HELD_LEVEL,
+  QUARANTINE_LEVEL,
   type NoteEngineEnd,
   type ReleaseRequest,
   suspectDetails,
--- a/packages/stallpaddle-jobs/src/JobsRunner.ts
+++ b/packages/stallpaddle-jobs/src/JobsRunner.ts
@@ -6,7 +6,7 @@
 import type {Term} from 'stallpaddle-replication';
 
 import {errorMessage, unreachable} from 'stallpaddle';
-import {engineOf, type EngineView, type FleetRoute, HELD_LEVEL} from 'stallpaddle-fleet';
+import {engineOf, type EngineView, type FleetRoute, QUARANTINE_LEVEL} from 'stallpaddle-fleet';
 import {hasOnlyBegun, RelayPace, requestDigest, SERVER_ERROR} from 'stallpaddle-relay';
 
 import type {ItemDecision, JobsDispatcherOptions} from './JobsContext';
@@ -146,7 +146,7 @@
    */
   private isHeld(task: Task): boolean {
     const level = this.levelOf(task);
-    if (level < HELD_LEVEL) {
+    if (level < QUARANTINE_LEVEL) {
       return false;
     }
     const now = this.needs.clock.monotonicMs();
--- a/packages/stallpaddle-node/src/NodeSuspectsDesk.ts
+++ b/packages/stallpaddle-node/src/NodeSuspectsDesk.ts
@@ -11,7 +11,7 @@
   SuspectDetails,
 } from 'stallpaddle-fleet';
 
-import {HELD_LEVEL, suspectDetails} from 'stallpaddle-fleet';
+import {QUARANTINE_LEVEL, suspectDetails} from 'stallpaddle-fleet';
 
 import type {NodeGroup} from './NodeGroup';
 
@@ -62,7 +62,7 @@
       digest,
       ended: suspect?.ended.join(','),
       engine,
-      held: (suspect?.level ?? 0) >= HELD_LEVEL,
+      held: (suspect?.level ?? 0) >= QUARANTINE_LEVEL,
       known,
       level: suspect?.level,
       startedAtMs,
--- a/packages/stallpaddle-relay/src/RelaySuspects.ts
+++ b/packages/stallpaddle-relay/src/RelaySuspects.ts
@@ -8,7 +8,7 @@
 import {
   type EngineView,
   FIRST_HOLD_MS,
-  HELD_LEVEL,
+  QUARANTINE_LEVEL,
   type NoteEngineEnd,
   type ReleaseRequest,
   type SuspectView,
@@ -91,7 +91,7 @@
   }
 
   /**
-   * Level at which a request stands; {@link HELD_LEVEL} holds it off the engines.
+   * Level at which a request stands; {@link QUARANTINE_LEVEL} holds it off the engines.
    *
    * @param digest the request
    */
@@ -122,7 +122,7 @@
     }
     const before = this.levelOf(digest);
     const level = known >= before ? before + 1 : before;
-    const held = level >= HELD_LEVEL;
+    const held = level >= QUARANTINE_LEVEL;
     decide(id, {digest, engine: engine.id, held, known, level, startedAtMs: engine.startedAtMs});
     const own: OwnLevel = {level, until: Infinity};
     this.own.set(digest, own);
--- a/packages/stallpaddle-relay/src/RelaySuspicion.ts
+++ b/packages/stallpaddle-relay/src/RelaySuspicion.ts
@@ -4,7 +4,7 @@
  */
 import type {EngineView} from 'stallpaddle-fleet';
 
-import {HELD_LEVEL} from 'stallpaddle-fleet';
+import {QUARANTINE_LEVEL} from 'stallpaddle-fleet';
 
 import type {RelayContext, RelayRequest} from './RelayTypes';
 
@@ -67,7 +67,7 @@
    * past its begin is not, whatever became of others with its body: it would be broken off.
    */
   heldMs(): number | undefined {
-    if (this.level < HELD_LEVEL) {
+    if (this.level < QUARANTINE_LEVEL) {
       return undefined;
     }
     if (this.isCleared) {
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
@@ -2,7 +2,7 @@
  * Requests that end engines, and requests that only stood beside: what each VM finds, and what it does with it.
  */
 import {delay, VERDICT_HEADER} from 'stallpaddle';
-import {HELD_LEVEL} from 'stallpaddle-fleet';
+import {QUARANTINE_LEVEL} from 'stallpaddle-fleet';
 import {PLAIN, plainRelay, type StreamEngine, SuspectBoard} from 'stallpaddle-testing';
 import {afterEach, describe, expect, test} from 'vitest';
 
@@ -97,7 +97,7 @@
     await Promise.all(relays.map(({port}) => ask(port, undefined, {}, FATAL)));
     await delay(LOOKED_MS);
     const [suspect] = board.suspects.values();
-    expect(suspect!.level).toBeLessThan(HELD_LEVEL);
+    expect(suspect!.level).toBeLessThan(QUARANTINE_LEVEL);
   });
 
   test('counts at the VM that saw it though nobody can be told', async () => {
@@ -187,7 +187,7 @@
     expect(board.suspects.size).toBe(0);
     await suspect(0);
     await suspect(1);
-    expect(others.levelOf(digest)).toBe(HELD_LEVEL);
+    expect(others.levelOf(digest)).toBe(QUARANTINE_LEVEL);
     engines.forEach((engine) => (engine.manners = []));
     await engines.find(({seen}) => seen.length > 0)!.stop();
     expect(await asked).toMatchObject({isWhole: true, status: 200});
