--- a/packages/stallpaddle-fleet/src/FleetSuspects.ts
+++ b/packages/stallpaddle-fleet/src/FleetSuspects.ts
@@ -74,7 +74,7 @@
  * First time for which a request is held, in milliseconds: no caller waits so long, and whoever repairs the engines has had a
  * look. It is on trial for as long again: one more end holds it twice as long.
  */
-export const FIRST_HOLD_MS = 600_000;
+export const FIRST_QUARANTINE_MS = 600_000;
 /** Longest such time, in milliseconds: a day. */
 const LONGEST_HOLD_MS = 86_400_000;
 /** Suspects that are kept; each end makes a dozen at most, and 740 engines end 50 times a day. */
@@ -83,7 +83,7 @@
 const ENDS_KEPT = 8;
 
 function holdMs(holds: number): number {
-  return Math.min(LONGEST_HOLD_MS, FIRST_HOLD_MS * 2 ** (holds - 1));
+  return Math.min(LONGEST_HOLD_MS, FIRST_QUARANTINE_MS * 2 ** (holds - 1));
 }
 
 function startName({engine, startedAtMs}: NoteEngineEnd): string {
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetSuspects.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetSuspects.test.ts
@@ -12,7 +12,7 @@
   afterEngineEnd,
   afterRelease,
   afterTick,
-  FIRST_HOLD_MS,
+  FIRST_QUARANTINE_MS,
   QUARANTINE_LEVEL,
   suspectView,
 } from '../../FleetSuspects';
@@ -76,14 +76,14 @@
 
   test('is held for minutes, then on trial; one more end holds it twice as long; at last it is forgotten', () => {
     const held = after([{}, SECOND]);
-    expect(suspectView(held.get('d')!).holdMs).toBe(FIRST_HOLD_MS);
-    expect(levelOf(afterTick(held, FIRST_HOLD_MS - 1))).toBe(QUARANTINE_LEVEL);
-    const onTrial = afterTick(held, FIRST_HOLD_MS);
+    expect(suspectView(held.get('d')!).holdMs).toBe(FIRST_QUARANTINE_MS);
+    expect(levelOf(afterTick(held, FIRST_QUARANTINE_MS - 1))).toBe(QUARANTINE_LEVEL);
+    const onTrial = afterTick(held, FIRST_QUARANTINE_MS);
     expect(levelOf(onTrial)).toBe(QUARANTINE_LEVEL - 1);
-    const again = afterEngineEnd(onTrial, endOf({engine: 'e3', known: 1}), FIRST_HOLD_MS);
-    expect(suspectView(again.get('d')!).holdMs).toBe(2 * FIRST_HOLD_MS);
-    expect(afterTick(onTrial, 2 * FIRST_HOLD_MS).size).toBe(0);
-    expect(afterTick(after([{}]), FIRST_HOLD_MS).size).toBe(0);
+    const again = afterEngineEnd(onTrial, endOf({engine: 'e3', known: 1}), FIRST_QUARANTINE_MS);
+    expect(suspectView(again.get('d')!).holdMs).toBe(2 * FIRST_QUARANTINE_MS);
+    expect(afterTick(onTrial, 2 * FIRST_QUARANTINE_MS).size).toBe(0);
+    expect(afterTick(after([{}]), FIRST_QUARANTINE_MS).size).toBe(0);
   });
 
   test('a flood of other requests pushes none out that is held', () => {
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -15,7 +15,7 @@
   afterEngineEnd,
   afterRelease,
   afterTick,
-  FIRST_HOLD_MS,
+  FIRST_QUARANTINE_MS,
   type FleetSuspect,
   type FleetSuspects,
   QUARANTINE_LEVEL,
--- a/packages/stallpaddle-jobs/src/JobsTrial.ts
+++ b/packages/stallpaddle-jobs/src/JobsTrial.ts
@@ -4,7 +4,7 @@
  */
 import type {MonotonicMs} from 'stallpaddle';
 
-import {FIRST_HOLD_MS, QUARANTINE_LEVEL} from 'stallpaddle-fleet';
+import {FIRST_QUARANTINE_MS, QUARANTINE_LEVEL} from 'stallpaddle-fleet';
 
 /** The next run of an item that is held off the engines. */
 export interface ItemTrial {
@@ -32,7 +32,7 @@
  * @param level how many engines ended, one after the other, when they began to run it
  */
 export function trialPauseMs(level: number): number {
-  return Math.min(FIRST_HOLD_MS, FIRST_TRIAL_MS * TRIAL_FACTOR ** (level - QUARANTINE_LEVEL));
+  return Math.min(FIRST_QUARANTINE_MS, FIRST_TRIAL_MS * TRIAL_FACTOR ** (level - QUARANTINE_LEVEL));
 }
 
 /**
--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsTrial.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsTrial.test.ts
@@ -1,4 +1,4 @@
-import {FIRST_HOLD_MS, QUARANTINE_LEVEL} from 'stallpaddle-fleet';
+import {FIRST_QUARANTINE_MS, QUARANTINE_LEVEL} from 'stallpaddle-fleet';
 import {describe, expect, test} from 'vitest';
 
 /**
@@ -9,7 +9,7 @@
 describe('nextTrial', () => {
   test('waits longer after each end, and never longer than a request is held', () => {
     const pauses = [0, 1, 2, 3, 9].map((more) => trialPauseMs(QUARANTINE_LEVEL + more));
-    expect(pauses).toEqual([3_000, 15_000, 75_000, 375_000, FIRST_HOLD_MS]);
+    expect(pauses).toEqual([3_000, 15_000, 75_000, 375_000, FIRST_QUARANTINE_MS]);
   });
 
   test('stays due while no other engine ends, and begins to wait anew with the next end', () => {
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeDesk.test.ts
@@ -7,7 +7,7 @@
 import type {ReplicaDriver} from 'stallpaddle-replication';
 
 import {decodeValue, delay, systemClock} from 'stallpaddle';
-import {FIRST_HOLD_MS, fleetMachine} from 'stallpaddle-fleet';
+import {FIRST_QUARANTINE_MS, fleetMachine} from 'stallpaddle-fleet';
 import {NotLeaderError} from 'stallpaddle-replication';
 import {afterEach, describe, expect, test} from 'vitest';
 
@@ -195,13 +195,13 @@
     await desk.answer({...end, engine: 'e1', known: 0});
     await desk.answer({...end, engine: 'e2', known: 1});
     const told = (await watch(desk, [])) as {update: {news: FleetStatus}};
-    expect(told.update.news.suspects).toEqual([{digest: 'd', holdMs: FIRST_HOLD_MS, level: 2}]);
+    expect(told.update.news.suspects).toEqual([{digest: 'd', holdMs: FIRST_QUARANTINE_MS, level: 2}]);
     expect(await desk.answer({kind: 'listSuspects'})).toEqual([
       {
         digest: 'd',
         ended: ['e1@0', 'e2@0'],
-        holdMs: FIRST_HOLD_MS,
-        leftMs: FIRST_HOLD_MS,
+        holdMs: FIRST_QUARANTINE_MS,
+        leftMs: FIRST_QUARANTINE_MS,
         level: 2,
       },
     ]);
--- a/packages/stallpaddle-relay/src/RelaySuspects.ts
+++ b/packages/stallpaddle-relay/src/RelaySuspects.ts
@@ -7,7 +7,7 @@
 import {errorMessage} from 'stallpaddle';
 import {
   type EngineView,
-  FIRST_HOLD_MS,
+  FIRST_QUARANTINE_MS,
   QUARANTINE_LEVEL,
   type NoteEngineEnd,
   type ReleaseRequest,
@@ -105,7 +105,7 @@
    * @param digest the request
    */
   holdMs(digest: string): number {
-    return this.told(digest)?.holdMs || FIRST_HOLD_MS;
+    return this.told(digest)?.holdMs || FIRST_QUARANTINE_MS;
   }
 
   /**
