--- a/packages/stallpaddle-node/src/NodeDesk.ts
+++ b/packages/stallpaddle-node/src/NodeDesk.ts
@@ -43,7 +43,7 @@
 const REFRESH_MS = 100;
 
 /** What the desk needs of its process. */
-export interface NodeDeskOptions {
+export interface NodeControlHandlerOptions {
   readonly clock: Clock;
   /** The control group's replica here. */
   readonly group: Pick<NodeGroup<FleetState>, 'driver' | 'registerListener'>;
@@ -75,7 +75,7 @@
   /**
    * @param options what it needs of its process
    */
-  constructor(private readonly options: NodeDeskOptions) {
+  constructor(private readonly options: NodeControlHandlerOptions) {
     this.board = new NodeNewsBoard(options.clock, () => ({
       ageMs: 0,
       config: this.told(options.group.driver.read().config),
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeDesk.test.ts
@@ -11,7 +11,7 @@
 import {NotLeaderError} from 'stallpaddle-replication';
 import {afterEach, describe, expect, test} from 'vitest';
 
-import type {NodeDeskOptions} from '../../NodeDesk';
+import type {NodeControlHandlerOptions} from '../../NodeDesk';
 
 import {NodeDesk} from '../../NodeDesk';
 
@@ -157,7 +157,7 @@
   const commands: FleetCommand[] = [];
   const logged: string[] = [];
   const clock: Clock = {monotonicMs: () => at.now, wallMs: () => 0};
-  const group = {driver, registerListener: () => () => {}} as unknown as NodeDeskOptions['group'];
+  const group = {driver, registerListener: () => () => {}} as unknown as NodeControlHandlerOptions['group'];
   const desk = new NodeDesk({
     clock,
     group,
