--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -28,7 +28,7 @@
 
 import {CONTROL_GROUP, HAND_OVER_MS, INTRODUCE_MS} from './NodeConstants';
 import {NodeControlCalls} from './NodeControlCalls';
-import {NodeDesk} from './NodeDesk';
+import {NodeControlHandler} from './NodeControlHandler';
 import {NodeFollowerDesk} from './NodeFollowerDesk';
 import {NodeGroup} from './NodeGroup';
 import {callOf, readBody, sendAnswer, startServer} from './NodeHttp';
@@ -47,7 +47,7 @@
 
 /** See the module's comment. */
 export class NodeControl {
-  private desk: NodeDesk | undefined;
+  private desk: NodeControlHandler | undefined;
   private readonly follower: NodeFollowerDesk;
   private group: NodeGroup<FleetState> | undefined;
   private readonly log: NodeLog;
@@ -176,7 +176,7 @@
       peers: this.fleet.peers,
       self,
     });
-    this.desk = new NodeDesk({
+    this.desk = new NodeControlHandler({
       clock,
       group,
       jobsBefore: () => this.fleet.watch.view.news.jobsReplicas,
--- a/packages/stallpaddle-node/src/NodeDesk.ts
+++ b/packages/stallpaddle-node/src/NodeControlHandler.ts
@@ -56,7 +56,7 @@
 }
 
 /** See the module's comment. */
-export class NodeDesk {
+export class NodeControlHandler {
   private readonly board: NodeNewsBoard;
   /** Version of the configuration that was told last. */
   private configTold: number | undefined;
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeControlHandler.test.ts
@@ -11,12 +11,12 @@
 import {NotLeaderError} from 'stallpaddle-replication';
 import {afterEach, describe, expect, test} from 'vitest';
 
-import type {NodeControlHandlerOptions} from '../../NodeDesk';
+import type {NodeControlHandlerOptions} from '../../NodeControlHandler';
 
-import {NodeDesk} from '../../NodeDesk';
+import {NodeControlHandler} from '../../NodeControlHandler';
 
 const CONFIG = {customers: [], routes: [], services: [], version: 7};
-const desks: NodeDesk[] = [];
+const desks: NodeControlHandler[] = [];
 
 afterEach(() => desks.splice(0).forEach((desk) => desk.stop()));
 
@@ -43,7 +43,7 @@
     status,
     uncountedMs: 0,
   };
-  const desk = new NodeDesk({
+  const desk = new NodeControlHandler({
     clock: systemClock,
     group: {
       driver: driver as unknown as ReplicaDriver<FleetState>,
@@ -59,7 +59,7 @@
   return {desk, held, kinds, proposed, status};
 }
 
-function watch(desk: NodeDesk, hellos: readonly FleetHeartbeat[], ageMs = 0): Promise<unknown> {
+function watch(desk: NodeControlHandler, hellos: readonly FleetHeartbeat[], ageMs = 0): Promise<unknown> {
   const relayed = hellos.map((hello) => ({ageMs, hello}));
   return desk.answer({
     hellos: [],
@@ -68,7 +68,7 @@
     mayRelay: false,
     relayed,
     waitMs: 0,
-  } as unknown as Parameters<NodeDesk['answer']>[0]);
+  } as unknown as Parameters<NodeControlHandler['answer']>[0]);
 }
 
 function store(name: string, replica: ReplicaId): FleetHeartbeat {
@@ -84,7 +84,7 @@
   test('acknowledges no configuration before its group has the voters to bear the losses', async () => {
     // Three seeds found the group; two of them may be lost right after the acknowledgement.
     const {desk, kinds, status} = lead(3, 2);
-    const put = {config: CONFIG, kind: 'putConfig'} as unknown as Parameters<NodeDesk['answer']>[0];
+    const put = {config: CONFIG, kind: 'putConfig'} as unknown as Parameters<NodeControlHandler['answer']>[0];
     await expect(desk.answer(put)).rejects.toThrow(NotLeaderError);
     expect(kinds()).toEqual([]);
     const more = ['10.0.0.4/1', '10.0.0.5/1'];
@@ -158,7 +158,7 @@
   const logged: string[] = [];
   const clock: Clock = {monotonicMs: () => at.now, wallMs: () => 0};
   const group = {driver, registerListener: () => () => {}} as unknown as NodeControlHandlerOptions['group'];
-  const desk = new NodeDesk({
+  const desk = new NodeControlHandler({
     clock,
     group,
     jobsBefore: () => [],
@@ -219,7 +219,7 @@
     await delay(LOOK_MS);
     expect(kinds()).not.toContain('tick');
     const end = {digest: 'd', engine: 'e1', kind: 'noteEngineEnd', known: 0, startedAtMs: 0};
-    await desk.answer(end as Parameters<NodeDesk['answer']>[0]);
+    await desk.answer(end as Parameters<NodeControlHandler['answer']>[0]);
     await delay(LOOK_MS);
     expect(kinds().filter((kind) => kind === 'tick')).toHaveLength(1);
   });
