--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -29,7 +29,7 @@
 import {CONTROL_GROUP, HAND_OVER_MS, INTRODUCE_MS} from './NodeConstants';
 import {NodeControlCalls} from './NodeControlCalls';
 import {NodeControlHandler} from './NodeControlHandler';
-import {NodeFollowerDesk} from './NodeFollowerDesk';
+import {NodeFollowerHandler} from './NodeFollowerHandler';
 import {NodeGroup} from './NodeGroup';
 import {callOf, readBody, sendAnswer, startServer} from './NodeHttp';
 import {NodeIntroducer} from './NodeIntroducer';
@@ -48,7 +48,7 @@
 /** See the module's comment. */
 export class NodeControl {
   private desk: NodeControlHandler | undefined;
-  private readonly follower: NodeFollowerDesk;
+  private readonly follower: NodeFollowerHandler;
   private group: NodeGroup<FleetState> | undefined;
   private readonly log: NodeLog;
   private rpc: RpcServer | undefined;
@@ -68,7 +68,7 @@
   ) {
     const {clock, loggers} = options;
     this.log = new NodeLog(loggers('control'), clock, fleet.metrics);
-    this.follower = new NodeFollowerDesk(clock, fleet.watch, fleet.relayed);
+    this.follower = new NodeFollowerHandler(clock, fleet.watch, fleet.relayed);
   }
 
   /**
--- a/packages/stallpaddle-node/src/NodeFollowerDesk.ts
+++ b/packages/stallpaddle-node/src/NodeFollowerHandler.ts
@@ -17,7 +17,7 @@
 const PASS_ON_MS = 20;
 
 /** See the module's comment. */
-export class NodeFollowerDesk {
+export class NodeFollowerHandler {
   private readonly board: NodeNewsBoard;
   private passing: NodeJS.Timeout | undefined;
 
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -18,7 +18,7 @@
 import {afterEach, describe, expect, test} from 'vitest';
 
 import {RELAY_AGE_MS, RELAYED_HOLD_MS, WATCH_MARGIN_MS} from '../../NodeConstants';
-import {NodeFollowerDesk} from '../../NodeFollowerDesk';
+import {NodeFollowerHandler} from '../../NodeFollowerHandler';
 import {NodeHops, orderHops} from '../../NodeHops';
 import {NodeNewsBoard} from '../../NodeNewsBoard';
 import {NodeRelayedHellos} from '../../NodeRelayedHellos';
@@ -113,7 +113,7 @@
   for (const host of replicas) {
     const relayed = new NodeRelayedHellos();
     const {hooks, watch} = processOf(network, {relayed});
-    const desk = new NodeFollowerDesk(systemClock, watch, relayed);
+    const desk = new NodeFollowerHandler(systemClock, watch, relayed);
     hooks.onView = (view, before) => desk.onView(view, before);
     hooks.onSilence = () => desk.onSilence();
     network.serve(host, (request) => desk.answer(request));
@@ -187,7 +187,7 @@
     // This one answers, but its own questions never arrive.
     const lost = new Network();
     const {watch: cutOff} = processOf(lost);
-    const desk = new NodeFollowerDesk(systemClock, cutOff, new NodeRelayedHellos());
+    const desk = new NodeFollowerHandler(systemClock, cutOff, new NodeRelayedHellos());
     network.serve('cut', (request) => desk.answer(request));
     await delay(50);
     const {watch} = processOf(network, {hops: ['cut']});
