--- a/packages/stallpaddle-node/src/NodeJobsDesk.ts
+++ b/packages/stallpaddle-node/src/NodeJobsHandler.ts
@@ -42,7 +42,7 @@
 type ReadResults = Extract<JobsRequest, {kind: 'readResults'}>;
 
 /** See the module's comment. */
-export class NodeJobsDesk {
+export class NodeJobsHandler {
   private readonly online = new NodeOnlineDesk();
   private readonly reads: NodeReadQueue;
   private readonly waiters = new NodeWaiters();
--- a/packages/stallpaddle-node/src/NodeStore.ts
+++ b/packages/stallpaddle-node/src/NodeStore.ts
@@ -28,7 +28,7 @@
 import {NodeFleet} from './NodeFleet';
 import {type Candidate, NodeGroup} from './NodeGroup';
 import {startMetricsServer} from './NodeHttp';
-import {NodeJobsDesk} from './NodeJobsDesk';
+import {NodeJobsHandler} from './NodeJobsHandler';
 import {NodeLog} from './NodeLog';
 import {addNodeService} from './NodeService';
 import {lostDisksOf} from './NodeSettings';
@@ -48,7 +48,7 @@
 
 /** See the module's comment. */
 export class NodeStore implements RunningNode {
-  private desk: NodeJobsDesk | undefined;
+  private desk: NodeJobsHandler | undefined;
   private dispatcher: JobsDispatcher | undefined;
   private readonly fleet: NodeFleet;
   private group: NodeGroup<JobsState> | undefined;
@@ -188,7 +188,7 @@
     });
     this.group.exposeMetrics(this.fleet.metrics);
     const {group} = this;
-    const desk = new NodeJobsDesk(clock, group, (decision, id, fields) =>
+    const desk = new NodeJobsHandler(clock, group, (decision, id, fields) =>
       this.log.decide(decision, id, fields),
     );
     this.desk = desk;
@@ -201,7 +201,7 @@
     this.dispatcher.poke();
   }
 
-  private makeDispatcher(group: NodeGroup<JobsState>, desk: NodeJobsDesk): JobsDispatcher {
+  private makeDispatcher(group: NodeGroup<JobsState>, desk: NodeJobsHandler): JobsDispatcher {
     const {clock, wire} = this.options;
     return new JobsDispatcher({
       clock,
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
@@ -19,7 +19,7 @@
 import type {NodeGroup} from '../../NodeGroup';
 
 import {NodeJobReads} from '../../NodeJobReads';
-import {NodeJobsDesk} from '../../NodeJobsDesk';
+import {NodeJobsHandler} from '../../NodeJobsHandler';
 
 const JOBS = 120;
 const ITEMS = 5;
@@ -77,7 +77,7 @@
     },
   };
   const group = {driver} as unknown as Pick<NodeGroup<JobsState>, 'driver'>;
-  return {counts, desk: new NodeJobsDesk(systemClock, group, () => {})};
+  return {counts, desk: new NodeJobsHandler(systemClock, group, () => {})};
 }
 
 function readOf(job: string, changes: Partial<Extract<JobsRequest, {kind: 'readResults'}>> = {}) {
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeJobsDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeJobsHandler.test.ts
@@ -12,14 +12,14 @@
 import {afterEach, describe, expect, test} from 'vitest';
 
 import {NodeGroup} from '../../NodeGroup';
-import {NodeJobsDesk} from '../../NodeJobsDesk';
+import {NodeJobsHandler} from '../../NodeJobsHandler';
 import {NodePeers} from '../../NodePeers';
 import {addNodeService} from '../../NodeService';
 
 type Line = LogFields & {readonly decision: string; readonly job: string};
 
 interface Replica {
-  readonly desk: NodeJobsDesk;
+  readonly desk: NodeJobsHandler;
   readonly disk: FakeDisk;
   readonly group: NodeGroup<JobsState>;
   /** What the desk wrote of jobs. */
@@ -75,7 +75,7 @@
     await rpc.stop();
   });
   const lines: Line[] = [];
-  const desk = new NodeJobsDesk(systemClock, group, (decision, job, fields) => {
+  const desk = new NodeJobsHandler(systemClock, group, (decision, job, fields) => {
     lines.push({decision, job, ...fields});
   });
   return {desk, disk, group, lines};
