--- a/packages/stallpaddle-node/src/NodeJobsHandler.ts
+++ b/packages/stallpaddle-node/src/NodeJobsHandler.ts
@@ -27,7 +27,7 @@
 import type {NodeGroup} from './NodeGroup';
 import type {NodeLog} from './NodeLog';
 
-import {NodeOnlineDesk} from './NodeOnlineDesk';
+import {NodeOnlineHandler} from './NodeOnlineHandler';
 import {NodeReadQueue} from './NodeReadQueue';
 import {NodeWaiters} from './NodeWaiters';
 
@@ -43,7 +43,7 @@
 
 /** See the module's comment. */
 export class NodeJobsHandler {
-  private readonly online = new NodeOnlineDesk();
+  private readonly online = new NodeOnlineHandler();
   private readonly reads: NodeReadQueue;
   private readonly waiters = new NodeWaiters();
 
--- a/packages/stallpaddle-node/src/NodeOnlineDesk.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineHandler.ts
@@ -19,7 +19,7 @@
 }
 
 /** See the module's comment. */
-export class NodeOnlineDesk {
+export class NodeOnlineHandler {
   private readonly epoch = drawId('n');
 
   /**
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineDesk.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineHandler.test.ts
@@ -8,7 +8,7 @@
 import {RelayOnline} from 'stallpaddle-relay';
 import {describe, expect, test} from 'vitest';
 
-import {NodeOnlineDesk} from '../../NodeOnlineDesk';
+import {NodeOnlineHandler} from '../../NodeOnlineHandler';
 
 type Counts = Readonly<Record<string, number>>;
 
@@ -17,7 +17,7 @@
   const learnOnline = (sender: string, sequence: number, own: Counts) =>
     void online.learn(sender, sequence, own);
   const dispatcher = {learnOnline, online, silentEngines: () => ['quiet']} as never;
-  const desk = new NodeOnlineDesk();
+  const desk = new NodeOnlineHandler();
   const sequences = new Map<string, number>();
   const tell = (sender: string, own: Counts, known: null | OnlineVersion = null): OnlineAnswer => {
     const sequence = (sequences.get(sender) ?? 0) + 1;
