--- a/packages/stallpaddle-node/src/NodeSuspectsDesk.ts
+++ b/packages/stallpaddle-node/src/NodeSuspectsDesk.ts
@@ -19,7 +19,7 @@
 const TICK_MS = 10_000;
 
 /** What it needs of its process. */
-export interface NodeSuspectsDeskOptions {
+export interface NodeSuspectsHandlerOptions {
   readonly clock: Clock;
   /** The control group's replica here. */
   readonly group: Pick<NodeGroup<FleetState>, 'driver'>;
@@ -34,7 +34,7 @@
   /**
    * @param options what it needs of its process
    */
-  constructor(private readonly options: NodeSuspectsDeskOptions) {}
+  constructor(private readonly options: NodeSuspectsHandlerOptions) {}
 
   /**
    * All suspects, for an operator.
