--- a/packages/stallpaddle-node/src/NodeControlHandler.ts
+++ b/packages/stallpaddle-node/src/NodeControlHandler.ts
@@ -34,7 +34,7 @@
 import {isSilent, makeNews} from './NodeNews';
 import {NodeNewsBoard} from './NodeNewsBoard';
 import {chooseFounders, isEmptied, stayingReplicas} from './NodeStorePlan';
-import {NodeSuspectsDesk} from './NodeSuspectsDesk';
+import {NodeSuspectsHandler} from './NodeSuspectsHandler';
 
 /**
  * Time between looks at what has changed, in milliseconds. News go out as often at most: while a fleet of 200 processes
@@ -64,7 +64,7 @@
   private founding = false;
   private heard = new NodeHeard(-1, -Infinity);
   private refreshedAt: MonotonicMs = -Infinity;
-  private readonly suspects: NodeSuspectsDesk;
+  private readonly suspects: NodeSuspectsHandler;
   private readonly timer: NodeJS.Timeout;
   /** The configuration that is held here, as others are told of it. */
   private toldOf: {readonly config: FleetConfig | null; readonly stored: StoredConfig | null} = {
@@ -80,7 +80,7 @@
       ageMs: 0,
       config: this.told(options.group.driver.read().config),
     }));
-    this.suspects = new NodeSuspectsDesk({
+    this.suspects = new NodeSuspectsHandler({
       clock: options.clock,
       group: options.group,
       log: options.log,
--- a/packages/stallpaddle-node/src/NodeSuspectsDesk.ts
+++ b/packages/stallpaddle-node/src/NodeSuspectsHandler.ts
@@ -28,7 +28,7 @@
 }
 
 /** See the module's comment. */
-export class NodeSuspectsDesk {
+export class NodeSuspectsHandler {
   private tickedAt: MonotonicMs = -Infinity;
 
   /**
