--- a/packages/stallpaddle-node/src/NodeHeard.ts
+++ b/packages/stallpaddle-node/src/NodeHeard.ts
@@ -8,7 +8,7 @@
 import {unreachable} from 'stallpaddle';
 
 /** An entry VM, and when it last spoke. */
-export interface HeardEntry extends EntryView {
+export interface SeenEntry extends EntryView {
   readonly at: MonotonicMs;
   /** Whether it takes new callers. */
   readonly ready: boolean;
@@ -30,7 +30,7 @@
   readonly controls = new Map<ReplicaId, MonotonicMs>();
   /** When each engine last reported. */
   readonly engines = new Map<EngineId, MonotonicMs>();
-  readonly entries = new Map<VmId, HeardEntry>();
+  readonly entries = new Map<VmId, SeenEntry>();
   readonly stores = new Map<ReplicaId, HeardStore>();
 
   /**
