--- a/packages/stallpaddle-node/src/NodeHeard.ts
+++ b/packages/stallpaddle-node/src/NodeHeard.ts
@@ -15,7 +15,7 @@
 }
 
 /** A store process, and when it last spoke. */
-export interface HeardStore {
+export interface SeenStore {
   readonly at: MonotonicMs;
   /** Present while it leads the group that keeps batch jobs. */
   readonly leads: JobsGroupReport | null;
@@ -31,7 +31,7 @@
   /** When each engine last reported. */
   readonly engines = new Map<EngineId, MonotonicMs>();
   readonly entries = new Map<VmId, SeenEntry>();
-  readonly stores = new Map<ReplicaId, HeardStore>();
+  readonly stores = new Map<ReplicaId, SeenStore>();
 
   /**
    * @param term the leader's term
--- a/packages/stallpaddle-node/src/NodeStorePlan.ts
+++ b/packages/stallpaddle-node/src/NodeStorePlan.ts
@@ -4,13 +4,13 @@
 import type {MonotonicMs, ReplicaId, VmId} from 'stallpaddle';
 import type {FleetState, FleetStore, JobsGroupReport} from 'stallpaddle-fleet';
 
-import type {HeardStore, NodeHeard} from './NodeHeard';
+import type {SeenStore, NodeHeard} from './NodeHeard';
 
 import {ENTRY_SILENT_MS} from './NodeConstants';
 import {votersFor} from './NodeKeeper';
 
 /** One store of each availability zone first, then the second of each, and so on. */
-function spreadOverZones(stores: readonly HeardStore[]): readonly HeardStore[] {
+function spreadOverZones(stores: readonly SeenStore[]): readonly SeenStore[] {
   const seen = new Map<string, number>();
   const ranked = [...stores]
     .sort((a, b) => (a.replica < b.replica ? -1 : 1))
@@ -23,8 +23,8 @@
 }
 
 /** The present disk of each VM: the one that spoke last. */
-function presentStores(stores: readonly HeardStore[]): readonly HeardStore[] {
-  const byVm = new Map<VmId, HeardStore>();
+function presentStores(stores: readonly SeenStore[]): readonly SeenStore[] {
+  const byVm = new Map<VmId, SeenStore>();
   for (const store of stores) {
     if (store.at >= (byVm.get(store.name)?.at ?? -Infinity)) {
       byVm.set(store.name, store);
@@ -42,7 +42,7 @@
  * @param now the present moment
  */
 export function chooseFounders(
-  stores: readonly HeardStore[],
+  stores: readonly SeenStore[],
   lostDisks: number,
   now: MonotonicMs,
 ): readonly ReplicaId[] | null {
