--- a/packages/stallpaddle-node/src/NodeControlHandler.ts
+++ b/packages/stallpaddle-node/src/NodeControlHandler.ts
@@ -29,7 +29,7 @@
 
 import type {Candidate, NodeGroup} from './NodeGroup';
 
-import {NodeHeard} from './NodeHeard';
+import {NodeLastSeen} from './NodeLastSeen';
 import {votersFor} from './NodeKeeper';
 import {isSilent, makeNews} from './NodeNews';
 import {NodeNewsBoard} from './NodeNewsBoard';
@@ -62,7 +62,7 @@
   private configTold: number | undefined;
   /** Whether a proposal of founders is under way. */
   private founding = false;
-  private heard = new NodeHeard(-1, -Infinity);
+  private heard = new NodeLastSeen(-1, -Infinity);
   private refreshedAt: MonotonicMs = -Infinity;
   private readonly suspects: NodeSuspectsHandler;
   private readonly timer: NodeJS.Timeout;
@@ -228,11 +228,11 @@
   }
 
   /** What this leader has heard; begins anew with each term. */
-  private current(): NodeHeard {
+  private current(): NodeLastSeen {
     const {clock, group} = this.options;
     const {driver} = group;
     if (this.heard.term !== driver.status.term) {
-      this.heard = new NodeHeard(driver.status.term, clock.monotonicMs());
+      this.heard = new NodeLastSeen(driver.status.term, clock.monotonicMs());
     }
     return this.heard;
   }
--- a/packages/stallpaddle-node/src/NodeHeard.ts
+++ b/packages/stallpaddle-node/src/NodeLastSeen.ts
@@ -25,7 +25,7 @@
 }
 
 /** See the module's comment. */
-export class NodeHeard {
+export class NodeLastSeen {
   /** When each process of the control group last spoke. */
   readonly controls = new Map<ReplicaId, MonotonicMs>();
   /** When each engine last reported. */
--- a/packages/stallpaddle-node/src/NodeNews.ts
+++ b/packages/stallpaddle-node/src/NodeNews.ts
@@ -15,13 +15,13 @@
 
 import {sortByName, suspectView} from 'stallpaddle-fleet';
 
-import type {NodeHeard} from './NodeHeard';
+import type {NodeLastSeen} from './NodeLastSeen';
 
 import {ENTRY_SILENT_MS, MISSED_REPORTS, SETTLE_MS} from './NodeConstants';
 
 /** What the news are made from. */
 export interface NewsInput {
-  readonly heard: NodeHeard;
+  readonly heard: NodeLastSeen;
   /** Where this process last heard that batch jobs are kept, from whoever led then. */
   readonly jobsBefore: readonly ReplicaId[];
   /** Members of the control group. */
@@ -42,7 +42,7 @@
  * @param reportMs time between two reports, in milliseconds
  */
 export function isSilent(
-  heard: NodeHeard,
+  heard: NodeLastSeen,
   id: EngineId,
   now: MonotonicMs,
   reportMs: number,
--- a/packages/stallpaddle-node/src/NodeStorePlan.ts
+++ b/packages/stallpaddle-node/src/NodeStorePlan.ts
@@ -4,7 +4,7 @@
 import type {MonotonicMs, ReplicaId, VmId} from 'stallpaddle';
 import type {FleetState, FleetStore, JobsGroupReport} from 'stallpaddle-fleet';
 
-import type {SeenStore, NodeHeard} from './NodeHeard';
+import type {SeenStore, NodeLastSeen} from './NodeLastSeen';
 
 import {ENTRY_SILENT_MS} from './NodeConstants';
 import {votersFor} from './NodeKeeper';
@@ -69,7 +69,7 @@
 export function stayingReplicas(
   store: FleetStore,
   report: JobsGroupReport,
-  heard: NodeHeard,
+  heard: NodeLastSeen,
   state: FleetState,
   now: MonotonicMs,
 ): ReadonlySet<ReplicaId> {
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeNews.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeNews.test.ts
@@ -6,7 +6,7 @@
 import {fleetMachine, type FleetState} from 'stallpaddle-fleet';
 import {describe, expect, test} from 'vitest';
 
-import {NodeHeard} from '../../NodeHeard';
+import {NodeLastSeen} from '../../NodeLastSeen';
 import {makeNews} from '../../NodeNews';
 
 const FOUNDERS = ['10.0.0.1/a', '10.0.0.2/a', '10.0.0.3/a'];
@@ -21,7 +21,7 @@
   return {...fleetMachine.initial(), jobsFounders: FOUNDERS, stores: new Map(stores)};
 }
 
-function newsOf(heard: NodeHeard, jobsBefore: readonly string[], state = founded()) {
+function newsOf(heard: NodeLastSeen, jobsBefore: readonly string[], state = founded()) {
   const members = {learners: [], voters: ['c/1']};
   return makeNews({heard, jobsBefore, members, now: 100, reportMs: 1_000, state});
 }
@@ -33,7 +33,7 @@
 
 describe('makeNews', () => {
   test('names the voters that the jobs’ leader reports', () => {
-    const heard = new NodeHeard(7, 0);
+    const heard = new NodeLastSeen(7, 0);
     heard.hear(storeHello(MEMBERS[0]!, 4), 10);
     expect(newsOf(heard, FOUNDERS).jobsReplicas).toEqual(MEMBERS);
   });
@@ -41,21 +41,21 @@
   test('a new leader of the control group, or one that the jobs’ leader left, forgets no member', () => {
     // Whoever founded the group may have left it long ago, one lost disk after the other: with the founders alone, an
     // entry VM asked processes that belong to no group, and told its callers that the jobs have no leader.
-    const unheard = new NodeHeard(8, 0);
+    const unheard = new NodeLastSeen(8, 0);
     expect(newsOf(unheard, MEMBERS).jobsReplicas).toEqual(MEMBERS);
-    const deposed = new NodeHeard(8, 0);
+    const deposed = new NodeLastSeen(8, 0);
     deposed.hear(storeHello(MEMBERS[0]!, 4), 10);
     deposed.hear(storeHello(MEMBERS[0]!, null), 20);
     expect(newsOf(deposed, MEMBERS).jobsReplicas).toEqual(MEMBERS);
   });
 
   test('when every process has lost what it knew, all stores are named, the founders first', () => {
-    const {jobsReplicas} = newsOf(new NodeHeard(9, 0), []);
+    const {jobsReplicas} = newsOf(new NodeLastSeen(9, 0), []);
     expect(jobsReplicas).toEqual([...FOUNDERS, ...MEMBERS]);
   });
 
   test('names nobody before the group is founded', () => {
     const state = {...founded(), jobsFounders: null};
-    expect(newsOf(new NodeHeard(9, 0), [], state).jobsReplicas).toEqual([]);
+    expect(newsOf(new NodeLastSeen(9, 0), [], state).jobsReplicas).toEqual([]);
   });
 });
