--- a/packages/stallpaddle-node/src/NodeIntroducer.ts
+++ b/packages/stallpaddle-node/src/NodeIntroducer.ts
@@ -17,7 +17,7 @@
 import {tells} from './NodeRemembered';
 
 /** What it needs of its process. */
-export interface NodeIntroducerOptions {
+export interface NodeBootstrapperOptions {
   readonly clock: Clock;
   readonly fleet: Pick<NodeFleet, 'control' | 'seedsWithout' | 'watch'>;
   readonly group: Pick<NodeGroup<FleetState>, 'driver'>;
@@ -55,7 +55,7 @@
   /**
    * @param options what it needs of its process
    */
-  constructor(private readonly options: NodeIntroducerOptions) {}
+  constructor(private readonly options: NodeBootstrapperOptions) {}
 
   /** One round; what is lost of it is made good by the next. */
   async introduce(): Promise<void> {
