--- a/packages/stallpaddle-node/src/NodeIntroducer.ts
+++ b/packages/stallpaddle-node/src/NodeBootstrapper.ts
@@ -48,7 +48,7 @@
 }
 
 /** See the module's comment. */
-export class NodeIntroducer {
+export class NodeBootstrapper {
   /** Remembered entry VMs that have taken in what this replica holds. */
   private readonly told = new Set<VmId>();
 
--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -32,7 +32,7 @@
 import {NodeFollowerHandler} from './NodeFollowerHandler';
 import {NodeGroup} from './NodeGroup';
 import {callOf, readBody, sendAnswer, startServer} from './NodeHttp';
-import {NodeIntroducer} from './NodeIntroducer';
+import {NodeBootstrapper} from './NodeBootstrapper';
 import {NodeLog} from './NodeLog';
 import {NodeRemembered} from './NodeRemembered';
 import {addNodeService} from './NodeService';
@@ -189,7 +189,7 @@
     this.exposeMetrics(group);
     const {desk, fleet} = this;
     fleet.watch.offer(desk.peek());
-    const introducer = new NodeIntroducer({
+    const introducer = new NodeBootstrapper({
       clock,
       fleet,
       group,
