--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -15,7 +15,7 @@
 import {orderHops} from './NodeHops';
 import {NodeMetrics} from './NodeMetrics';
 import {NodePeers} from './NodePeers';
-import {NodeRelayedHellos} from './NodeRelayedHellos';
+import {NodeForwardedHeartbeats} from './NodeForwardedHeartbeats';
 import {hostOf} from './NodeSettings';
 import {NodeWatch} from './NodeWatch';
 
@@ -48,7 +48,7 @@
   /** Connections to the other processes. */
   readonly peers: NodePeers;
   /** What other processes have said to this one, for the control group's leader. */
-  readonly relayed = new NodeRelayedHellos();
+  readonly relayed = new NodeForwardedHeartbeats();
   /** What is known of the fleet. */
   readonly watch: NodeWatch;
   /** This VM, where it holds a replica of the control group. */
--- a/packages/stallpaddle-node/src/NodeFollowerHandler.ts
+++ b/packages/stallpaddle-node/src/NodeFollowerHandler.ts
@@ -7,7 +7,7 @@
 
 import {NotLeaderError} from 'stallpaddle-replication';
 
-import type {NodeRelayedHellos} from './NodeRelayedHellos';
+import type {NodeForwardedHeartbeats} from './NodeForwardedHeartbeats';
 import type {NodeWatch} from './NodeWatch';
 
 import {RELAY_AGE_MS} from './NodeConstants';
@@ -29,7 +29,7 @@
   constructor(
     private readonly clock: Clock,
     private readonly watch: Pick<NodeWatch, 'ageMs' | 'ask' | 'view'>,
-    private readonly hellos: NodeRelayedHellos,
+    private readonly hellos: NodeForwardedHeartbeats,
   ) {
     this.board = new NodeNewsBoard(clock, () => this.read());
   }
--- a/packages/stallpaddle-node/src/NodeRelayedHellos.ts
+++ b/packages/stallpaddle-node/src/NodeForwardedHeartbeats.ts
@@ -21,7 +21,7 @@
 }
 
 /** See the module's comment. */
-export class NodeRelayedHellos {
+export class NodeForwardedHeartbeats {
   private readonly heard = new Map<string, Heard>();
   private term: number | undefined;
   private underWay: readonly Heard[] = [];
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -21,7 +21,7 @@
 import {NodeFollowerHandler} from '../../NodeFollowerHandler';
 import {NodeHops, orderHops} from '../../NodeHops';
 import {NodeNewsBoard} from '../../NodeNewsBoard';
-import {NodeRelayedHellos} from '../../NodeRelayedHellos';
+import {NodeForwardedHeartbeats} from '../../NodeForwardedHeartbeats';
 import {NodeWatch} from '../../NodeWatch';
 
 const undo: (() => void)[] = [];
@@ -65,7 +65,7 @@
   readonly hellos?: readonly FleetHeartbeat[];
   /** Replicas that it may ask, in order; none for one that asks the leader. */
   readonly hops?: readonly VmId[];
-  readonly relayed?: NodeRelayedHellos;
+  readonly relayed?: NodeForwardedHeartbeats;
 }
 
 function processOf(network: Network, {hellos = [], hops = [], relayed}: ProcessOptions = {}) {
@@ -111,7 +111,7 @@
   });
   tell({controls: ['first']});
   for (const host of replicas) {
-    const relayed = new NodeRelayedHellos();
+    const relayed = new NodeForwardedHeartbeats();
     const {hooks, watch} = processOf(network, {relayed});
     const desk = new NodeFollowerHandler(systemClock, watch, relayed);
     hooks.onView = (view, before) => desk.onView(view, before);
@@ -187,7 +187,7 @@
     // This one answers, but its own questions never arrive.
     const lost = new Network();
     const {watch: cutOff} = processOf(lost);
-    const desk = new NodeFollowerHandler(systemClock, cutOff, new NodeRelayedHellos());
+    const desk = new NodeFollowerHandler(systemClock, cutOff, new NodeForwardedHeartbeats());
     network.serve('cut', (request) => desk.answer(request));
     await delay(50);
     const {watch} = processOf(network, {hops: ['cut']});
@@ -333,7 +333,7 @@
 
 describe('NodeRelayedHellos', () => {
   test('tells each leader all it was told, each word once, and nothing that is too old', () => {
-    const relayed = new NodeRelayedHellos();
+    const relayed = new NodeForwardedHeartbeats();
     const names = (now: number) =>
       relayed.take(now).map(({ageMs, hello}) => [hello.kind === 'entry' && hello.name, ageMs]);
     relayed.note([entry('a')], 0);
