--- a/packages/stallpaddle-node/src/NodeBootstrapper.ts
+++ b/packages/stallpaddle-node/src/NodeBootstrapper.ts
@@ -14,7 +14,7 @@
 import type {NodeRemembered} from './NodeRemembered';
 
 import {CANDIDATE_SILENT_MS, CONTROL_GROUP, INTRODUCE_TRY_MS} from './NodeConstants';
-import {tells} from './NodeRemembered';
+import {isBootstrapperOf} from './NodeRemembered';
 
 /** What it needs of its process. */
 export interface NodeBootstrapperOptions {
@@ -93,7 +93,7 @@
     }
     const replicaHosts = replicas.map(vmOfReplica);
     const isMine = (host: VmId): boolean =>
-      !replicaHosts.includes(host) && !this.told.has(host) && tells(host, self, replicaHosts);
+      !replicaHosts.includes(host) && !this.told.has(host) && isBootstrapperOf(host, self, replicaHosts);
     const hosts = remembered.hosts.filter(isMine);
     if (hosts.length === 0) {
       return;
--- a/packages/stallpaddle-node/src/NodeRemembered.ts
+++ b/packages/stallpaddle-node/src/NodeRemembered.ts
@@ -28,7 +28,7 @@
  * @param self the replica's VM
  * @param replicas VMs of all replicas
  */
-export function tells(entry: VmId, self: VmId, replicas: readonly VmId[]): boolean {
+export function isBootstrapperOf(entry: VmId, self: VmId, replicas: readonly VmId[]): boolean {
   return rendezvousOrder(entry, replicas).slice(0, TELLERS).includes(self);
 }
 
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeRemembered.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeRemembered.test.ts
@@ -7,7 +7,7 @@
 import {FakeDisk} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {NodeRemembered, tells} from '../../NodeRemembered';
+import {NodeRemembered, isBootstrapperOf} from '../../NodeRemembered';
 
 function entriesOf(...hosts: readonly string[]): readonly EntryView[] {
   return hosts.map((host) => ({address: `${host}:80`, name: host, zone: 'z'}));
@@ -50,7 +50,7 @@
   test('two of the replicas tell each entry VM', () => {
     const replicas = Array.from({length: 6}, (_, at) => `10.1.0.${at}`);
     for (let entry = 0; entry < 100; entry++) {
-      const tellers = replicas.filter((self) => tells(`10.2.0.${entry}`, self, replicas));
+      const tellers = replicas.filter((self) => isBootstrapperOf(`10.2.0.${entry}`, self, replicas));
       expect(tellers).toHaveLength(2);
     }
   });
