--- a/packages/stallpaddle-node/src/NodeBootstrapper.ts
+++ b/packages/stallpaddle-node/src/NodeBootstrapper.ts
@@ -11,10 +11,10 @@
 
 import type {NodeFleet} from './NodeFleet';
 import type {NodeGroup} from './NodeGroup';
-import type {NodeRemembered} from './NodeRemembered';
+import type {NodeKnownEntries} from './NodeKnownEntries';
 
 import {CANDIDATE_SILENT_MS, CONTROL_GROUP, INTRODUCE_TRY_MS} from './NodeConstants';
-import {isBootstrapperOf} from './NodeRemembered';
+import {isBootstrapperOf} from './NodeKnownEntries';
 
 /** What it needs of its process. */
 export interface NodeBootstrapperOptions {
@@ -25,7 +25,7 @@
   readonly host: VmId;
   /** What the replica holds, without proof that it is the latest. */
   readonly peek: () => WatchAnswer;
-  readonly remembered: NodeRemembered;
+  readonly remembered: NodeKnownEntries;
 }
 
 /**
--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -34,7 +34,7 @@
 import {callOf, readBody, sendAnswer, startServer} from './NodeHttp';
 import {NodeBootstrapper} from './NodeBootstrapper';
 import {NodeLog} from './NodeLog';
-import {NodeRemembered} from './NodeRemembered';
+import {NodeKnownEntries} from './NodeKnownEntries';
 import {addNodeService} from './NodeService';
 import {hostOf, lostDisksOf, portOf} from './NodeSettings';
 
@@ -195,7 +195,7 @@
       group,
       host,
       peek: () => desk.peek(),
-      remembered: await NodeRemembered.open(root, (message, fields) =>
+      remembered: await NodeKnownEntries.open(root, (message, fields) =>
         this.log.note(message, fields),
       ),
     });
--- a/packages/stallpaddle-node/src/NodeRemembered.ts
+++ b/packages/stallpaddle-node/src/NodeKnownEntries.ts
@@ -33,7 +33,7 @@
 }
 
 /** See the module's comment. */
-export class NodeRemembered {
+export class NodeKnownEntries {
   private recordedAt: MonotonicMs = -Infinity;
   private recording = false;
 
@@ -52,7 +52,7 @@
   static async open(
     disk: Disk,
     note: (message: string, fields: LogFields) => void,
-  ): Promise<NodeRemembered> {
+  ): Promise<NodeKnownEntries> {
     const read = async (): Promise<readonly VmId[]> => {
       const bytes = await disk.read(FILE_NAME);
       return bytes === undefined
@@ -64,7 +64,7 @@
       note('The entry VMs of before can’t be read.', {error: errorMessage(err)});
       return [];
     });
-    return new NodeRemembered(disk, note, known);
+    return new NodeKnownEntries(disk, note, known);
   }
 
   /** Hosts of the entry VMs. */
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeRemembered.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeKnownEntries.test.ts
@@ -7,14 +7,14 @@
 import {FakeDisk} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {NodeRemembered, isBootstrapperOf} from '../../NodeRemembered';
+import {NodeKnownEntries, isBootstrapperOf} from '../../NodeKnownEntries';
 
 function entriesOf(...hosts: readonly string[]): readonly EntryView[] {
   return hosts.map((host) => ({address: `${host}:80`, name: host, zone: 'z'}));
 }
 
-async function openOn(disk: FakeDisk): Promise<NodeRemembered> {
-  return NodeRemembered.open(disk, () => {});
+async function openOn(disk: FakeDisk): Promise<NodeKnownEntries> {
+  return NodeKnownEntries.open(disk, () => {});
 }
 
 describe('NodeRemembered', () => {
