--- a/packages/stallpaddle-node/src/NodeFollowerHandler.ts
+++ b/packages/stallpaddle-node/src/NodeFollowerHandler.ts
@@ -11,7 +11,7 @@
 import type {NodeWatch} from './NodeWatch';
 
 import {RELAY_AGE_MS} from './NodeConstants';
-import {type BoardState, NodeNewsBoard} from './NodeNewsBoard';
+import {type PublishedState, NodeNewsBoard} from './NodeNewsBoard';
 
 /** Time for which what processes say for the first time is gathered, in milliseconds: a fifth of the leader's own pause. */
 const PASS_ON_MS = 20;
@@ -75,7 +75,7 @@
     }, PASS_ON_MS);
   }
 
-  private read(): BoardState {
+  private read(): PublishedState {
     const {ageMs, view} = this.watch;
     if (ageMs > RELAY_AGE_MS) {
       throw new NotLeaderError(null);
--- a/packages/stallpaddle-node/src/NodeNewsBoard.ts
+++ b/packages/stallpaddle-node/src/NodeNewsBoard.ts
@@ -15,7 +15,7 @@
 import {NodeWaiters} from './NodeWaiters';
 
 /** What is known beside the news, at one moment. */
-export interface BoardState {
+export interface PublishedState {
   /** Age of what is known, in milliseconds. */
   readonly ageMs: number;
   readonly config: FleetConfig | null;
@@ -32,7 +32,7 @@
    */
   constructor(
     private readonly clock: Clock,
-    private readonly read: () => BoardState,
+    private readonly read: () => PublishedState,
   ) {}
 
   /** The latest news, once there are some. */
