--- a/packages/stallpaddle-node/src/NodeControlHandler.ts
+++ b/packages/stallpaddle-node/src/NodeControlHandler.ts
@@ -32,7 +32,7 @@
 import {NodeLastSeen} from './NodeLastSeen';
 import {votersFor} from './NodeKeeper';
 import {isSilent, makeNews} from './NodeNews';
-import {NodeNewsBoard} from './NodeNewsBoard';
+import {NodeStatusPublisher} from './NodeStatusPublisher';
 import {chooseFounders, isEmptied, stayingReplicas} from './NodeStorePlan';
 import {NodeSuspectsHandler} from './NodeSuspectsHandler';
 
@@ -57,7 +57,7 @@
 
 /** See the module's comment. */
 export class NodeControlHandler {
-  private readonly board: NodeNewsBoard;
+  private readonly board: NodeStatusPublisher;
   /** Version of the configuration that was told last. */
   private configTold: number | undefined;
   /** Whether a proposal of founders is under way. */
@@ -76,7 +76,7 @@
    * @param options what it needs of its process
    */
   constructor(private readonly options: NodeControlHandlerOptions) {
-    this.board = new NodeNewsBoard(options.clock, () => ({
+    this.board = new NodeStatusPublisher(options.clock, () => ({
       ageMs: 0,
       config: this.told(options.group.driver.read().config),
     }));
--- a/packages/stallpaddle-node/src/NodeFollowerHandler.ts
+++ b/packages/stallpaddle-node/src/NodeFollowerHandler.ts
@@ -11,14 +11,14 @@
 import type {NodeWatch} from './NodeWatch';
 
 import {RELAY_AGE_MS} from './NodeConstants';
-import {type PublishedState, NodeNewsBoard} from './NodeNewsBoard';
+import {type PublishedState, NodeStatusPublisher} from './NodeStatusPublisher';
 
 /** Time for which what processes say for the first time is gathered, in milliseconds: a fifth of the leader's own pause. */
 const PASS_ON_MS = 20;
 
 /** See the module's comment. */
 export class NodeFollowerHandler {
-  private readonly board: NodeNewsBoard;
+  private readonly board: NodeStatusPublisher;
   private passing: NodeJS.Timeout | undefined;
 
   /**
@@ -31,7 +31,7 @@
     private readonly watch: Pick<NodeWatch, 'ageMs' | 'ask' | 'view'>,
     private readonly hellos: NodeForwardedHeartbeats,
   ) {
-    this.board = new NodeNewsBoard(clock, () => this.read());
+    this.board = new NodeStatusPublisher(clock, () => this.read());
   }
 
   /**
--- a/packages/stallpaddle-node/src/NodeNewsBoard.ts
+++ b/packages/stallpaddle-node/src/NodeStatusPublisher.ts
@@ -22,7 +22,7 @@
 }
 
 /** See the module's comment. */
-export class NodeNewsBoard {
+export class NodeStatusPublisher {
   private readonly history = new FleetHistory();
   private readonly waiters = new NodeWaiters();
 
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -20,7 +20,7 @@
 import {RELAY_AGE_MS, RELAYED_HOLD_MS, WATCH_MARGIN_MS} from '../../NodeConstants';
 import {NodeFollowerHandler} from '../../NodeFollowerHandler';
 import {NodeHops, orderHops} from '../../NodeHops';
-import {NodeNewsBoard} from '../../NodeNewsBoard';
+import {NodeStatusPublisher} from '../../NodeStatusPublisher';
 import {NodeForwardedHeartbeats} from '../../NodeForwardedHeartbeats';
 import {NodeWatch} from '../../NodeWatch';
 
@@ -99,7 +99,7 @@
 function fleetOf(replicas: readonly VmId[]) {
   const network = new Network();
   const heard: {readonly ageMs: number; readonly hello: FleetHeartbeat}[] = [];
-  const board = new NodeNewsBoard(systemClock, () => ({ageMs: 0, config: null}));
+  const board = new NodeStatusPublisher(systemClock, () => ({ageMs: 0, config: null}));
   let fleet = 0;
   const tell = (changes: Partial<FleetStatus>): void => {
     fleet++;
@@ -251,7 +251,7 @@
 
 describe('NodeNewsBoard', () => {
   test('holds a question for its time, and tells for how long', async () => {
-    const board = new NodeNewsBoard(systemClock, () => ({ageMs: 5, config: null}));
+    const board = new NodeStatusPublisher(systemClock, () => ({ageMs: 5, config: null}));
     board.put({fleet: 1, news: EMPTY_VIEW.news, term: 1});
     const view = applyWatchAnswer(
       EMPTY_VIEW,
@@ -267,7 +267,7 @@
   });
 
   test('holds a question of a process that knows more than this replica', async () => {
-    const board = new NodeNewsBoard(systemClock, () => ({ageMs: 0, config: null}));
+    const board = new NodeStatusPublisher(systemClock, () => ({ageMs: 0, config: null}));
     board.put({fleet: 1, news: EMPTY_VIEW.news, term: 1});
     const startedAt = performance.now();
     await board.answer({config: null, fleet: 5, term: 1}, 60);
@@ -277,7 +277,7 @@
 
   test('tells nothing once it may not', async () => {
     let mayTell = true;
-    const board = new NodeNewsBoard(systemClock, () => {
+    const board = new NodeStatusPublisher(systemClock, () => {
       if (!mayTell) {
         throw new NotLeaderError(null);
       }
