--- a/packages/stallpaddle-node/src/NodeControlHandler.ts
+++ b/packages/stallpaddle-node/src/NodeControlHandler.ts
@@ -31,7 +31,7 @@
 
 import {NodeLastSeen} from './NodeLastSeen';
 import {votersFor} from './NodeKeeper';
-import {isSilent, makeNews} from './NodeNews';
+import {isSilent, buildFleetStatus} from './NodeNews';
 import {NodeStatusPublisher} from './NodeStatusPublisher';
 import {chooseFounders, isEmptied, stayingReplicas} from './NodeStorePlan';
 import {NodeSuspectsHandler} from './NodeSuspectsHandler';
@@ -301,7 +301,7 @@
   private makeNews(): FleetStatus {
     const {clock, group, jobsBefore, reportMs} = this.options;
     const {driver} = group;
-    return makeNews({
+    return buildFleetStatus({
       heard: this.current(),
       jobsBefore: jobsBefore(),
       members: driver.status.log.members,
--- a/packages/stallpaddle-node/src/NodeNews.ts
+++ b/packages/stallpaddle-node/src/NodeNews.ts
@@ -97,7 +97,7 @@
  *
  * @param input what they are made from
  */
-export function makeNews(input: NewsInput): FleetStatus {
+export function buildFleetStatus(input: NewsInput): FleetStatus {
   const {heard, members, now, state} = input;
   const {jobsFounders} = state;
   return {
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeNews.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeNews.test.ts
@@ -7,7 +7,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {NodeLastSeen} from '../../NodeLastSeen';
-import {makeNews} from '../../NodeNews';
+import {buildFleetStatus} from '../../NodeNews';
 
 const FOUNDERS = ['10.0.0.1/a', '10.0.0.2/a', '10.0.0.3/a'];
 const MEMBERS = ['10.0.0.4/a', '10.0.0.5/a', '10.0.0.6/a'];
@@ -23,7 +23,7 @@
 
 function newsOf(heard: NodeLastSeen, jobsBefore: readonly string[], state = founded()) {
   const members = {learners: [], voters: ['c/1']};
-  return makeNews({heard, jobsBefore, members, now: 100, reportMs: 1_000, state});
+  return buildFleetStatus({heard, jobsBefore, members, now: 100, reportMs: 1_000, state});
 }
 
 function storeHello(replica: string, term: null | number): FleetHeartbeat {
