--- a/packages/stallpaddle-node/src/NodeNews.ts
+++ b/packages/stallpaddle-node/src/NodeNews.ts
@@ -20,7 +20,7 @@
 import {ENTRY_SILENT_MS, MISSED_REPORTS, SETTLE_MS} from './NodeConstants';
 
 /** What the news are made from. */
-export interface NewsInput {
+export interface FleetStatusInput {
   readonly heard: NodeLastSeen;
   /** Where this process last heard that batch jobs are kept, from whoever led then. */
   readonly jobsBefore: readonly ReplicaId[];
@@ -50,7 +50,7 @@
   return now - (heard.engines.get(id) ?? heard.since) >= MISSED_REPORTS * reportMs;
 }
 
-function engineViews({heard, now, reportMs, state}: NewsInput): readonly EngineView[] {
+function engineViews({heard, now, reportMs, state}: FleetStatusInput): readonly EngineView[] {
   const engines = [...state.engines.values()].map((engine) => ({
     ...engine,
     sequence: 0,
@@ -59,14 +59,14 @@
   return sortByName(engines, ({id}) => id);
 }
 
-function entryViews({heard, now}: NewsInput): readonly EntryView[] {
+function entryViews({heard, now}: FleetStatusInput): readonly EntryView[] {
   const entries = [...heard.entries.values()]
     .filter(({at, ready}) => ready && now - at < ENTRY_SILENT_MS)
     .map(({address, name, zone}) => ({address, name, zone}));
   return sortByName(entries, ({name}) => name);
 }
 
-function storeViews({heard, now, state}: NewsInput): readonly StoreView[] {
+function storeViews({heard, now, state}: FleetStatusInput): readonly StoreView[] {
   const stores = [...state.stores.values()].map((store) => ({
     ...store,
     heard: now - (heard.stores.get(store.replica)?.at ?? -Infinity) < ENTRY_SILENT_MS,
@@ -78,7 +78,7 @@
  * Replicas of the group that keeps batch jobs. While no leader of it was heard: those that were named before, or, after
  * a loss of all power, every store, for none of the founders may belong to it any more.
  */
-function jobsReplicas({heard, jobsBefore, state}: NewsInput): readonly ReplicaId[] {
+function jobsReplicas({heard, jobsBefore, state}: FleetStatusInput): readonly ReplicaId[] {
   const {jobsFounders, stores} = state;
   if (jobsFounders === null) {
     return [];
@@ -88,7 +88,7 @@
   return known.length > 0 ? known : [...new Set(all)];
 }
 
-function suspectViews({state}: NewsInput): readonly SuspectView[] {
+function suspectViews({state}: FleetStatusInput): readonly SuspectView[] {
   return sortByName([...state.suspects.values()].map(suspectView), ({digest}) => digest);
 }
 
@@ -97,7 +97,7 @@
  *
  * @param input what they are made from
  */
-export function buildFleetStatus(input: NewsInput): FleetStatus {
+export function buildFleetStatus(input: FleetStatusInput): FleetStatus {
   const {heard, members, now, state} = input;
   const {jobsFounders} = state;
   return {
