--- a/packages/stallpaddle-node/src/NodeControlHandler.ts
+++ b/packages/stallpaddle-node/src/NodeControlHandler.ts
@@ -31,7 +31,7 @@
 
 import {NodeLastSeen} from './NodeLastSeen';
 import {votersFor} from './NodeKeeper';
-import {isSilent, buildFleetStatus} from './NodeNews';
+import {hasMissedReports, buildFleetStatus} from './NodeNews';
 import {NodeStatusPublisher} from './NodeStatusPublisher';
 import {chooseFounders, isEmptied, stayingReplicas} from './NodeStorePlan';
 import {NodeSuspectsHandler} from './NodeSuspectsHandler';
@@ -211,7 +211,7 @@
     const {clock, reportMs} = this.options;
     const now = clock.monotonicMs();
     const heard = this.current();
-    return laterHolders(state, report).some((id) => !isSilent(heard, id, now, reportMs));
+    return laterHolders(state, report).some((id) => !hasMissedReports(heard, id, now, reportMs));
   }
 
   private watch(request: Extract<FleetRequest, {kind: 'watch'}>): Promise<WatchAnswer> {
--- a/packages/stallpaddle-node/src/NodeNews.ts
+++ b/packages/stallpaddle-node/src/NodeNews.ts
@@ -41,7 +41,7 @@
  * @param now the present moment
  * @param reportMs time between two reports, in milliseconds
  */
-export function isSilent(
+export function hasMissedReports(
   heard: NodeLastSeen,
   id: EngineId,
   now: MonotonicMs,
@@ -54,7 +54,7 @@
   const engines = [...state.engines.values()].map((engine) => ({
     ...engine,
     sequence: 0,
-    silent: isSilent(heard, engine.id, now, reportMs),
+    silent: hasMissedReports(heard, engine.id, now, reportMs),
   }));
   return sortByName(engines, ({id}) => id);
 }
