--- a/packages/stallpaddle-node/src/NodeKeeper.ts
+++ b/packages/stallpaddle-node/src/NodeKeeper.ts
@@ -30,7 +30,7 @@
   | {readonly kind: 'handOver'};
 
 /** What the decision rests on. */
-export interface KeeperInput {
+export interface MembershipInput {
   readonly known: readonly KnownReplica[];
   readonly lostDisks: number;
   readonly members: GroupMembers;
@@ -51,7 +51,7 @@
 }
 
 /** What the decision looks at, by replica. */
-interface KeeperView extends KeeperInput {
+interface KeeperView extends MembershipInput {
   readonly isCaughtUp: (id: ReplicaId) => boolean;
   readonly isHeard: (id: ReplicaId) => boolean;
   /** Whether its VM has come back with another disk: it is lost for certain. */
@@ -63,7 +63,7 @@
   readonly wanted: number;
 }
 
-function viewOf(input: KeeperInput): KeeperView {
+function viewOf(input: MembershipInput): KeeperView {
   const byId = new Map(input.known.map((replica) => [replica.id, replica]));
   const silentMs = (id: ReplicaId): number => byId.get(id)?.silentMs ?? Infinity;
   const isHeard = (id: ReplicaId): boolean => silentMs(id) < CANDIDATE_SILENT_MS;
@@ -179,7 +179,7 @@
  *
  * @param input what the leader knows
  */
-export function planMembers(input: KeeperInput): MemberStep | null {
+export function planMembers(input: MembershipInput): MemberStep | null {
   const view = viewOf(input);
   return (
     dropLost(view) ?? dropLearner(view) ?? addVoter(view) ?? dropExcess(view) ?? addLearner(view)
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeKeeper.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeKeeper.test.ts
@@ -5,13 +5,13 @@
 import {assertHistories} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {type KeeperInput, type KnownReplica, planMembers} from '../../NodeKeeper';
+import {type MembershipInput, type KnownReplica, planMembers} from '../../NodeKeeper';
 
 function heard(id: string, changes: Partial<KnownReplica> = {}): KnownReplica {
   return {caughtUp: true, id, retiring: false, silentMs: 0, ...changes};
 }
 
-function plan(changes: Partial<KeeperInput>) {
+function plan(changes: Partial<MembershipInput>) {
   return planMembers({
     known: ['a/1', 'b/1', 'c/1'].map((id) => heard(id)),
     lostDisks: 1,
@@ -22,7 +22,7 @@
 }
 
 /** Applies steps until there is none. */
-function settle(input: KeeperInput): {
+function settle(input: MembershipInput): {
   readonly learners: readonly string[];
   readonly voters: readonly string[];
 } {
