--- a/packages/stallpaddle-node/src/__tests__/unit/NodeKeeperLosses.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeKeeperLosses.test.ts
@@ -11,7 +11,7 @@
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {NodeKeeperWorld} from './NodeKeeperWorld';
+import {NodeMembershipSimulation} from './NodeMembershipSimulation';
 
 /** Looks at the members in which a calm group must have become whole again: ten seconds. */
 const CALM_LOOKS = 40;
@@ -69,7 +69,7 @@
 /** Most VMs of a history; more would show nothing else. */
 const MOST_VMS = 9;
 
-function perform(world: NodeKeeperWorld, step: Action): void {
+function perform(world: NodeMembershipSimulation, step: Action): void {
   const names = world.vmNames;
   const nameAt = (at: number): string => names[at % names.length]!;
   const tellsOf = (bits: number) => (name: string) => ((bits >> names.indexOf(name)) & 1) === 1;
@@ -116,7 +116,7 @@
         fc.nat({max: 2}),
         fc.array(action, {maxLength: 60, minLength: 10, size: 'max'}),
         (lostDisks, spareVms, actions) => {
-          const world = new NodeKeeperWorld(lostDisks, spareVms);
+          const world = new NodeMembershipSimulation(lostDisks, spareVms);
           world.advance(6);
           actions.forEach((step) => perform(world, step));
           world.heal();
@@ -133,7 +133,7 @@
   );
 
   test('keeps a voter that is only silent until its successor votes', () => {
-    const world = new NodeKeeperWorld(2, 1);
+    const world = new NodeMembershipSimulation(2, 1);
     world.advance(8);
     const silent = world.vmNames.find(
       (name) =>
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeKeeperWorld.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeMembershipSimulation.ts
@@ -95,7 +95,7 @@
 }
 
 /** See the module's comment. */
-export class NodeKeeperWorld {
+export class NodeMembershipSimulation {
   /** Changes of members so far, and steps that could not end. */
   changes = 0;
   now = 0;
