--- a/packages/stallpaddle-fleet/src/FleetSuspects.ts
+++ b/packages/stallpaddle-fleet/src/FleetSuspects.ts
@@ -96,7 +96,8 @@
     return suspects;
   }
   const [oldest] = suspects.keys();
-  const least = [...suspects.values()].find(({level}) => level < QUARANTINE_LEVEL)?.digest ?? oldest!;
+  const least =
+    [...suspects.values()].find(({level}) => level < QUARANTINE_LEVEL)?.digest ?? oldest!;
   const kept = new Map(suspects);
   kept.delete(least);
   return kept;
--- a/packages/stallpaddle-fleet/src/FleetView.ts
+++ b/packages/stallpaddle-fleet/src/FleetView.ts
@@ -235,7 +235,11 @@
  * @param answer the answer of the leader or of a replica that it told
  * @param sentAt when it was asked for, by this process's clock
  */
-export function applyWatchAnswer(view: FleetView, answer: WatchAnswer, sentAt: MonotonicMs): FleetView {
+export function applyWatchAnswer(
+  view: FleetView,
+  answer: WatchAnswer,
+  sentAt: MonotonicMs,
+): FleetView {
   const {ageMs, config, heldMs, proven} = answer;
   const isNewer = config !== null && config.version > (view.config?.version ?? -Infinity);
   const configured = isNewer ? {...view, config} : view;
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetCustomers.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetCustomers.test.ts
@@ -38,7 +38,7 @@
   });
 });
 
-describe('toldConfig', () => {
+describe('withoutSource', () => {
   test('leaves out the text that holds the keys', () => {
     const limits = {headerTimeoutMs: 1, idleTimeoutMs: 1, maxBodyBytes: 1, maxHeaderBytes: 1};
     const customers = [customerOf('a')];
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetHistory.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetHistory.test.ts
@@ -10,7 +10,7 @@
 
 import {applyStatusDelta, diffStatus, isEmptyDelta} from '../../FleetDelta';
 import {FleetHistory} from '../../FleetHistory';
-import {EMPTY_VIEW, applyWatchAnswer} from '../../FleetView';
+import {applyWatchAnswer, EMPTY_VIEW} from '../../FleetView';
 
 const NAMES = ['a', 'b', 'c', 'd'] as const;
 
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetMachine.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetMachine.test.ts
@@ -14,7 +14,7 @@
   StoredConfig,
 } from '../../FleetTypes';
 
-import {fleetMachine, changesEngine, isOutdated, laterHolders} from '../../FleetMachine';
+import {changesEngine, fleetMachine, isOutdated, laterHolders} from '../../FleetMachine';
 
 function apply(state: FleetState, ...commands: readonly FleetCommand[]): FleetState {
   return commands.reduce(
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetView.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetView.test.ts
@@ -8,7 +8,7 @@
 import type {FleetConfig} from '../../FleetTypes';
 
 import {diffStatus} from '../../FleetDelta';
-import {EMPTY_VIEW, applyWatchAnswer, type WatchAnswer} from '../../FleetView';
+import {applyWatchAnswer, EMPTY_VIEW, type WatchAnswer} from '../../FleetView';
 
 function answerOf(changes: Partial<WatchAnswer>): WatchAnswer {
   return {
@@ -28,7 +28,7 @@
   return {limits, routes: [], services: [], version};
 }
 
-describe('takeAnswer', () => {
+describe('applyWatchAnswer', () => {
   test('never goes back, in whatever order answers come', async () => {
     const answers = fc.array(
       fc.record({held: fc.nat(300), sentAt: fc.nat(1_000), version: fc.nat(9)}),
@@ -36,7 +36,11 @@
     const property = fc.property(answers, (all) => {
       let view = EMPTY_VIEW;
       for (const {held, sentAt, version} of all) {
-        const next = applyWatchAnswer(view, answerOf({config: configOf(version), heldMs: held}), sentAt);
+        const next = applyWatchAnswer(
+          view,
+          answerOf({config: configOf(version), heldMs: held}),
+          sentAt,
+        );
         expect(next.config!.version).toBeGreaterThanOrEqual(view.config?.version ?? -1);
         expect(next.asOf).toBe(Math.max(view.asOf, sentAt + held));
         view = next;
@@ -80,7 +84,11 @@
   test('takes no news from a replica that lags behind another, whatever the term', () => {
     const whole = (name: string) =>
       ({kind: 'whole', news: {...EMPTY_VIEW.news, controls: [name]}}) as const;
-    const held = applyWatchAnswer(EMPTY_VIEW, answerOf({fleet: 7, term: 3, update: whole('new')}), 0);
+    const held = applyWatchAnswer(
+      EMPTY_VIEW,
+      answerOf({fleet: 7, term: 3, update: whole('new')}),
+      0,
+    );
     const earlier = [
       {fleet: 6, term: 3},
       {fleet: 9, term: 2},
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -5,12 +5,12 @@
   applyStatusDelta,
   diffStatus,
   isEmptyDelta,
+  sortByName,
   type StatusDelta,
   type StatusUpdate,
-  sortByName,
 } from './FleetDelta';
 export {FleetHistory, type NumberedStatus} from './FleetHistory';
-export {fleetMachine, changesEngine, isOutdated, laterHolders} from './FleetMachine';
+export {changesEngine, fleetMachine, isOutdated, laterHolders} from './FleetMachine';
 export {
   afterEngineEnd,
   afterRelease,
@@ -18,8 +18,8 @@
   FIRST_QUARANTINE_MS,
   type FleetSuspect,
   type FleetSuspects,
-  QUARANTINE_LEVEL,
   type NoteEngineEnd,
+  QUARANTINE_LEVEL,
   type ReleaseRequest,
   suspectDetails,
   type SuspectDetails,
@@ -45,20 +45,20 @@
   UNKNOWN_START,
 } from './FleetTypes';
 export {
+  applyWatchAnswer,
   EMPTY_VIEW,
   engineOf,
   type EngineView,
   type EntryView,
-  type FleetStatus,
+  type FleetHeartbeat,
   type FleetRequest,
+  type FleetStatus,
   type FleetView,
-  type FleetHeartbeat,
+  type ForwardedHeartbeat,
   type JobsGroupReport,
   type KnownVersions,
-  type ForwardedHeartbeat,
   type RetireAnswer,
   type StoreView,
-  applyWatchAnswer,
   UNPROVEN_TERM,
   type WatchAnswer,
 } from './FleetView';
--- a/packages/stallpaddle-node/src/NodeBootstrapper.ts
+++ b/packages/stallpaddle-node/src/NodeBootstrapper.ts
@@ -93,7 +93,9 @@
     }
     const replicaHosts = replicas.map(vmOfReplica);
     const isMine = (host: VmId): boolean =>
-      !replicaHosts.includes(host) && !this.told.has(host) && isBootstrapperOf(host, self, replicaHosts);
+      !replicaHosts.includes(host) &&
+      !this.told.has(host) &&
+      isBootstrapperOf(host, self, replicaHosts);
     const hosts = remembered.hosts.filter(isMine);
     if (hosts.length === 0) {
       return;
--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -12,11 +12,11 @@
 import path from 'node:path';
 import {decodeValue, delay, errorMessage, registerLoop, vmOfReplica} from 'stallpaddle';
 import {
+  type FleetHeartbeat,
   fleetMachine,
   type FleetRequest,
   type FleetState,
   type FleetView,
-  type FleetHeartbeat,
 } from 'stallpaddle-fleet';
 import {loadIdentity, NotLeaderError} from 'stallpaddle-replication';
 import {type RpcServer, startRpcServer, tryLocal} from 'stallpaddle-rpc';
@@ -26,15 +26,15 @@
 import type {NodeLimits} from './NodeLimits';
 import type {NodeOptions} from './NodeTypes';
 
+import {NodeBootstrapper} from './NodeBootstrapper';
 import {CONTROL_GROUP, HAND_OVER_MS, INTRODUCE_MS} from './NodeConstants';
 import {NodeControlCalls} from './NodeControlCalls';
 import {NodeControlHandler} from './NodeControlHandler';
 import {NodeFollowerHandler} from './NodeFollowerHandler';
 import {NodeGroup} from './NodeGroup';
 import {callOf, readBody, sendAnswer, startServer} from './NodeHttp';
-import {NodeBootstrapper} from './NodeBootstrapper';
-import {NodeLog} from './NodeLog';
 import {NodeKnownEntries} from './NodeKnownEntries';
+import {NodeLog} from './NodeLog';
 import {addNodeService} from './NodeService';
 import {hostOf, lostDisksOf, portOf} from './NodeSettings';
 
--- a/packages/stallpaddle-node/src/NodeControlHandler.ts
+++ b/packages/stallpaddle-node/src/NodeControlHandler.ts
@@ -6,32 +6,32 @@
 
 import {encodeValue, unreachable} from 'stallpaddle';
 import {
+  changesEngine,
   diffStatus,
   type EngineReport,
   type FleetAnswer,
   type FleetCommand,
   type FleetConfig,
-  type FleetStatus,
+  type FleetHeartbeat,
   type FleetRequest,
   type FleetState,
-  type FleetHeartbeat,
+  type FleetStatus,
   isEmptyDelta,
-  changesEngine,
   isOutdated,
   laterHolders,
   type RetireAnswer,
   type StoredConfig,
-  withoutSource,
   UNPROVEN_TERM,
   type WatchAnswer,
+  withoutSource,
 } from 'stallpaddle-fleet';
 import {NotLeaderError} from 'stallpaddle-replication';
 
 import type {Candidate, NodeGroup} from './NodeGroup';
 
+import {buildFleetStatus, hasMissedReports} from './NodeFleetStatus';
 import {NodeLastSeen} from './NodeLastSeen';
-import {votersFor} from './NodeKeeper';
-import {hasMissedReports, buildFleetStatus} from './NodeNews';
+import {votersFor} from './NodeMembershipPlanner';
 import {NodeStatusPublisher} from './NodeStatusPublisher';
 import {chooseFounders, isEmptied, stayingReplicas} from './NodeStorePlan';
 import {NodeSuspectsHandler} from './NodeSuspectsHandler';
@@ -203,7 +203,9 @@
       return {kind: 'applied'};
     }
     this.current().engines.set(report.id, this.options.clock.monotonicMs());
-    return changesEngine(state, report) ? this.propose({kind: 'reportEngine', report}) : {kind: 'applied'};
+    return changesEngine(state, report)
+      ? this.propose({kind: 'reportEngine', report})
+      : {kind: 'applied'};
   }
 
   /** Whether an engine that started later has the report's address, and lives. */
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -4,7 +4,7 @@
 
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {LogFields} from 'stallpaddle';
-import type {FleetView, FleetHeartbeat} from 'stallpaddle-fleet';
+import type {FleetHeartbeat, FleetView} from 'stallpaddle-fleet';
 
 import {drawId, errorMessage, RefusalError, refuse, unreachable} from 'stallpaddle';
 import {
--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -3,7 +3,7 @@
  * whole. Every process has one, whatever else it does.
  */
 import type {Clock, LogFields, ReplicaId, VmId} from 'stallpaddle';
-import type {FleetView, FleetHeartbeat} from 'stallpaddle-fleet';
+import type {FleetHeartbeat, FleetView} from 'stallpaddle-fleet';
 import type {TryOutcome, TryRequest} from 'stallpaddle-rpc';
 
 import {vmOfReplica} from 'stallpaddle';
@@ -12,10 +12,10 @@
 
 import {hostsToAsk, NodeCaller} from './NodeCaller';
 import {CONTROL_GROUP, JOBS_GROUP} from './NodeConstants';
+import {NodeForwardedHeartbeats} from './NodeForwardedHeartbeats';
 import {orderHops} from './NodeHops';
 import {NodeMetrics} from './NodeMetrics';
 import {NodePeers} from './NodePeers';
-import {NodeForwardedHeartbeats} from './NodeForwardedHeartbeats';
 import {hostOf} from './NodeSettings';
 import {NodeWatch} from './NodeWatch';
 
--- a/packages/stallpaddle-node/src/NodeNews.ts
+++ b/packages/stallpaddle-node/src/NodeFleetStatus.ts
@@ -6,8 +6,8 @@
 import type {
   EngineView,
   EntryView,
-  FleetStatus,
   FleetState,
+  FleetStatus,
   StoreView,
   SuspectView,
 } from 'stallpaddle-fleet';
--- a/packages/stallpaddle-node/src/NodeFollowerHandler.ts
+++ b/packages/stallpaddle-node/src/NodeFollowerHandler.ts
@@ -11,7 +11,7 @@
 import type {NodeWatch} from './NodeWatch';
 
 import {RELAY_AGE_MS} from './NodeConstants';
-import {type PublishedState, NodeStatusPublisher} from './NodeStatusPublisher';
+import {NodeStatusPublisher, type PublishedState} from './NodeStatusPublisher';
 
 /** Time for which what processes say for the first time is gathered, in milliseconds: a fifth of the leader's own pause. */
 const PASS_ON_MS = 20;
--- a/packages/stallpaddle-node/src/NodeFront.ts
+++ b/packages/stallpaddle-node/src/NodeFront.ts
@@ -2,7 +2,7 @@
  * The process on an entry VM: it serves callers, engines and the operator, and holds a replica of the
  * control group where the VM has a disk.
  */
-import type {FleetView, FleetHeartbeat} from 'stallpaddle-fleet';
+import type {FleetHeartbeat, FleetView} from 'stallpaddle-fleet';
 
 import type {NodeSettings} from './NodeSettings';
 import type {NodeOptions, RunningNode} from './NodeTypes';
--- a/packages/stallpaddle-node/src/NodeGroup.ts
+++ b/packages/stallpaddle-node/src/NodeGroup.ts
@@ -16,7 +16,7 @@
 import type {NodePeers} from './NodePeers';
 
 import {GROUP_TIMING, KEEP_MEMBERS_MS, REOPEN_MS, SECOND_MS} from './NodeConstants';
-import {type KnownReplica, planMembers} from './NodeKeeper';
+import {type KnownReplica, planMembers} from './NodeMembershipPlanner';
 
 /** Most changes of members at one look: all that follows a lost VM, or the founding of a group of five by three. */
 const STEPS_A_LOOK = 4;
--- a/packages/stallpaddle-node/src/NodeStorePlan.ts
+++ b/packages/stallpaddle-node/src/NodeStorePlan.ts
@@ -4,10 +4,10 @@
 import type {MonotonicMs, ReplicaId, VmId} from 'stallpaddle';
 import type {FleetState, FleetStore, JobsGroupReport} from 'stallpaddle-fleet';
 
-import type {SeenStore, NodeLastSeen} from './NodeLastSeen';
+import type {NodeLastSeen, SeenStore} from './NodeLastSeen';
 
 import {ENTRY_SILENT_MS} from './NodeConstants';
-import {votersFor} from './NodeKeeper';
+import {votersFor} from './NodeMembershipPlanner';
 
 /** One store of each availability zone first, then the second of each, and so on. */
 function spreadOverZones(stores: readonly SeenStore[]): readonly SeenStore[] {
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -8,12 +8,12 @@
 
 import {delay, encodeValue} from 'stallpaddle';
 import {
+  applyWatchAnswer,
   EMPTY_VIEW,
+  type FleetHeartbeat,
   type FleetRequest,
   type FleetView,
-  type FleetHeartbeat,
   type ForwardedHeartbeat,
-  applyWatchAnswer,
   UNPROVEN_TERM,
   type WatchAnswer,
 } from 'stallpaddle-fleet';
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeControlHandler.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeControlHandler.test.ts
@@ -3,7 +3,13 @@
  * group can't bear the losses yet; what it takes of engines' reports.
  */
 import type {Clock, MonotonicMs, ReplicaId} from 'stallpaddle';
-import type {EngineReport, FleetCommand, FleetStatus, FleetState, FleetHeartbeat} from 'stallpaddle-fleet';
+import type {
+  EngineReport,
+  FleetCommand,
+  FleetHeartbeat,
+  FleetState,
+  FleetStatus,
+} from 'stallpaddle-fleet';
 import type {ReplicaDriver} from 'stallpaddle-replication';
 
 import {decodeValue, delay, systemClock} from 'stallpaddle';
@@ -59,7 +65,11 @@
   return {desk, held, kinds, proposed, status};
 }
 
-function watch(desk: NodeControlHandler, hellos: readonly FleetHeartbeat[], ageMs = 0): Promise<unknown> {
+function watch(
+  desk: NodeControlHandler,
+  hellos: readonly FleetHeartbeat[],
+  ageMs = 0,
+): Promise<unknown> {
   const relayed = hellos.map((hello) => ({ageMs, hello}));
   return desk.answer({
     hellos: [],
@@ -80,11 +90,13 @@
 /** Longer than the pause between two looks of the leader. */
 const LOOK_MS = 250;
 
-describe('NodeDesk', () => {
+describe('NodeControlHandler', () => {
   test('acknowledges no configuration before its group has the voters to bear the losses', async () => {
     // Three seeds found the group; two of them may be lost right after the acknowledgement.
     const {desk, kinds, status} = lead(3, 2);
-    const put = {config: CONFIG, kind: 'putConfig'} as unknown as Parameters<NodeControlHandler['answer']>[0];
+    const put = {config: CONFIG, kind: 'putConfig'} as unknown as Parameters<
+      NodeControlHandler['answer']
+    >[0];
     await expect(desk.answer(put)).rejects.toThrow(NotLeaderError);
     expect(kinds()).toEqual([]);
     const more = ['10.0.0.4/1', '10.0.0.5/1'];
@@ -157,7 +169,10 @@
   const commands: FleetCommand[] = [];
   const logged: string[] = [];
   const clock: Clock = {monotonicMs: () => at.now, wallMs: () => 0};
-  const group = {driver, registerListener: () => () => {}} as unknown as NodeControlHandlerOptions['group'];
+  const group = {
+    driver,
+    registerListener: () => () => {},
+  } as unknown as NodeControlHandlerOptions['group'];
   const desk = new NodeControlHandler({
     clock,
     group,
@@ -195,7 +210,9 @@
     await desk.answer({...end, engine: 'e1', known: 0});
     await desk.answer({...end, engine: 'e2', known: 1});
     const told = (await watch(desk, [])) as {update: {news: FleetStatus}};
-    expect(told.update.news.suspects).toEqual([{digest: 'd', holdMs: FIRST_QUARANTINE_MS, level: 2}]);
+    expect(told.update.news.suspects).toEqual([
+      {digest: 'd', holdMs: FIRST_QUARANTINE_MS, level: 2},
+    ]);
     expect(await desk.answer({kind: 'listSuspects'})).toEqual([
       {
         digest: 'd',
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeNews.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeFleetStatus.test.ts
@@ -6,8 +6,8 @@
 import {fleetMachine, type FleetState} from 'stallpaddle-fleet';
 import {describe, expect, test} from 'vitest';
 
+import {buildFleetStatus} from '../../NodeFleetStatus';
 import {NodeLastSeen} from '../../NodeLastSeen';
-import {buildFleetStatus} from '../../NodeNews';
 
 const FOUNDERS = ['10.0.0.1/a', '10.0.0.2/a', '10.0.0.3/a'];
 const MEMBERS = ['10.0.0.4/a', '10.0.0.5/a', '10.0.0.6/a'];
@@ -31,7 +31,7 @@
   return {kind: 'store', leads, name: replica, replica, zone: 'z'};
 }
 
-describe('makeNews', () => {
+describe('buildFleetStatus', () => {
   test('names the voters that the jobs’ leader reports', () => {
     const heard = new NodeLastSeen(7, 0);
     heard.hear(storeHello(MEMBERS[0]!, 4), 10);
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeJobsHandler.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeJobsHandler.test.ts
@@ -107,7 +107,7 @@
 /** How long the reads of these tests may take. */
 const TERMS = {mayFollow: false, patienceMs: 1_000};
 
-describe('NodeJobsDesk', () => {
+describe('NodeJobsHandler', () => {
   test('the group’s clock never runs ahead of time, whoever leads and how often', async () => {
     const ids = [1, 2, 3].map((number) => `127.0.8.${number}/first`);
     const replicas = await Promise.all(ids.map((id) => startReplica(id, ids)));
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeKnownEntries.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeKnownEntries.test.ts
@@ -7,7 +7,7 @@
 import {FakeDisk} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {NodeKnownEntries, isBootstrapperOf} from '../../NodeKnownEntries';
+import {isBootstrapperOf, NodeKnownEntries} from '../../NodeKnownEntries';
 
 function entriesOf(...hosts: readonly string[]): readonly EntryView[] {
   return hosts.map((host) => ({address: `${host}:80`, name: host, zone: 'z'}));
@@ -17,7 +17,7 @@
   return NodeKnownEntries.open(disk, () => {});
 }
 
-describe('NodeRemembered', () => {
+describe('NodeKnownEntries', () => {
   test('knows after a start who was there before, and nobody on an empty disk', async () => {
     const disk = new FakeDisk();
     const remembered = await openOn(disk);
@@ -50,7 +50,9 @@
   test('two of the replicas tell each entry VM', () => {
     const replicas = Array.from({length: 6}, (_, at) => `10.1.0.${at}`);
     for (let entry = 0; entry < 100; entry++) {
-      const tellers = replicas.filter((self) => isBootstrapperOf(`10.2.0.${entry}`, self, replicas));
+      const tellers = replicas.filter((self) =>
+        isBootstrapperOf(`10.2.0.${entry}`, self, replicas),
+      );
       expect(tellers).toHaveLength(2);
     }
   });
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeKeeper.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeMembershipPlanner.test.ts
@@ -5,7 +5,7 @@
 import {assertHistories} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {type MembershipInput, type KnownReplica, planMembers} from '../../NodeKeeper';
+import {type KnownReplica, type MembershipInput, planMembers} from '../../NodeMembershipPlanner';
 
 function heard(id: string, changes: Partial<KnownReplica> = {}): KnownReplica {
   return {caughtUp: true, id, retiring: false, silentMs: 0, ...changes};
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeMembershipSimulation.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeMembershipSimulation.ts
@@ -12,7 +12,7 @@
 import {vmOfReplica} from 'stallpaddle';
 
 import {KEEP_MEMBERS_MS, VOTER_SILENT_MS} from '../../NodeConstants';
-import {type KnownReplica, planMembers, votersFor} from '../../NodeKeeper';
+import {type KnownReplica, planMembers, votersFor} from '../../NodeMembershipPlanner';
 import {isEmptied} from '../../NodeStorePlan';
 
 /** Time without a leader before another is elected, in milliseconds: two election timeouts. */
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineHandler.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineHandler.test.ts
@@ -28,7 +28,7 @@
   return {tell};
 }
 
-describe('NodeOnlineDesk', () => {
+describe('NodeOnlineHandler', () => {
   test('answers a word with what another VM has told before it', () => {
     const {tell} = deskOf();
     const {version} = tell('idle', {});
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -6,12 +6,12 @@
 
 import {decodeValue, delay, systemClock} from 'stallpaddle';
 import {
+  applyWatchAnswer,
   EMPTY_VIEW,
-  type FleetStatus,
+  type FleetHeartbeat,
   type FleetRequest,
+  type FleetStatus,
   type FleetView,
-  type FleetHeartbeat,
-  applyWatchAnswer,
 } from 'stallpaddle-fleet';
 import {NotLeaderError} from 'stallpaddle-replication';
 import {tryLocal} from 'stallpaddle-rpc';
@@ -19,9 +19,9 @@
 
 import {RELAY_AGE_MS, RELAYED_HOLD_MS, WATCH_MARGIN_MS} from '../../NodeConstants';
 import {NodeFollowerHandler} from '../../NodeFollowerHandler';
+import {NodeForwardedHeartbeats} from '../../NodeForwardedHeartbeats';
 import {NodeHops, orderHops} from '../../NodeHops';
 import {NodeStatusPublisher} from '../../NodeStatusPublisher';
-import {NodeForwardedHeartbeats} from '../../NodeForwardedHeartbeats';
 import {NodeWatch} from '../../NodeWatch';
 
 const undo: (() => void)[] = [];
--- a/packages/stallpaddle-relay/src/RelaySuspects.ts
+++ b/packages/stallpaddle-relay/src/RelaySuspects.ts
@@ -8,8 +8,8 @@
 import {
   type EngineView,
   FIRST_QUARANTINE_MS,
-  QUARANTINE_LEVEL,
   type NoteEngineEnd,
+  QUARANTINE_LEVEL,
   type ReleaseRequest,
   type SuspectView,
 } from 'stallpaddle-fleet';
