--- a/packages/stallpaddle-node/src/NodeBootstrapper.ts
+++ b/packages/stallpaddle-node/src/NodeBootstrapper.ts
@@ -25,7 +25,7 @@
   readonly host: VmId;
   /** What the replica holds, without proof that it is the latest. */
   readonly peek: () => WatchAnswer;
-  readonly remembered: NodeKnownEntries;
+  readonly knownEntries: NodeKnownEntries;
 }
 
 /**
@@ -42,7 +42,7 @@
 }
 
 /** Tells a process where replicas are, and perhaps what one of them holds. */
-function introduction(replicas: readonly ReplicaId[], told: null | WatchAnswer): TryRequest {
+function bootstrapCall(replicas: readonly ReplicaId[], told: null | WatchAnswer): TryRequest {
   const request: FleetRequest = {kind: 'introduce', replicas, told};
   return {encoded: encodeValue(request), group: CONTROL_GROUP, query: true};
 }
@@ -58,36 +58,36 @@
   constructor(private readonly options: NodeBootstrapperOptions) {}
 
   /** One round; what is lost of it is made good by the next. */
-  async introduce(): Promise<void> {
-    const {clock, fleet, group, remembered} = this.options;
+  async bootstrap(): Promise<void> {
+    const {clock, fleet, group, knownEntries: remembered} = this.options;
     const {status} = group.driver;
     const {learners, voters} = status.log.members;
     const replicas = [...voters, ...learners];
     const now = clock.monotonicMs();
     const {entries, entriesComplete} = fleet.watch.view.news;
-    remembered.follow(entriesComplete ? entries : [], now);
+    remembered.update(entriesComplete ? entries : [], now);
     const informed = [...informedReplicas(status, now), status.self];
-    await Promise.all([this.tellSeeds(replicas, informed), this.tellEntries(replicas)]);
+    await Promise.all([this.bootstrapSeeds(replicas, informed), this.bootstrapEntries(replicas)]);
   }
 
   /**
    * Tells seeds without a replica, or with one that answers nothing, where replicas are. After a loss of all processes
    * such a seed may know nobody, and whoever has only such seeds would never find the group.
    */
-  private async tellSeeds(
+  private async bootstrapSeeds(
     replicas: readonly ReplicaId[],
     informed: readonly ReplicaId[],
   ): Promise<void> {
     const {fleet} = this.options;
     const {control} = fleet;
-    const call = introduction(replicas, null);
+    const call = bootstrapCall(replicas, null);
     const hosts = fleet.seedsWithout(informed);
     await Promise.all(hosts.map((host) => control.tryAt(host, call, INTRODUCE_TRY_MS)));
   }
 
   /** Tells remembered entry VMs what this replica holds, until it hears of a leader: then they have heard too. */
-  private async tellEntries(replicas: readonly ReplicaId[]): Promise<void> {
-    const {fleet, host: self, peek, remembered} = this.options;
+  private async bootstrapEntries(replicas: readonly ReplicaId[]): Promise<void> {
+    const {fleet, host: self, peek, knownEntries: remembered} = this.options;
     if (fleet.watch.ageMs < Infinity) {
       return;
     }
@@ -100,11 +100,11 @@
     if (hosts.length === 0) {
       return;
     }
-    const call = introduction(replicas, peek());
-    await Promise.all(hosts.map((host) => this.tellEntry(host, call)));
+    const call = bootstrapCall(replicas, peek());
+    await Promise.all(hosts.map((host) => this.bootstrapEntry(host, call)));
   }
 
-  private async tellEntry(host: VmId, call: TryRequest): Promise<void> {
+  private async bootstrapEntry(host: VmId, call: TryRequest): Promise<void> {
     const outcome = await this.options.fleet.control.tryAt(host, call, INTRODUCE_TRY_MS);
     if (outcome.kind === 'answered') {
       this.told.add(host);
--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -47,14 +47,14 @@
 
 /** See the module's comment. */
 export class NodeControl {
-  private desk: NodeControlHandler | undefined;
-  private readonly follower: NodeFollowerHandler;
+  private handler: NodeControlHandler | undefined;
+  private readonly followerHandler: NodeFollowerHandler;
   private group: NodeGroup<FleetState> | undefined;
   private readonly log: NodeLog;
   private rpc: RpcServer | undefined;
   private self: ReplicaId | undefined;
   private server: Server | undefined;
-  private stopIntroducing: () => Promise<void> = () => Promise.resolve();
+  private stopBootstrapping: () => Promise<void> = () => Promise.resolve();
 
   /**
    * @param options what the process is made of
@@ -68,7 +68,7 @@
   ) {
     const {clock, loggers} = options;
     this.log = new NodeLog(loggers('control'), clock, fleet.metrics);
-    this.follower = new NodeFollowerHandler(clock, fleet.watch, fleet.relayed);
+    this.followerHandler = new NodeFollowerHandler(clock, fleet.watch, fleet.forwarded);
   }
 
   /**
@@ -76,7 +76,7 @@
    *
    * @param request the call
    */
-  answerHere({encoded}: TryRequest): Promise<TryOutcome> {
+  answerLocally({encoded}: TryRequest): Promise<TryOutcome> {
     return tryLocal(() => this.answer(decodeValue<FleetRequest>(encoded)));
   }
 
@@ -87,12 +87,12 @@
    * @param before what it knew before
    */
   onView(view: FleetView, before: FleetView): void {
-    this.follower.onView(view, before);
+    this.followerHandler.onView(view, before);
   }
 
   /** Nobody told this process anything: who asks it may have to ask elsewhere. */
-  onSilence(): void {
-    this.follower.onSilence();
+  onUnanswered(): void {
+    this.followerHandler.onUnanswered();
   }
 
   /**
@@ -106,7 +106,7 @@
   }
 
   /** What this part says of itself to the control group's leader. */
-  hellos(): readonly FleetHeartbeat[] {
+  heartbeats(): readonly FleetHeartbeat[] {
     return this.self === undefined ? [] : [{kind: 'control', replica: this.self}];
   }
 
@@ -116,7 +116,7 @@
     const {key} = this.fleet.peers;
     const addService = (router: ConnectRouter) =>
       addNodeService(router, {
-        answer: (value) => this.answerOther(value as FleetRequest | LimitAsk),
+        answer: (value) => this.answerPeer(value as FleetRequest | LimitAsk),
         group: CONTROL_GROUP,
         onFailure: (err) =>
           this.log.note('A call of another process broke off.', {error: errorMessage(err)}),
@@ -137,20 +137,20 @@
   }
 
   /** Leads no more; calls are answered and votes are cast on. */
-  leave(): void {
+  stepDown(): void {
     this.group?.driver.transferLeadership();
   }
 
   /** Ends the replica; a leader hands over first. */
   async stop(): Promise<void> {
     if (this.group?.driver.leads === true) {
-      this.leave();
+      this.stepDown();
       // Calls under way get their answers from the next leader.
       await delay(HAND_OVER_MS);
     }
     this.server?.close();
-    this.desk?.stop();
-    await this.stopIntroducing();
+    this.handler?.stop();
+    await this.stopBootstrapping();
     await this.group?.close();
     await this.rpc?.stop();
   }
@@ -164,7 +164,7 @@
     const root = await openDisk(dataFolder);
     const self = await loadIdentity(root, host, isFounder ? FOUNDER : undefined);
     const group = await NodeGroup.open({
-      candidates: () => this.desk?.candidates() ?? [],
+      candidates: () => this.handler?.candidates() ?? [],
       clock,
       disk: await openDisk(path.join(dataFolder, CONTROL_GROUP)),
       founders,
@@ -176,10 +176,10 @@
       peers: this.fleet.peers,
       self,
     });
-    this.desk = new NodeControlHandler({
+    this.handler = new NodeControlHandler({
       clock,
       group,
-      jobsBefore: () => this.fleet.watch.view.news.jobsReplicas,
+      lastKnownJobsReplicas: () => this.fleet.watch.view.news.jobsReplicas,
       log: (message, fields) => this.log.note(message, fields),
       lostDisks,
       reportMs: settings.bounds.report,
@@ -187,7 +187,7 @@
     this.group = group;
     this.self = self;
     this.exposeMetrics(group);
-    const {desk, fleet} = this;
+    const {handler: desk, fleet} = this;
     fleet.watch.offer(desk.peek());
     const introducer = new NodeBootstrapper({
       clock,
@@ -195,13 +195,13 @@
       group,
       host,
       peek: () => desk.peek(),
-      remembered: await NodeKnownEntries.open(root, (message, fields) =>
+      knownEntries: await NodeKnownEntries.open(root, (message, fields) =>
         this.log.note(message, fields),
       ),
     });
     // Whoever is back knows nothing until the first round.
-    void introducer.introduce();
-    this.stopIntroducing = registerLoop(INTRODUCE_MS, () => introducer.introduce());
+    void introducer.bootstrap();
+    this.stopBootstrapping = registerLoop(INTRODUCE_MS, () => introducer.bootstrap());
   }
 
   /** Whether the replica knows the members of its group; an empty disk does once the group has taken it in. */
@@ -218,7 +218,7 @@
   }
 
   /** Limits are asked for at any VM, whether it holds a replica or not. */
-  private answerOther(request: FleetRequest | LimitAsk): Promise<unknown> {
+  private answerPeer(request: FleetRequest | LimitAsk): Promise<unknown> {
     return request.kind === 'askLimit' || request.kind === 'returnLimit'
       ? this.limits.answer(request)
       : this.answer(request);
@@ -229,12 +229,12 @@
    * replica or with an empty one, with what this process was told.
    */
   private answer(request: FleetRequest): Promise<unknown> {
-    if (this.desk !== undefined) {
-      if (request.kind === 'watch' && request.mayRelay && !this.desk.leads) {
-        return this.follower.answer(request);
+    if (this.handler !== undefined) {
+      if (request.kind === 'watch' && request.mayRelay && !this.handler.leads) {
+        return this.followerHandler.answer(request);
       }
       if (this.knowsGroup) {
-        return this.desk.answer(request);
+        return this.handler.answer(request);
       }
     }
     const {control, watch} = this.fleet;
--- a/packages/stallpaddle-node/src/NodeControlCalls.ts
+++ b/packages/stallpaddle-node/src/NodeControlCalls.ts
@@ -59,34 +59,34 @@
       case 'bad':
         return {kind: 'refused', message: call.message};
       case 'listSuspects': {
-        const suspects = await this.ask<readonly SuspectDetails[]>(call);
+        const suspects = await this.query<readonly SuspectDetails[]>(call);
         return {kind: 'suspects', suspects};
       }
       case 'putConfig':
         return this.putConfig(call.config);
       case 'readConfig': {
-        const config = await this.ask<StoredConfig | null>({kind: 'readConfig'});
+        const config = await this.query<StoredConfig | null>({kind: 'readConfig'});
         return config === null ? {kind: 'notFound'} : {config, kind: 'config'};
       }
       case 'releaseSuspect': {
         const {digest} = call;
-        await this.order<FleetAnswer>({by: 'operator', digest, kind: 'releaseRequest'});
+        await this.change<FleetAnswer>({by: 'operator', digest, kind: 'releaseRequest'});
         this.log.decide('suspectReleased', digest, {});
         return {kind: 'done'};
       }
       case 'removeEngine':
-        await this.order<FleetAnswer>(call);
+        await this.change<FleetAnswer>(call);
         this.log.decide('engineGone', call.id, {});
         return {kind: 'done'};
       case 'reportEngine': {
-        await this.order<FleetAnswer>(call);
+        await this.change<FleetAnswer>(call);
         const {leaderHost} = this.caller;
         const beatsTo = leaderHost === null ? null : `${leaderHost}:${this.port}`;
         return {beatsTo, kind: 'reported'};
       }
       case 'retireState':
       case 'retireStore': {
-        const state = await this.order<RetireAnswer>(call);
+        const state = await this.change<RetireAnswer>(call);
         this.log.decide(call.kind, call.name, {state});
         return {kind: 'retire', state};
       }
@@ -103,16 +103,16 @@
       this.log.decide('configRefused', String(config.version), {...fault});
       return {kind: 'refused', message: fault.message};
     }
-    const {kind} = await this.order<FleetAnswer>({config, kind: 'putConfig'});
+    const {kind} = await this.change<FleetAnswer>({config, kind: 'putConfig'});
     this.log.decide('configTaken', String(config.version), {outcome: kind});
     return {kind: 'done'};
   }
 
-  private ask<Answer>(value: FleetRequest): Promise<Answer> {
+  private query<Answer>(value: FleetRequest): Promise<Answer> {
     return this.caller.call<Answer>({changes: false, totalMs: CONTROL_CALL_MS, value});
   }
 
-  private order<Answer>(value: FleetRequest): Promise<Answer> {
+  private change<Answer>(value: FleetRequest): Promise<Answer> {
     return this.caller.call<Answer>({changes: true, totalMs: CONTROL_CALL_MS, value});
   }
 }
--- a/packages/stallpaddle-node/src/NodeControlHandler.ts
+++ b/packages/stallpaddle-node/src/NodeControlHandler.ts
@@ -48,7 +48,7 @@
   /** The control group's replica here. */
   readonly group: Pick<NodeGroup<FleetState>, 'driver' | 'registerListener'>;
   /** Where this process last heard that batch jobs are kept. */
-  readonly jobsBefore: () => readonly ReplicaId[];
+  readonly lastKnownJobsReplicas: () => readonly ReplicaId[];
   readonly log: (message: string, fields: LogFields) => void;
   readonly lostDisks: number;
   /** Time between two reports of an engine, in milliseconds. */
@@ -57,17 +57,17 @@
 
 /** See the module's comment. */
 export class NodeControlHandler {
-  private readonly board: NodeStatusPublisher;
+  private readonly publisher: NodeStatusPublisher;
   /** Version of the configuration that was told last. */
-  private configTold: number | undefined;
+  private publishedConfigVersion: number | undefined;
   /** Whether a proposal of founders is under way. */
   private founding = false;
-  private heard = new NodeLastSeen(-1, -Infinity);
+  private lastSeen = new NodeLastSeen(-1, -Infinity);
   private refreshedAt: MonotonicMs = -Infinity;
   private readonly suspects: NodeSuspectsHandler;
   private readonly timer: NodeJS.Timeout;
   /** The configuration that is held here, as others are told of it. */
-  private toldOf: {readonly config: FleetConfig | null; readonly stored: StoredConfig | null} = {
+  private publicConfigCache: {readonly config: FleetConfig | null; readonly stored: StoredConfig | null} = {
     config: null,
     stored: null,
   };
@@ -76,9 +76,9 @@
    * @param options what it needs of its process
    */
   constructor(private readonly options: NodeControlHandlerOptions) {
-    this.board = new NodeStatusPublisher(options.clock, () => ({
+    this.publisher = new NodeStatusPublisher(options.clock, () => ({
       ageMs: 0,
-      config: this.told(options.group.driver.read().config),
+      config: this.publicConfig(options.group.driver.read().config),
     }));
     this.suspects = new NodeSuspectsHandler({
       clock: options.clock,
@@ -98,13 +98,13 @@
   /** Ends the looks. */
   stop(): void {
     clearInterval(this.timer);
-    this.board.wakeAll();
+    this.publisher.wakeAll();
   }
 
   /** Processes that may belong to the control group. */
   candidates(): readonly Candidate[] {
     const now = this.options.clock.monotonicMs();
-    return [...this.heard.controls].map(([id, at]) => ({id, retiring: false, silentMs: now - at}));
+    return [...this.lastSeen.controls].map(([id, at]) => ({id, retiring: false, silentMs: now - at}));
   }
 
   /**
@@ -133,7 +133,7 @@
       case 'removeEngine':
         return this.propose(request);
       case 'reportEngine':
-        return this.takeReport(request.report);
+        return this.handleEngineReport(request.report);
       case 'retireState':
         return this.retireState(request.name);
       case 'retireStore':
@@ -147,18 +147,18 @@
 
   /** What this replica holds, without proof that it is the latest. */
   peek(): WatchAnswer {
-    const config = this.told(this.options.group.driver.localState.config);
-    const update = {kind: 'whole', news: this.makeNews()} as const;
+    const config = this.publicConfig(this.options.group.driver.localState.config);
+    const update = {kind: 'whole', news: this.buildStatus()} as const;
     const term = UNPROVEN_TERM;
     return {ageMs: 0, config, fleet: 0, heldMs: 0, proven: false, term, update};
   }
 
   /** A configuration without the operator's text; made once for each. */
-  private told(config: StoredConfig | null): FleetConfig | null {
-    if (this.toldOf.stored !== config) {
-      this.toldOf = {config: config === null ? null : withoutSource(config), stored: config};
+  private publicConfig(config: StoredConfig | null): FleetConfig | null {
+    if (this.publicConfigCache.stored !== config) {
+      this.publicConfigCache = {config: config === null ? null : withoutSource(config), stored: config};
     }
-    return this.toldOf.config;
+    return this.publicConfigCache.config;
   }
 
   private propose(command: FleetCommand): Promise<FleetAnswer> {
@@ -169,7 +169,7 @@
    * Whether the control group bears the losses. Its founders are fewer; once something was recorded that needs it, fewer
    * voters are there only because disks were lost, and those count among the losses.
    */
-  private bearsLosses(): boolean {
+  private toleratesLosses(): boolean {
     const {group, lostDisks} = this.options;
     const {localState, status} = group.driver;
     return (
@@ -181,7 +181,7 @@
 
   /** The members are recorded before the configuration: when it is acknowledged, as many have both as must. */
   private async putConfig(config: StoredConfig): Promise<FleetAnswer> {
-    if (!this.bearsLosses()) {
+    if (!this.toleratesLosses()) {
       const {group, log, lostDisks} = this.options;
       const voters = group.driver.status.log.members.voters.join(',');
       log('The control group can’t bear the losses yet.', {voters, wanted: votersFor(lostDisks)});
@@ -191,9 +191,9 @@
     return this.propose({config, kind: 'putConfig'});
   }
 
-  private async takeReport(report: EngineReport): Promise<FleetAnswer> {
+  private async handleEngineReport(report: EngineReport): Promise<FleetAnswer> {
     const state = this.options.group.driver.read();
-    if (isOutdated(state, report) || this.isLate(state, report)) {
+    if (isOutdated(state, report) || this.isAddressReused(state, report)) {
       const {address, id, startedAtMs} = report;
       this.options.log('A report of an earlier start of an engine came late.', {
         address,
@@ -209,7 +209,7 @@
   }
 
   /** Whether an engine that started later has the report's address, and lives. */
-  private isLate(state: FleetState, report: EngineReport): boolean {
+  private isAddressReused(state: FleetState, report: EngineReport): boolean {
     const {clock, reportMs} = this.options;
     const now = clock.monotonicMs();
     const heard = this.current();
@@ -221,28 +221,28 @@
     const now = clock.monotonicMs();
     // Only a leader hears, and answers.
     group.driver.read();
-    request.hellos.forEach((hello) => this.hear(hello, now));
-    request.relayed.forEach(({ageMs, hello}) => this.hear(hello, now - ageMs));
-    if (this.board.latest?.term !== this.current().term) {
+    request.hellos.forEach((hello) => this.recordHeartbeat(hello, now));
+    request.relayed.forEach(({ageMs, hello}) => this.recordHeartbeat(hello, now - ageMs));
+    if (this.publisher.latest?.term !== this.current().term) {
       this.refresh();
     }
-    return this.board.answer(request.known, request.waitMs);
+    return this.publisher.answer(request.known, request.waitMs);
   }
 
   /** What this leader has heard; begins anew with each term. */
   private current(): NodeLastSeen {
     const {clock, group} = this.options;
     const {driver} = group;
-    if (this.heard.term !== driver.status.term) {
-      this.heard = new NodeLastSeen(driver.status.term, clock.monotonicMs());
+    if (this.lastSeen.term !== driver.status.term) {
+      this.lastSeen = new NodeLastSeen(driver.status.term, clock.monotonicMs());
     }
-    return this.heard;
+    return this.lastSeen;
   }
 
-  private hear(hello: FleetHeartbeat, at: MonotonicMs): void {
+  private recordHeartbeat(hello: FleetHeartbeat, at: MonotonicMs): void {
     const {group} = this.options;
     const heard = this.current();
-    heard.hear(hello, at);
+    heard.record(hello, at);
     if (hello.kind === 'store') {
       const known = group.driver.localState.stores.get(hello.name)?.replica;
       // A lost disk's last words may be passed on after its successor's first.
@@ -275,37 +275,37 @@
     const {driver} = group;
     this.refreshedAt = clock.monotonicMs();
     if (!driver.leads) {
-      this.board.wakeAll();
+      this.publisher.wakeAll();
       return;
     }
     this.foundJobs();
-    this.suspects.tickSoon();
-    const isPut = this.putNews();
+    this.suspects.tickIfDue();
+    const isPut = this.publishStatus();
     const version = driver.localState.config?.version;
-    if (!isPut && version !== this.configTold) {
-      this.board.wakeAll();
+    if (!isPut && version !== this.publishedConfigVersion) {
+      this.publisher.wakeAll();
     }
-    this.configTold = version;
+    this.publishedConfigVersion = version;
   }
 
   /** Numbers the news anew when they have changed, or belong to a new term; returns whether they have. */
-  private putNews(): boolean {
-    const news = this.makeNews();
+  private publishStatus(): boolean {
+    const news = this.buildStatus();
     const {term} = this.current();
-    const {latest} = this.board;
+    const {latest} = this.publisher;
     const isSame = latest?.term === term && isEmptyDelta(diffStatus(latest.news, news));
     if (!isSame) {
-      this.board.put({fleet: (latest?.fleet ?? 0) + 1, news, term});
+      this.publisher.publish({fleet: (latest?.fleet ?? 0) + 1, news, term});
     }
     return !isSame;
   }
 
-  private makeNews(): FleetStatus {
-    const {clock, group, jobsBefore, reportMs} = this.options;
+  private buildStatus(): FleetStatus {
+    const {clock, group, lastKnownJobsReplicas: jobsBefore, reportMs} = this.options;
     const {driver} = group;
     return buildFleetStatus({
-      heard: this.current(),
-      jobsBefore: jobsBefore(),
+      lastSeen: this.current(),
+      lastKnownJobsReplicas: jobsBefore(),
       members: driver.status.log.members,
       now: clock.monotonicMs(),
       reportMs,
@@ -318,7 +318,7 @@
     const {group, log, lostDisks} = this.options;
     const {driver} = group;
     const heard = this.current();
-    if (driver.localState.jobsFounders !== null || !this.bearsLosses()) {
+    if (driver.localState.jobsFounders !== null || !this.toleratesLosses()) {
       return;
     }
     const now = this.options.clock.monotonicMs();
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -107,7 +107,7 @@
   }
 
   /** What this part says of itself to the control group's leader. */
-  hellos(): readonly FleetHeartbeat[] {
+  heartbeats(): readonly FleetHeartbeat[] {
     const {callers, name, zone} = this.options.settings;
     return callers === null
       ? []
--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -27,11 +27,11 @@
   readonly asksLeader: () => boolean;
   readonly clock: Clock;
   /** What each part of the process says of itself now. */
-  readonly hellos: () => readonly FleetHeartbeat[];
+  readonly heartbeats: () => readonly FleetHeartbeat[];
   /** Writes a line of the process's log. */
   readonly note: (message: string, fields: LogFields) => void;
   /** Called after each question for news that nobody answered. */
-  readonly onSilence: () => void;
+  readonly onUnanswered: () => void;
   /** Called after each answer to a question for news. */
   readonly onView: (view: FleetView, before: FleetView) => void;
   readonly settings: NodeSettings;
@@ -48,7 +48,7 @@
   /** Connections to the other processes. */
   readonly peers: NodePeers;
   /** What other processes have said to this one, for the control group's leader. */
-  readonly relayed = new NodeForwardedHeartbeats();
+  readonly forwarded = new NodeForwardedHeartbeats();
   /** What is known of the fleet. */
   readonly watch: NodeWatch;
   /** This VM, where it holds a replica of the control group. */
@@ -60,11 +60,11 @@
    * @param options what it needs of its process
    */
   constructor(options: NodeFleetOptions) {
-    const {answer, clock, hellos, note, onSilence, onView, settings} = options;
+    const {answer, clock, heartbeats: hellos, note, onUnanswered: onSilence, onView, settings} = options;
     this.ownHosts = answer === null ? [] : [settings.host];
     this.peers = new NodePeers(settings.peerPort, note);
     this.seeds = settings.seeds;
-    const {peers, relayed} = this;
+    const {peers, forwarded: relayed} = this;
     this.control = new NodeCaller({
       clock,
       group: CONTROL_GROUP,
--- a/packages/stallpaddle-node/src/NodeFleetStatus.ts
+++ b/packages/stallpaddle-node/src/NodeFleetStatus.ts
@@ -21,9 +21,9 @@
 
 /** What the news are made from. */
 export interface FleetStatusInput {
-  readonly heard: NodeLastSeen;
+  readonly lastSeen: NodeLastSeen;
   /** Where this process last heard that batch jobs are kept, from whoever led then. */
-  readonly jobsBefore: readonly ReplicaId[];
+  readonly lastKnownJobsReplicas: readonly ReplicaId[];
   /** Members of the control group. */
   readonly members: GroupMembers;
   /** The present moment. */
@@ -50,7 +50,7 @@
   return now - (heard.engines.get(id) ?? heard.since) >= MISSED_REPORTS * reportMs;
 }
 
-function engineViews({heard, now, reportMs, state}: FleetStatusInput): readonly EngineView[] {
+function engineViews({lastSeen: heard, now, reportMs, state}: FleetStatusInput): readonly EngineView[] {
   const engines = [...state.engines.values()].map((engine) => ({
     ...engine,
     sequence: 0,
@@ -59,14 +59,14 @@
   return sortByName(engines, ({id}) => id);
 }
 
-function entryViews({heard, now}: FleetStatusInput): readonly EntryView[] {
+function entryViews({lastSeen: heard, now}: FleetStatusInput): readonly EntryView[] {
   const entries = [...heard.entries.values()]
     .filter(({at, ready}) => ready && now - at < ENTRY_SILENT_MS)
     .map(({address, name, zone}) => ({address, name, zone}));
   return sortByName(entries, ({name}) => name);
 }
 
-function storeViews({heard, now, state}: FleetStatusInput): readonly StoreView[] {
+function storeViews({lastSeen: heard, now, state}: FleetStatusInput): readonly StoreView[] {
   const stores = [...state.stores.values()].map((store) => ({
     ...store,
     heard: now - (heard.stores.get(store.replica)?.at ?? -Infinity) < ENTRY_SILENT_MS,
@@ -78,7 +78,7 @@
  * Replicas of the group that keeps batch jobs. While no leader of it was heard: those that were named before, or, after
  * a loss of all power, every store, for none of the founders may belong to it any more.
  */
-function jobsReplicas({heard, jobsBefore, state}: FleetStatusInput): readonly ReplicaId[] {
+function jobsReplicas({lastSeen: heard, lastKnownJobsReplicas: jobsBefore, state}: FleetStatusInput): readonly ReplicaId[] {
   const {jobsFounders, stores} = state;
   if (jobsFounders === null) {
     return [];
@@ -98,7 +98,7 @@
  * @param input what they are made from
  */
 export function buildFleetStatus(input: FleetStatusInput): FleetStatus {
-  const {heard, members, now, state} = input;
+  const {lastSeen: heard, members, now, state} = input;
   const {jobsFounders} = state;
   return {
     controls: [...members.voters, ...members.learners],
--- a/packages/stallpaddle-node/src/NodeFollowerHandler.ts
+++ b/packages/stallpaddle-node/src/NodeFollowerHandler.ts
@@ -14,24 +14,24 @@
 import {NodeStatusPublisher, type PublishedState} from './NodeStatusPublisher';
 
 /** Time for which what processes say for the first time is gathered, in milliseconds: a fifth of the leader's own pause. */
-const PASS_ON_MS = 20;
+const FORWARD_DELAY_MS = 20;
 
 /** See the module's comment. */
 export class NodeFollowerHandler {
-  private readonly board: NodeStatusPublisher;
-  private passing: NodeJS.Timeout | undefined;
+  private readonly publisher: NodeStatusPublisher;
+  private forwardTimer: NodeJS.Timeout | undefined;
 
   /**
    * @param clock this process's clock
    * @param watch what this process knows
-   * @param hellos what processes have said to this one
+   * @param heartbeats what processes have said to this one
    */
   constructor(
     private readonly clock: Clock,
     private readonly watch: Pick<NodeWatch, 'ageMs' | 'ask' | 'view'>,
-    private readonly hellos: NodeForwardedHeartbeats,
+    private readonly heartbeats: NodeForwardedHeartbeats,
   ) {
-    this.board = new NodeStatusPublisher(clock, () => this.read());
+    this.publisher = new NodeStatusPublisher(clock, () => this.read());
   }
 
   /**
@@ -41,10 +41,10 @@
    * @throws {NotLeaderError} while this process itself knows too little
    */
   answer(request: Extract<FleetRequest, {kind: 'watch'}>): Promise<WatchAnswer> {
-    if (this.hellos.note(request.hellos, this.clock.monotonicMs())) {
-      this.passOnSoon();
+    if (this.heartbeats.record(request.hellos, this.clock.monotonicMs())) {
+      this.scheduleForward();
     }
-    return this.board.answer(request.known, request.waitMs);
+    return this.publisher.answer(request.known, request.waitMs);
   }
 
   /**
@@ -56,23 +56,23 @@
   onView(view: FleetView, before: FleetView): void {
     const {fleet, term, told} = view;
     if (term !== before.term || fleet !== before.fleet) {
-      this.board.put({fleet, news: told, term});
+      this.publisher.publish({fleet, news: told, term});
     } else if (view.config !== before.config) {
-      this.board.wakeAll();
+      this.publisher.wakeAll();
     }
   }
 
   /** Nobody told this process anything: those that wait here are sent elsewhere once it knows too little. */
-  onSilence(): void {
-    this.board.wakeAll();
+  onUnanswered(): void {
+    this.publisher.wakeAll();
   }
 
   /** A VM that comes or leaves is told to the leader before this replica's next question; those that start together go together. */
-  private passOnSoon(): void {
-    this.passing ??= setTimeout(() => {
-      this.passing = undefined;
+  private scheduleForward(): void {
+    this.forwardTimer ??= setTimeout(() => {
+      this.forwardTimer = undefined;
       void this.watch.ask(0);
-    }, PASS_ON_MS);
+    }, FORWARD_DELAY_MS);
   }
 
   private read(): PublishedState {
--- a/packages/stallpaddle-node/src/NodeForwardedHeartbeats.ts
+++ b/packages/stallpaddle-node/src/NodeForwardedHeartbeats.ts
@@ -6,9 +6,9 @@
 import type {FleetHeartbeat, ForwardedHeartbeat} from 'stallpaddle-fleet';
 
 /** Age beyond which words are not passed on, in milliseconds: they count for nothing after that. */
-const TOO_OLD_MS = 2_000;
+const MAX_AGE_MS = 2_000;
 
-interface Heard {
+interface ReceivedHeartbeat {
   readonly at: MonotonicMs;
   readonly hello: FleetHeartbeat;
   /** Whether the leader was told. */
@@ -22,9 +22,9 @@
 
 /** See the module's comment. */
 export class NodeForwardedHeartbeats {
-  private readonly heard = new Map<string, Heard>();
+  private readonly received = new Map<string, ReceivedHeartbeat>();
   private term: number | undefined;
-  private underWay: readonly Heard[] = [];
+  private inFlight: readonly ReceivedHeartbeat[] = [];
 
   /**
    * Notes what a process says.
@@ -33,13 +33,13 @@
    * @param at the present moment
    * @returns whether it says anything that it did not say before
    */
-  note(hellos: readonly FleetHeartbeat[], at: MonotonicMs): boolean {
+  record(hellos: readonly FleetHeartbeat[], at: MonotonicMs): boolean {
     let isNew = false;
     for (const hello of hellos) {
       const key = keyOf(hello);
-      const before = this.heard.get(key)?.hello;
+      const before = this.received.get(key)?.hello;
       isNew ||= before === undefined || JSON.stringify(before) !== JSON.stringify(hello);
-      this.heard.set(key, {at, hello, told: false});
+      this.received.set(key, {at, hello, told: false});
     }
     return isNew;
   }
@@ -50,13 +50,13 @@
    * @param now the present moment
    */
   take(now: MonotonicMs): readonly ForwardedHeartbeat[] {
-    for (const [key, {at}] of this.heard) {
-      if (now - at > TOO_OLD_MS) {
-        this.heard.delete(key);
+    for (const [key, {at}] of this.received) {
+      if (now - at > MAX_AGE_MS) {
+        this.received.delete(key);
       }
     }
-    this.underWay = [...this.heard.values()].filter(({told}) => !told);
-    return this.underWay.map(({at, hello}) => ({ageMs: now - at, hello}));
+    this.inFlight = [...this.received.values()].filter(({told}) => !told);
+    return this.inFlight.map(({at, hello}) => ({ageMs: now - at, hello}));
   }
 
   /**
@@ -68,11 +68,11 @@
     const isSame = term === this.term;
     this.term = term;
     if (isSame) {
-      this.underWay.forEach((heard) => (heard.told = true));
+      this.inFlight.forEach((heard) => (heard.told = true));
     } else {
-      const told = new Set(this.underWay);
-      this.heard.forEach((heard) => (heard.told = told.has(heard)));
+      const told = new Set(this.inFlight);
+      this.received.forEach((heard) => (heard.told = told.has(heard)));
     }
-    this.underWay = [];
+    this.inFlight = [];
   }
 }
--- a/packages/stallpaddle-node/src/NodeFront.ts
+++ b/packages/stallpaddle-node/src/NodeFront.ts
@@ -25,12 +25,12 @@
     const {clock, settings} = options;
     const mayLead = settings.dataFolder !== '';
     this.fleet = new NodeFleet({
-      answer: mayLead ? (request) => this.control.answerHere(request) : null,
+      answer: mayLead ? (request) => this.control.answerLocally(request) : null,
       asksLeader: () => mayLead,
       clock,
-      hellos: () => this.hellos(),
+      heartbeats: () => this.hellos(),
       note: (message, fields) => this.control.note(message, fields),
-      onSilence: () => this.control.onSilence(),
+      onUnanswered: () => this.control.onUnanswered(),
       onView: (view, before) => this.onView(view, before),
       settings,
     });
@@ -74,14 +74,14 @@
 
   /** Leads no more, serves callers to the end as planned, then ends the replica. */
   async stop(): Promise<void> {
-    this.control.leave();
+    this.control.stepDown();
     await this.entry.stop();
     await this.control.stop();
     this.fleet.close();
   }
 
   private hellos(): readonly FleetHeartbeat[] {
-    return [...this.entry.hellos(), ...this.control.hellos()];
+    return [...this.entry.heartbeats(), ...this.control.heartbeats()];
   }
 
   private onView(view: FleetView, before: FleetView): void {
--- a/packages/stallpaddle-node/src/NodeGroup.ts
+++ b/packages/stallpaddle-node/src/NodeGroup.ts
@@ -19,7 +19,7 @@
 import {type KnownReplica, planMembers} from './NodeMembershipPlanner';
 
 /** Most changes of members at one look: all that follows a lost VM, or the founding of a group of five by three. */
-const STEPS_A_LOOK = 4;
+const MAX_STEPS_PER_CHECK = 4;
 
 /** A replica that may belong to the group, as the process has heard of it. */
 export interface Candidate {
@@ -55,7 +55,7 @@
   private closed = false;
   private current!: ReplicaDriver<State>;
   private readonly listeners = new Set<() => void>();
-  private stopKeeping: () => Promise<void> = () => Promise.resolve();
+  private stopReconciling: () => Promise<void> = () => Promise.resolve();
 
   private constructor(private readonly options: NodeGroupOptions<State>) {}
 
@@ -78,10 +78,10 @@
       if (!isFullDisk(err)) {
         throw err;
       }
-      await group.openAgain(err);
+      await group.retryOpen(err);
     }
     // Only now: a slow disk may take longer to open than a round waits.
-    group.stopKeeping = registerLoop(KEEP_MEMBERS_MS, () => group.keepMembers());
+    group.stopReconciling = registerLoop(KEEP_MEMBERS_MS, () => group.reconcileMembers());
     return group;
   }
 
@@ -132,10 +132,10 @@
   /** Opens the replica again and again until its disk takes it; the others go on without it. */
   private async reopen(failure: unknown): Promise<void> {
     await this.current.close().catch(() => {});
-    await this.openAgain(failure);
+    await this.retryOpen(failure);
   }
 
-  private async openAgain(failure: unknown): Promise<void> {
+  private async retryOpen(failure: unknown): Promise<void> {
     const {group, logger} = this.options;
     logger.warn('The disk is full; the replica waits for room.', {
       group,
@@ -198,11 +198,11 @@
   /** Ends the replica. */
   async close(): Promise<void> {
     this.closed = true;
-    await this.stopKeeping();
+    await this.stopReconciling();
     await this.driver.close();
   }
 
-  private known(): readonly KnownReplica[] {
+  private knownReplicas(): readonly KnownReplica[] {
     const {status} = this.driver;
     const {role} = status;
     if (role.kind !== 'leader') {
@@ -230,8 +230,8 @@
    * A step that is due after another is taken at once: between the vote of a successor and the end of the voter that it
    * replaces lies one voter that counts and may be lost.
    */
-  private async keepMembers(): Promise<void> {
-    for (let steps = 0; steps < STEPS_A_LOOK && !this.closed; steps++) {
+  private async reconcileMembers(): Promise<void> {
+    for (let steps = 0; steps < MAX_STEPS_PER_CHECK && !this.closed; steps++) {
       if (!(await this.takeStep())) {
         return;
       }
@@ -246,7 +246,7 @@
       return false;
     }
     const {members} = driver.status.log;
-    const step = planMembers({known: this.known(), lostDisks, members, self});
+    const step = planMembers({known: this.knownReplicas(), lostDisks, members, self});
     if (step === null) {
       return false;
     }
--- a/packages/stallpaddle-node/src/NodeJobsHandler.ts
+++ b/packages/stallpaddle-node/src/NodeJobsHandler.ts
@@ -104,7 +104,7 @@
       }
       case 'tellOnline':
         driver.read();
-        return this.online.tell(request, dispatcher);
+        return this.online.exchange(request, dispatcher);
       default:
         return unreachable(request);
     }
@@ -189,7 +189,7 @@
       const left = holdUntil - this.clock.monotonicMs();
       if (refs.length > 0 || left <= 0 || from >= total) {
         if (refs.length === 0 && from !== total) {
-          expectComplete(driver, this.clock.monotonicMs() - askedAt);
+          requireComplete(driver, this.clock.monotonicMs() - askedAt);
         }
         const endAt = this.clock.monotonicMs() + Math.max(0, left) + patienceMs;
         const read = (): Promise<readonly ReadResult[]> =>
@@ -211,7 +211,7 @@
  * That there is nothing yet may be said only by who holds all that was committed before the question came: whoever has read
  * a result finds it again. A replica that follows can say so of a question that it has held for a while.
  */
-function expectComplete(driver: Driver, askedMs: number): void {
+function requireComplete(driver: Driver, askedMs: number): void {
   if (driver.completeAgeMs > askedMs) {
     driver.read();
   }
--- a/packages/stallpaddle-node/src/NodeKnownEntries.ts
+++ b/packages/stallpaddle-node/src/NodeKnownEntries.ts
@@ -17,7 +17,7 @@
 const RECORD_AGAIN_MS = 5_000;
 
 /** Replicas that tell each entry VM: one of them may be lost. */
-const TELLERS = 2;
+const BOOTSTRAPPERS_PER_ENTRY = 2;
 
 const hostsSchema = z.array(z.string());
 
@@ -29,7 +29,7 @@
  * @param replicas VMs of all replicas
  */
 export function isBootstrapperOf(entry: VmId, self: VmId, replicas: readonly VmId[]): boolean {
-  return rendezvousOrder(entry, replicas).slice(0, TELLERS).includes(self);
+  return rendezvousOrder(entry, replicas).slice(0, BOOTSTRAPPERS_PER_ENTRY).includes(self);
 }
 
 /** See the module's comment. */
@@ -78,7 +78,7 @@
    * @param entries entry VMs by the news
    * @param now the present moment
    */
-  follow(entries: readonly EntryView[], now: MonotonicMs): void {
+  update(entries: readonly EntryView[], now: MonotonicMs): void {
     const hosts = entries.map(({address}) => hostOf(address)).sort();
     const isSame = hosts.join() === this.known.join();
     if (isSame || hosts.length === 0 || this.recording || now - this.recordedAt < RECORD_AGAIN_MS) {
--- a/packages/stallpaddle-node/src/NodeLastSeen.ts
+++ b/packages/stallpaddle-node/src/NodeLastSeen.ts
@@ -54,7 +54,7 @@
    * @param hello its words
    * @param at when it said so
    */
-  hear(hello: FleetHeartbeat, at: MonotonicMs): void {
+  record(hello: FleetHeartbeat, at: MonotonicMs): void {
     switch (hello.kind) {
       case 'control':
         this.controls.set(hello.replica, Math.max(at, this.controls.get(hello.replica) ?? at));
--- a/packages/stallpaddle-node/src/NodeMembershipPlanner.ts
+++ b/packages/stallpaddle-node/src/NodeMembershipPlanner.ts
@@ -51,9 +51,9 @@
 }
 
 /** What the decision looks at, by replica. */
-interface KeeperView extends MembershipInput {
+interface PlannerView extends MembershipInput {
   readonly isCaughtUp: (id: ReplicaId) => boolean;
-  readonly isHeard: (id: ReplicaId) => boolean;
+  readonly isReachable: (id: ReplicaId) => boolean;
   /** Whether its VM has come back with another disk: it is lost for certain. */
   readonly isReplaced: (id: ReplicaId) => boolean;
   readonly isRetiring: (id: ReplicaId) => boolean;
@@ -63,12 +63,12 @@
   readonly wanted: number;
 }
 
-function viewOf(input: MembershipInput): KeeperView {
+function toPlannerView(input: MembershipInput): PlannerView {
   const byId = new Map(input.known.map((replica) => [replica.id, replica]));
   const silentMs = (id: ReplicaId): number => byId.get(id)?.silentMs ?? Infinity;
   const isHeard = (id: ReplicaId): boolean => silentMs(id) < CANDIDATE_SILENT_MS;
   // Of two disks of one VM the lost one has spoken least lately.
-  const isOutlived = (id: ReplicaId): boolean =>
+  const isSuperseded = (id: ReplicaId): boolean =>
     input.known.some(
       (other) =>
         vmOfReplica(other.id) === vmOfReplica(id) &&
@@ -78,8 +78,8 @@
   return {
     ...input,
     isCaughtUp: (id) => byId.get(id)?.caughtUp === true,
-    isHeard,
-    isReplaced: (id) => silentMs(id) > REPLACED_SILENT_MS && isOutlived(id),
+    isReachable: isHeard,
+    isReplaced: (id) => silentMs(id) > REPLACED_SILENT_MS && isSuperseded(id),
     isRetiring: (id) => byId.get(id)?.retiring === true,
     isSilent: (id) => id !== input.self && silentMs(id) > VOTER_SILENT_MS,
     silentMs,
@@ -92,7 +92,7 @@
 }
 
 /** A voter whose disk is lost is in the way of a majority and helps none: each look without it is better. */
-function dropLost({isReplaced, members, self}: KeeperView): MemberStep | null {
+function removeReplacedVoter({isReplaced, members, self}: PlannerView): MemberStep | null {
   const {learners, voters} = members;
   const lost = voters.find((id) => id !== self && isReplaced(id));
   return lost === undefined
@@ -100,7 +100,7 @@
     : change({learners, voters: without(voters, lost)}, `${lost} came back with another disk`);
 }
 
-function dropLearner({isHeard, isReplaced, isRetiring, members}: KeeperView): MemberStep | null {
+function removeLearner({isReachable: isHeard, isReplaced, isRetiring, members}: PlannerView): MemberStep | null {
   const {learners, voters} = members;
   const gone = learners.find((id) => isReplaced(id) || isRetiring(id) || !isHeard(id));
   return gone === undefined
@@ -109,7 +109,7 @@
 }
 
 /** One more that holds everything never makes the loss of a majority likelier. */
-function addVoter(view: KeeperView): MemberStep | null {
+function promoteLearner(view: PlannerView): MemberStep | null {
   const {isCaughtUp, isRetiring, isSilent, members, wanted} = view;
   const {learners, voters} = members;
   const isLeaving = voters.some((id) => isSilent(id) || isRetiring(id));
@@ -126,7 +126,7 @@
  * Lets one go of more voters than are wanted, so that those who stay bear all losses without it. Silence is no loss: the
  * disk of a silent voter may be one of the majority that is left when others are lost, so its successor votes first.
  */
-function dropExcess(view: KeeperView): MemberStep | null {
+function removeExcessVoter(view: PlannerView): MemberStep | null {
   const {isCaughtUp, isRetiring, isSilent, members, self, silentMs, wanted} = view;
   const {learners, voters} = members;
   if (voters.length <= wanted) {
@@ -156,8 +156,8 @@
 }
 
 /** Two disks of one VM are one lost and its successor: were both members, the lost one would count among those that stay. */
-function addLearner(view: KeeperView): MemberStep | null {
-  const {isHeard, isRetiring, known, members, wanted} = view;
+function addLearner(view: PlannerView): MemberStep | null {
+  const {isReachable: isHeard, isRetiring, known, members, wanted} = view;
   const {learners, voters} = members;
   const memberVms = new Set([...voters, ...learners].map(vmOfReplica));
   const successors = voters.some((id) => isRetiring(id)) ? 1 : 0;
@@ -180,8 +180,8 @@
  * @param input what the leader knows
  */
 export function planMembers(input: MembershipInput): MemberStep | null {
-  const view = viewOf(input);
+  const view = toPlannerView(input);
   return (
-    dropLost(view) ?? dropLearner(view) ?? addVoter(view) ?? dropExcess(view) ?? addLearner(view)
+    removeReplacedVoter(view) ?? removeLearner(view) ?? promoteLearner(view) ?? removeExcessVoter(view) ?? addLearner(view)
   );
 }
--- a/packages/stallpaddle-node/src/NodeOnlineHandler.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineHandler.ts
@@ -8,7 +8,7 @@
 
 import {drawId} from 'stallpaddle';
 
-type Tell = Extract<JobsRequest, {kind: 'tellOnline'}>;
+type OnlineReport = Extract<JobsRequest, {kind: 'tellOnline'}>;
 
 /** Counts of some engines, 0 for those without any. */
 function countsOf(
@@ -28,7 +28,7 @@
    * @param request its words
    * @param dispatcher runs the items
    */
-  tell({known, own, sender, sequence}: Tell, dispatcher: JobsDispatcher): OnlineAnswer {
+  exchange({known, own, sender, sequence}: OnlineReport, dispatcher: JobsDispatcher): OnlineAnswer {
     dispatcher.learnOnline(sender, sequence, own);
     const {online} = dispatcher;
     const since = known?.epoch === this.epoch ? known.changes : null;
--- a/packages/stallpaddle-node/src/NodePeers.ts
+++ b/packages/stallpaddle-node/src/NodePeers.ts
@@ -23,7 +23,7 @@
 const FLEET_KEY = 'fleet 6';
 
 /** Time between two lines about one VM that is refused, in milliseconds. */
-const REFUSED_AGAIN_MS = 10_000;
+const REFUSED_LOG_INTERVAL_MS = 10_000;
 
 function bytesOf({encoded = [], part}: Delivery): number {
   return encoded.reduce((sum, {length}) => sum + length, part?.bytes?.length ?? 0);
@@ -62,7 +62,7 @@
    */
   noteRefused(host: string): void {
     const now = performance.now();
-    if (now - (this.refusedAt.get(host) ?? -Infinity) >= REFUSED_AGAIN_MS) {
+    if (now - (this.refusedAt.get(host) ?? -Infinity) >= REFUSED_LOG_INTERVAL_MS) {
       this.refusedAt.set(host, now);
       this.note('A process that speaks another form of calls is refused.', {host});
     }
@@ -97,7 +97,7 @@
     }
     const outbox =
       this.outboxes.get(message.to) ??
-      new RpcOutbox((deliveries) => this.carry(message.to, deliveries));
+      new RpcOutbox((deliveries) => this.deliver(message.to, deliveries));
     this.outboxes.set(message.to, outbox);
     outbox.add(message);
   }
@@ -123,7 +123,7 @@
   }
 
   /** One delivery at a time: what comes meanwhile goes with the next. */
-  private async carry(to: ReplicaId, {lost, next}: Deliveries): Promise<void> {
+  private async deliver(to: ReplicaId, {lost, next}: Deliveries): Promise<void> {
     for (let delivery = await next(); delivery !== undefined; delivery = await next()) {
       const startedAt = performance.now();
       const channel = this.channelIn(this.messageChannels, vmOfReplica(to));
--- a/packages/stallpaddle-node/src/NodeStatusPublisher.ts
+++ b/packages/stallpaddle-node/src/NodeStatusPublisher.ts
@@ -45,7 +45,7 @@
    *
    * @param numbered the news
    */
-  put(numbered: NumberedStatus): void {
+  publish(numbered: NumberedStatus): void {
     this.history.put(numbered);
     this.wakeAll();
   }
--- a/packages/stallpaddle-node/src/NodeStore.ts
+++ b/packages/stallpaddle-node/src/NodeStore.ts
@@ -36,25 +36,25 @@
 import {NodeWaiters} from './NodeWaiters';
 
 /** Pause before a process that may be a founder looks again without news whether it stops, in milliseconds. */
-const FOUND_AGAIN_MS = 1_000;
+const FOUNDING_CHECK_MS = 1_000;
 /**
  * Silence of a store process that the control group's leader doesn't hear, in milliseconds: the news gives no
  * time, and this makes it no candidate but is not yet that of a lost voter.
  */
-const UNHEARD_SILENT_MS = (CANDIDATE_SILENT_MS + VOTER_SILENT_MS) / 2;
+const NO_HEARTBEAT_SILENT_MS = (CANDIDATE_SILENT_MS + VOTER_SILENT_MS) / 2;
 
 /** Longest wait for what runs have brought to be recorded at a planned stop, in milliseconds: some records. */
 const SAVE_AT_STOP_MS = 1_000;
 
 /** See the module's comment. */
 export class NodeStore implements RunningNode {
-  private desk: NodeJobsHandler | undefined;
+  private handler: NodeJobsHandler | undefined;
   private dispatcher: JobsDispatcher | undefined;
   private readonly fleet: NodeFleet;
   private group: NodeGroup<JobsState> | undefined;
   private readonly log: NodeLog;
   private readonly logger: Logger;
-  private readonly newsWaiters = new NodeWaiters();
+  private readonly statusWaiters = new NodeWaiters();
   private rpc!: RpcServer;
   private self!: ReplicaId;
   private stopped = false;
@@ -67,12 +67,12 @@
       // Whoever runs items must know soon which engines leave.
       asksLeader: () => (this.group?.driver.leadership.kind ?? 'follows') !== 'follows',
       clock,
-      hellos: () => [this.hello()],
+      heartbeats: () => [this.heartbeat()],
       note: (message, fields) => this.log.note(message, fields),
-      onSilence: () => {},
+      onUnanswered: () => {},
       onView: (view, before) => {
         if (view.news !== before.news || view.config !== before.config) {
-          this.newsWaiters.wakeAll();
+          this.statusWaiters.wakeAll();
           this.dispatcher?.poke();
         }
       },
@@ -118,9 +118,9 @@
     return this.fleet.watch;
   }
 
-  private hello(): FleetHeartbeat {
+  private heartbeat(): FleetHeartbeat {
     const {name, zone} = this.options.settings;
-    return {kind: 'store', leads: this.report(), name, replica: this.self, zone};
+    return {kind: 'store', leads: this.groupReport(), name, replica: this.self, zone};
   }
 
   private async open(): Promise<void> {
@@ -191,7 +191,7 @@
     const desk = new NodeJobsHandler(clock, group, (decision, id, fields) =>
       this.log.decide(decision, id, fields),
     );
-    this.desk = desk;
+    this.handler = desk;
     this.dispatcher = this.makeDispatcher(group, desk);
     group.registerListener(() => {
       this.dispatcher?.poke();
@@ -228,7 +228,7 @@
       if (jobsFounders !== null) {
         return jobsFounders;
       }
-      await this.newsWaiters.wait(FOUND_AGAIN_MS);
+      await this.statusWaiters.wait(FOUNDING_CHECK_MS);
     }
     return null;
   }
@@ -242,12 +242,12 @@
     return view.news.stores.map(({heard, replica, retiring}) => ({
       id: replica,
       retiring,
-      silentMs: heard ? ageMs : UNHEARD_SILENT_MS,
+      silentMs: heard ? ageMs : NO_HEARTBEAT_SILENT_MS,
     }));
   }
 
   /** What the group's leader says of the group; nothing from others. */
-  private report(): JobsGroupReport | null {
+  private groupReport(): JobsGroupReport | null {
     const {group} = this;
     if (group === undefined || !group.driver.leads) {
       return null;
@@ -260,7 +260,7 @@
   }
 
   private async answer(request: JobsRequest): Promise<unknown> {
-    const {desk, dispatcher} = this;
+    const {handler: desk, dispatcher} = this;
     if (desk === undefined || dispatcher === undefined) {
       throw new NotLeaderError(null);
     }
--- a/packages/stallpaddle-node/src/NodeSuspectsHandler.ts
+++ b/packages/stallpaddle-node/src/NodeSuspectsHandler.ts
@@ -87,7 +87,7 @@
   }
 
   /** Suspects are let go by the group's clock, which runs with commands only. */
-  tickSoon(): void {
+  tickIfDue(): void {
     const {clock, group, propose} = this.options;
     const now = clock.monotonicMs();
     if (group.driver.localState.suspects.size > 0 && now - this.tickedAt >= TICK_MS) {
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeControlHandler.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeControlHandler.test.ts
@@ -55,7 +55,7 @@
       driver: driver as unknown as ReplicaDriver<FleetState>,
       registerListener: () => () => true,
     },
-    jobsBefore: () => [],
+    lastKnownJobsReplicas: () => [],
     log: () => {},
     lostDisks,
     reportMs: 1_000,
@@ -176,7 +176,7 @@
   const desk = new NodeControlHandler({
     clock,
     group,
-    jobsBefore: () => [],
+    lastKnownJobsReplicas: () => [],
     log: (message) => logged.push(message),
     lostDisks: 1,
     reportMs: REPORT_MS,
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeFleetStatus.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeFleetStatus.test.ts
@@ -23,7 +23,7 @@
 
 function newsOf(heard: NodeLastSeen, jobsBefore: readonly string[], state = founded()) {
   const members = {learners: [], voters: ['c/1']};
-  return buildFleetStatus({heard, jobsBefore, members, now: 100, reportMs: 1_000, state});
+  return buildFleetStatus({lastSeen: heard, lastKnownJobsReplicas: jobsBefore, members, now: 100, reportMs: 1_000, state});
 }
 
 function storeHello(replica: string, term: null | number): FleetHeartbeat {
@@ -34,7 +34,7 @@
 describe('buildFleetStatus', () => {
   test('names the voters that the jobs’ leader reports', () => {
     const heard = new NodeLastSeen(7, 0);
-    heard.hear(storeHello(MEMBERS[0]!, 4), 10);
+    heard.record(storeHello(MEMBERS[0]!, 4), 10);
     expect(newsOf(heard, FOUNDERS).jobsReplicas).toEqual(MEMBERS);
   });
 
@@ -44,8 +44,8 @@
     const unheard = new NodeLastSeen(8, 0);
     expect(newsOf(unheard, MEMBERS).jobsReplicas).toEqual(MEMBERS);
     const deposed = new NodeLastSeen(8, 0);
-    deposed.hear(storeHello(MEMBERS[0]!, 4), 10);
-    deposed.hear(storeHello(MEMBERS[0]!, null), 20);
+    deposed.record(storeHello(MEMBERS[0]!, 4), 10);
+    deposed.record(storeHello(MEMBERS[0]!, null), 20);
     expect(newsOf(deposed, MEMBERS).jobsReplicas).toEqual(MEMBERS);
   });
 
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeKnownEntries.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeKnownEntries.test.ts
@@ -22,20 +22,20 @@
     const disk = new FakeDisk();
     const remembered = await openOn(disk);
     expect(remembered.hosts).toEqual([]);
-    remembered.follow(entriesOf('10.0.0.2', '10.0.0.1'), 0);
+    remembered.update(entriesOf('10.0.0.2', '10.0.0.1'), 0);
     await delay(1);
     expect((await openOn(disk)).hosts).toEqual(['10.0.0.1', '10.0.0.2']);
   });
 
   test('records changes with pauses between them, and no list of nobody', async () => {
     const remembered = await openOn(new FakeDisk());
-    remembered.follow(entriesOf('10.0.0.1'), 0);
+    remembered.update(entriesOf('10.0.0.1'), 0);
     await delay(1);
-    remembered.follow(entriesOf('10.0.0.2'), 100);
-    remembered.follow([], 60_000);
+    remembered.update(entriesOf('10.0.0.2'), 100);
+    remembered.update([], 60_000);
     await delay(1);
     expect(remembered.hosts).toEqual(['10.0.0.1']);
-    remembered.follow(entriesOf('10.0.0.2'), 60_000);
+    remembered.update(entriesOf('10.0.0.2'), 60_000);
     await delay(1);
     expect(remembered.hosts).toEqual(['10.0.0.2']);
   });
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineHandler.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeOnlineHandler.test.ts
@@ -23,7 +23,7 @@
     const sequence = (sequences.get(sender) ?? 0) + 1;
     sequences.set(sender, sequence);
     const request = {kind: 'tellOnline', known, own, sender, sequence} as const;
-    return desk.tell(request, dispatcher as JobsDispatcher);
+    return desk.exchange(request, dispatcher as JobsDispatcher);
   };
   return {tell};
 }
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -103,7 +103,7 @@
   let fleet = 0;
   const tell = (changes: Partial<FleetStatus>): void => {
     fleet++;
-    board.put({fleet, news: {...EMPTY_VIEW.news, ...changes}, term: 1});
+    board.publish({fleet, news: {...EMPTY_VIEW.news, ...changes}, term: 1});
   };
   network.serve('leader', (request) => {
     heard.push(...request.hellos.map((hello) => ({ageMs: 0, hello})), ...request.relayed);
@@ -115,7 +115,7 @@
     const {hooks, watch} = processOf(network, {relayed});
     const desk = new NodeFollowerHandler(systemClock, watch, relayed);
     hooks.onView = (view, before) => desk.onView(view, before);
-    hooks.onSilence = () => desk.onSilence();
+    hooks.onSilence = () => desk.onUnanswered();
     network.serve(host, (request) => desk.answer(request));
     void watch.run();
   }
@@ -252,7 +252,7 @@
 describe('NodeNewsBoard', () => {
   test('holds a question for its time, and tells for how long', async () => {
     const board = new NodeStatusPublisher(systemClock, () => ({ageMs: 5, config: null}));
-    board.put({fleet: 1, news: EMPTY_VIEW.news, term: 1});
+    board.publish({fleet: 1, news: EMPTY_VIEW.news, term: 1});
     const view = applyWatchAnswer(
       EMPTY_VIEW,
       await board.answer({config: null, fleet: 0, term: -1}, 0),
@@ -268,7 +268,7 @@
 
   test('holds a question of a process that knows more than this replica', async () => {
     const board = new NodeStatusPublisher(systemClock, () => ({ageMs: 0, config: null}));
-    board.put({fleet: 1, news: EMPTY_VIEW.news, term: 1});
+    board.publish({fleet: 1, news: EMPTY_VIEW.news, term: 1});
     const startedAt = performance.now();
     await board.answer({config: null, fleet: 5, term: 1}, 60);
     await board.answer({config: null, fleet: 0, term: 2}, 60);
@@ -283,7 +283,7 @@
       }
       return {ageMs: 0, config: null};
     });
-    board.put({fleet: 1, news: EMPTY_VIEW.news, term: 1});
+    board.publish({fleet: 1, news: EMPTY_VIEW.news, term: 1});
     const held = board.answer({config: null, fleet: 1, term: 1}, 2_000);
     mayTell = false;
     board.wakeAll();
@@ -336,8 +336,8 @@
     const relayed = new NodeForwardedHeartbeats();
     const names = (now: number) =>
       relayed.take(now).map(({ageMs, hello}) => [hello.kind === 'entry' && hello.name, ageMs]);
-    relayed.note([entry('a')], 0);
-    relayed.note([entry('b')], 100);
+    relayed.record([entry('a')], 0);
+    relayed.record([entry('b')], 100);
     expect(names(200)).toEqual([
       ['a', 200],
       ['b', 100],
@@ -349,7 +349,7 @@
     ]);
     relayed.confirm(1);
     expect(names(400)).toEqual([]);
-    relayed.note([entry('b')], 450);
+    relayed.record([entry('b')], 450);
     expect(names(500)).toEqual([['b', 50]]);
     relayed.confirm(1);
     relayed.take(600);
