--- a/packages/stallpaddle-node/src/NodeBootstrapper.ts
+++ b/packages/stallpaddle-node/src/NodeBootstrapper.ts
@@ -1,6 +1,5 @@
 /**
- * Tells processes that may know nobody where replicas of the control group are: seeds without one, and after a loss of all
- * processes the entry VMs that a replica remembers.
+ * Sends the addresses of control replicas to processes that may not know any.
  */
 import type {Clock, MonotonicMs, ReplicaId, VmId} from 'stallpaddle';
 import type {FleetRequest, FleetState, WatchAnswer} from 'stallpaddle-fleet';
@@ -16,48 +15,51 @@
 import {CANDIDATE_SILENT_MS, CONTROL_GROUP, INTRODUCE_TRY_MS} from './NodeConstants';
 import {isBootstrapperOf} from './NodeKnownEntries';
 
-/** What it needs of its process. */
+/** Dependencies of {@link NodeBootstrapper}. */
 export interface NodeBootstrapperOptions {
   readonly clock: Clock;
   readonly fleet: Pick<NodeFleet, 'control' | 'seedsWithout' | 'watch'>;
   readonly group: Pick<NodeGroup<FleetState>, 'driver'>;
   /** This VM. */
   readonly host: VmId;
-  /** What the replica holds, without proof that it is the latest. */
+  /** The replica's state, which may be outdated. */
   readonly peek: () => WatchAnswer;
   readonly knownEntries: NodeKnownEntries;
 }
 
 /**
- * Replicas that know their group: a leader leaves out those that answer nothing. A VM that has lost its disk is still
- * counted among the members, and knows nobody.
+ * Members that can be expected to know their group. A leader leaves out unreachable ones: a VM that has lost its disk is
+ * still listed as a member, but knows nobody.
  */
 function informedReplicas({log, role}: ReplicationState, now: MonotonicMs): readonly ReplicaId[] {
   const {learners, voters} = log.members;
   const isSilent = (replica: ReplicaId): boolean => {
-    const heardAt = role.kind === 'leader' ? role.progress.get(replica)?.ackedSentAt : undefined;
-    return heardAt !== undefined && now - heardAt >= CANDIDATE_SILENT_MS;
+    const ackedAt = role.kind === 'leader' ? role.progress.get(replica)?.ackedSentAt : undefined;
+    return ackedAt !== undefined && now - ackedAt >= CANDIDATE_SILENT_MS;
   };
   return [...voters, ...learners].filter((replica) => !isSilent(replica));
 }
 
-/** Tells a process where replicas are, and perhaps what one of them holds. */
-function bootstrapCall(replicas: readonly ReplicaId[], told: null | WatchAnswer): TryRequest {
-  const request: FleetRequest = {kind: 'introduce', replicas, told};
+/** Call that sends the group's replicas and, where given, a replica's state to a process. */
+function bootstrapCall(replicas: readonly ReplicaId[], state: null | WatchAnswer): TryRequest {
+  const request: FleetRequest = {kind: 'introduce', replicas, told: state};
   return {encoded: encodeValue(request), group: CONTROL_GROUP, query: true};
 }
 
-/** See the module's comment. */
+/**
+ * Sends the addresses of control replicas to processes that may not know any: seeds that hold no replica, and, after all
+ * processes were lost, the entry VMs that this replica has on its disk.
+ */
 export class NodeBootstrapper {
-  /** Remembered entry VMs that have taken in what this replica holds. */
-  private readonly told = new Set<VmId>();
+  /** Known entry VMs that have received this replica's state. */
+  private readonly bootstrapped = new Set<VmId>();
 
   /**
-   * @param options what it needs of its process
+   * @param options its dependencies
    */
   constructor(private readonly options: NodeBootstrapperOptions) {}
 
-  /** One round; what is lost of it is made good by the next. */
+  /** Runs one round. Failed calls are retried by the next one. */
   async bootstrap(): Promise<void> {
     const {clock, fleet, group, knownEntries: remembered} = this.options;
     const {status} = group.driver;
@@ -71,8 +73,8 @@
   }
 
   /**
-   * Tells seeds without a replica, or with one that answers nothing, where replicas are. After a loss of all processes
-   * such a seed may know nobody, and whoever has only such seeds would never find the group.
+   * Sends the replicas to seeds that hold none or an unreachable one. After all processes were lost such a seed may know
+   * nobody, and processes that have only such seeds would never find the group.
    */
   private async bootstrapSeeds(
     replicas: readonly ReplicaId[],
@@ -85,18 +87,18 @@
     await Promise.all(hosts.map((host) => control.tryAt(host, call, INTRODUCE_TRY_MS)));
   }
 
-  /** Tells remembered entry VMs what this replica holds, until it hears of a leader: then they have heard too. */
+  /** Sends this replica's state to known entry VMs until a leader is known; from then on they get it from the leader. */
   private async bootstrapEntries(replicas: readonly ReplicaId[]): Promise<void> {
-    const {fleet, host: self, peek, knownEntries: remembered} = this.options;
+    const {fleet, host: self, knownEntries: remembered, peek} = this.options;
     if (fleet.watch.ageMs < Infinity) {
       return;
     }
     const replicaHosts = replicas.map(vmOfReplica);
-    const isMine = (host: VmId): boolean =>
+    const isAssigned = (host: VmId): boolean =>
       !replicaHosts.includes(host) &&
-      !this.told.has(host) &&
+      !this.bootstrapped.has(host) &&
       isBootstrapperOf(host, self, replicaHosts);
-    const hosts = remembered.hosts.filter(isMine);
+    const hosts = remembered.hosts.filter(isAssigned);
     if (hosts.length === 0) {
       return;
     }
@@ -107,7 +109,7 @@
   private async bootstrapEntry(host: VmId, call: TryRequest): Promise<void> {
     const outcome = await this.options.fleet.control.tryAt(host, call, INTRODUCE_TRY_MS);
     if (outcome.kind === 'answered') {
-      this.told.add(host);
+      this.bootstrapped.add(host);
     }
   }
 }
--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -1,6 +1,5 @@
 /**
- * The part of a process that serves engines and the operator. Where the VM has a disk it holds a replica of
- * the control group; elsewhere it hands every call on to the group's leader.
+ * Control API of a process for engines, the operator and other processes.
  */
 
 import type {ConnectRouter} from '@connectrpc/connect';
@@ -38,14 +37,17 @@
 import {addNodeService} from './NodeService';
 import {hostOf, lostDisksOf, portOf} from './NodeSettings';
 
-/** Largest call of the operator, in bytes: a configuration of some hundred thousand routes' shares. */
+/** Largest body of a control call, in bytes. */
 const MAX_CALL_BYTES = 16_777_216;
-/** Time that a rested connection of an engine or the operator is kept, in milliseconds. */
+/** Idle timeout of a connection of an engine or the operator, in milliseconds. */
 const IDLE_MS = 15_000;
-/** Name of the first disk of a founder, known to all founders beforehand. */
+/** Name of a founder's first disk. It is fixed, so that founders can name each other's replicas before they have met. */
 const FOUNDER = 'first';
 
-/** See the module's comment. */
+/**
+ * Serves calls of engines, the operator and other processes. On a VM with a disk it also runs a replica of the control
+ * group; on other VMs calls go to the group's leader.
+ */
 export class NodeControl {
   private handler: NodeControlHandler | undefined;
   private readonly followerHandler: NodeFollowerHandler;
@@ -57,9 +59,9 @@
   private stopBootstrapping: () => Promise<void> = () => Promise.resolve();
 
   /**
-   * @param options what the process is made of
-   * @param fleet the process's place in its fleet
-   * @param limits limits that this VM may own
+   * @param options the process's clock, settings and other dependencies
+   * @param fleet connections to the other processes and the fleet status
+   * @param limits answers requests for limits that this VM owns
    */
   constructor(
     private readonly options: NodeOptions,
@@ -72,7 +74,7 @@
   }
 
   /**
-   * Answers a call of this process to the control group's leader.
+   * Answers a call of this process to the control group's leader without the network.
    *
    * @param request the call
    */
@@ -81,36 +83,36 @@
   }
 
   /**
-   * Follows what this process knows, for those that ask it.
+   * Publishes a changed view of the fleet to the processes that watch it here.
    *
-   * @param view what it knows now
-   * @param before what it knew before
+   * @param view the new view
+   * @param before the previous view
    */
   onView(view: FleetView, before: FleetView): void {
     this.followerHandler.onView(view, before);
   }
 
-  /** Nobody told this process anything: who asks it may have to ask elsewhere. */
+  /** Reports that this process got no status update, so that processes that watch here may have to go elsewhere. */
   onUnanswered(): void {
     this.followerHandler.onUnanswered();
   }
 
   /**
-   * Writes a line of this part's log.
+   * Writes a line to the control log.
    *
    * @param message one sentence
-   * @param fields what goes with it
+   * @param fields structured fields of the line
    */
   note(message: string, fields: LogFields): void {
     this.log.note(message, fields);
   }
 
-  /** What this part says of itself to the control group's leader. */
+  /** Heartbeats of this process's control replica; none without a replica. */
   heartbeats(): readonly FleetHeartbeat[] {
     return this.self === undefined ? [] : [{kind: 'control', replica: this.self}];
   }
 
-  /** Begins to listen, and opens the replica where the VM has a disk. */
+  /** Starts the servers, and opens the replica where the VM has a disk. */
   async open(): Promise<void> {
     const {control, dataFolder, host, peerListenPort, peerPort} = this.options.settings;
     const {key} = this.fleet.peers;
@@ -119,7 +121,7 @@
         answer: (value) => this.answerPeer(value as FleetRequest | LimitAsk),
         group: CONTROL_GROUP,
         onFailure: (err) =>
-          this.log.note('A call of another process broke off.', {error: errorMessage(err)}),
+          this.log.note('A call of another process failed.', {error: errorMessage(err)}),
         replica: () => this.group?.driver,
       });
     this.rpc = await startRpcServer(host, peerListenPort ?? peerPort, key, addService, (from) =>
@@ -136,16 +138,16 @@
     }
   }
 
-  /** Leads no more; calls are answered and votes are cast on. */
+  /** Transfers leadership away; the replica still answers calls and votes. */
   stepDown(): void {
     this.group?.driver.transferLeadership();
   }
 
-  /** Ends the replica; a leader hands over first. */
+  /** Stops the servers and closes the replica; a leader transfers its leadership first. */
   async stop(): Promise<void> {
     if (this.group?.driver.leads === true) {
       this.stepDown();
-      // Calls under way get their answers from the next leader.
+      // Lets calls in flight finish with the next leader.
       await delay(HAND_OVER_MS);
     }
     this.server?.close();
@@ -187,24 +189,24 @@
     this.group = group;
     this.self = self;
     this.exposeMetrics(group);
-    const {handler: desk, fleet} = this;
-    fleet.watch.offer(desk.peek());
+    const {fleet, handler} = this;
+    fleet.watch.offer(handler.peek());
     const introducer = new NodeBootstrapper({
       clock,
       fleet,
       group,
       host,
-      peek: () => desk.peek(),
       knownEntries: await NodeKnownEntries.open(root, (message, fields) =>
         this.log.note(message, fields),
       ),
+      peek: () => handler.peek(),
     });
-    // Whoever is back knows nothing until the first round.
+    // A restarted process knows nobody until the first round, so it doesn't wait for the interval.
     void introducer.bootstrap();
     this.stopBootstrapping = registerLoop(INTRODUCE_MS, () => introducer.bootstrap());
   }
 
-  /** Whether the replica knows the members of its group; an empty disk does once the group has taken it in. */
+  /** Whether the replica knows the members of its group. One on an empty disk does once it has joined. */
   private get knowsGroup(): boolean {
     return (this.group?.driver.status.log.members.voters.length ?? 0) > 0;
   }
@@ -217,7 +219,7 @@
     });
   }
 
-  /** Limits are asked for at any VM, whether it holds a replica or not. */
+  /** Answers another process. Any VM may own a limit, with or without a replica. */
   private answerPeer(request: FleetRequest | LimitAsk): Promise<unknown> {
     return request.kind === 'askLimit' || request.kind === 'returnLimit'
       ? this.limits.answer(request)
@@ -225,8 +227,8 @@
   }
 
   /**
-   * Answers other processes: as a leader does, with what the leader told this replica where that is enough, or, without a
-   * replica or with an empty one, with what this process was told.
+   * Answers a fleet request. A follower answers watches that allow it from its view of the fleet; a replica that has
+   * joined its group answers the rest as a leader would. Without such a replica only the process's own view is available.
    */
   private answer(request: FleetRequest): Promise<unknown> {
     if (this.handler !== undefined) {
@@ -263,7 +265,7 @@
       const call = wire.readControl({...callOf(req), body});
       sendAnswer(res, wire.encodeControl(await calls.reply(call)));
     } catch (err) {
-      this.log.note('A control call broke off.', {error: errorMessage(err), url: req.url});
+      this.log.note('A control call failed.', {error: errorMessage(err), url: req.url});
       res.destroy();
     }
   }
--- a/packages/stallpaddle-node/src/NodeControlCalls.ts
+++ b/packages/stallpaddle-node/src/NodeControlCalls.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of engines and the operator, brought to the control group's leader.
+ * Control calls of engines and the operator.
  */
 import type {
   FleetAnswer,
@@ -19,17 +19,17 @@
 
 import {CONTROL_CALL_MS} from './NodeConstants';
 
-/** Whether a call found no leader in time. */
+/** Whether a call failed because no leader was found in time. */
 function isLostCall(err: unknown): boolean {
   return err instanceof RefusalError || err instanceof NotLeaderError;
 }
 
-/** See the module's comment. */
+/** Validates control calls of engines and the operator, and forwards them to the control group's leader. */
 export class NodeControlCalls {
   /**
    * @param caller calls the control group's leader
    * @param port port on which every VM of the fleet serves control calls
-   * @param log the log of the part that serves them
+   * @param log the control log
    */
   constructor(
     private readonly caller: NodeCaller,
@@ -38,7 +38,7 @@
   ) {}
 
   /**
-   * Carries out a call; a call that found no leader in time is answered too.
+   * Executes a call. When no leader is found in time, the reply is `unavailable`.
    *
    * @param call the call
    */
--- a/packages/stallpaddle-node/src/NodeControlHandler.ts
+++ b/packages/stallpaddle-node/src/NodeControlHandler.ts
@@ -1,5 +1,5 @@
 /**
- * Answers all processes while this one leads the control group.
+ * Requests to the leader of the control group.
  */
 
 import type {Clock, LogFields, MonotonicMs, ReplicaId, VmId} from 'stallpaddle';
@@ -37,17 +37,17 @@
 import {NodeSuspectsHandler} from './NodeSuspectsHandler';
 
 /**
- * Time between looks at what has changed, in milliseconds. News go out as often at most: while a fleet of 200 processes
- * starts, each of them would otherwise be news to all the others at once.
+ * Time between checks for changes of the fleet status, in milliseconds. It also limits how often the status is published,
+ * so that processes that start together don't each cause an update to all others.
  */
 const REFRESH_MS = 100;
 
-/** What the desk needs of its process. */
+/** Dependencies of {@link NodeControlHandler}. */
 export interface NodeControlHandlerOptions {
   readonly clock: Clock;
-  /** The control group's replica here. */
+  /** This process's replica of the control group. */
   readonly group: Pick<NodeGroup<FleetState>, 'driver' | 'registerListener'>;
-  /** Where this process last heard that batch jobs are kept. */
+  /** Replicas that keep batch jobs, as a leader last reported them to this process. */
   readonly lastKnownJobsReplicas: () => readonly ReplicaId[];
   readonly log: (message: string, fields: LogFields) => void;
   readonly lostDisks: number;
@@ -55,25 +55,31 @@
   readonly reportMs: number;
 }
 
-/** See the module's comment. */
+/**
+ * Handles requests of all processes while this one leads the control group: tracks heartbeats, publishes the fleet status,
+ * commits changes, and has the group for batch jobs founded.
+ */
 export class NodeControlHandler {
   private readonly publisher: NodeStatusPublisher;
-  /** Version of the configuration that was told last. */
+  /** Version of the configuration that was published last. */
   private publishedConfigVersion: number | undefined;
-  /** Whether a proposal of founders is under way. */
+  /** Whether a proposal of founders is in flight. */
   private founding = false;
   private lastSeen = new NodeLastSeen(-1, -Infinity);
   private refreshedAt: MonotonicMs = -Infinity;
   private readonly suspects: NodeSuspectsHandler;
   private readonly timer: NodeJS.Timeout;
-  /** The configuration that is held here, as others are told of it. */
-  private publicConfigCache: {readonly config: FleetConfig | null; readonly stored: StoredConfig | null} = {
+  /** The configuration without the operator's text, converted once for each stored one. */
+  private publicConfigCache: {
+    readonly config: FleetConfig | null;
+    readonly stored: StoredConfig | null;
+  } = {
     config: null,
     stored: null,
   };
 
   /**
-   * @param options what it needs of its process
+   * @param options its dependencies
    */
   constructor(private readonly options: NodeControlHandlerOptions) {
     this.publisher = new NodeStatusPublisher(options.clock, () => ({
@@ -95,20 +101,24 @@
     return this.options.group.driver.leads;
   }
 
-  /** Ends the looks. */
+  /** Stops the checks, and wakes waiting requests. */
   stop(): void {
     clearInterval(this.timer);
     this.publisher.wakeAll();
   }
 
-  /** Processes that may belong to the control group. */
+  /** Replicas that may become members of the control group. */
   candidates(): readonly Candidate[] {
     const now = this.options.clock.monotonicMs();
-    return [...this.lastSeen.controls].map(([id, at]) => ({id, retiring: false, silentMs: now - at}));
+    return [...this.lastSeen.controls].map(([id, at]) => ({
+      id,
+      retiring: false,
+      silentMs: now - at,
+    }));
   }
 
   /**
-   * Answers a request.
+   * Handles a request.
    *
    * @param request the request
    * @throws {NotLeaderError} without leadership or lease
@@ -116,7 +126,7 @@
   async answer(request: FleetRequest): Promise<unknown> {
     switch (request.kind) {
       case 'introduce':
-        // A replica knows the others from its log.
+        // A replica knows the other members from its log.
         return null;
       case 'listSuspects':
         return this.suspects.list();
@@ -145,7 +155,7 @@
     }
   }
 
-  /** What this replica holds, without proof that it is the latest. */
+  /** This replica's state, which may be outdated. */
   peek(): WatchAnswer {
     const config = this.publicConfig(this.options.group.driver.localState.config);
     const update = {kind: 'whole', news: this.buildStatus()} as const;
@@ -153,10 +163,12 @@
     return {ageMs: 0, config, fleet: 0, heldMs: 0, proven: false, term, update};
   }
 
-  /** A configuration without the operator's text; made once for each. */
   private publicConfig(config: StoredConfig | null): FleetConfig | null {
     if (this.publicConfigCache.stored !== config) {
-      this.publicConfigCache = {config: config === null ? null : withoutSource(config), stored: config};
+      this.publicConfigCache = {
+        config: config === null ? null : withoutSource(config),
+        stored: config,
+      };
     }
     return this.publicConfigCache.config;
   }
@@ -166,8 +178,8 @@
   }
 
   /**
-   * Whether the control group bears the losses. Its founders are fewer; once something was recorded that needs it, fewer
-   * voters are there only because disks were lost, and those count among the losses.
+   * Whether the control group tolerates the configured losses. It starts with fewer voters. Once state was committed that
+   * relies on it, fewer voters only mean that disks were lost, and those count among the losses.
    */
   private toleratesLosses(): boolean {
     const {group, lostDisks} = this.options;
@@ -179,13 +191,16 @@
     );
   }
 
-  /** The members are recorded before the configuration: when it is acknowledged, as many have both as must. */
+  /** Accepts a configuration only once there are enough voters, so that an acknowledged one survives the configured losses. */
   private async putConfig(config: StoredConfig): Promise<FleetAnswer> {
     if (!this.toleratesLosses()) {
       const {group, log, lostDisks} = this.options;
       const voters = group.driver.status.log.members.voters.join(',');
-      log('The control group can’t bear the losses yet.', {voters, wanted: votersFor(lostDisks)});
-      // Whoever asks tries again: the other replicas join within a second.
+      log('The control group can’t tolerate the configured losses yet.', {
+        voters,
+        wanted: votersFor(lostDisks),
+      });
+      // The caller retries; the other replicas join within a second.
       throw new NotLeaderError(null);
     }
     return this.propose({config, kind: 'putConfig'});
@@ -195,7 +210,7 @@
     const state = this.options.group.driver.read();
     if (isOutdated(state, report) || this.isAddressReused(state, report)) {
       const {address, id, startedAtMs} = report;
-      this.options.log('A report of an earlier start of an engine came late.', {
+      this.options.log('An outdated report of an earlier incarnation of an engine was ignored.', {
         address,
         engine: id,
         startedAtMs,
@@ -208,20 +223,20 @@
       : {kind: 'applied'};
   }
 
-  /** Whether an engine that started later has the report's address, and lives. */
+  /** Whether a live engine that started later has the report's address. */
   private isAddressReused(state: FleetState, report: EngineReport): boolean {
     const {clock, reportMs} = this.options;
     const now = clock.monotonicMs();
-    const heard = this.current();
-    return laterHolders(state, report).some((id) => !hasMissedReports(heard, id, now, reportMs));
+    const lastSeen = this.current();
+    return laterHolders(state, report).some((id) => !hasMissedReports(lastSeen, id, now, reportMs));
   }
 
   private watch(request: Extract<FleetRequest, {kind: 'watch'}>): Promise<WatchAnswer> {
     const {clock, group} = this.options;
     const now = clock.monotonicMs();
-    // Only a leader hears, and answers.
+    // Throws without leadership: only a leader may record heartbeats and answer.
     group.driver.read();
-    request.hellos.forEach((hello) => this.recordHeartbeat(hello, now));
+    request.hellos.forEach((heartbeat) => this.recordHeartbeat(heartbeat, now));
     request.relayed.forEach(({ageMs, hello}) => this.recordHeartbeat(hello, now - ageMs));
     if (this.publisher.latest?.term !== this.current().term) {
       this.refresh();
@@ -229,7 +244,7 @@
     return this.publisher.answer(request.known, request.waitMs);
   }
 
-  /** What this leader has heard; begins anew with each term. */
+  /** What this leader has received; starts empty with each term. */
   private current(): NodeLastSeen {
     const {clock, group} = this.options;
     const {driver} = group;
@@ -239,16 +254,16 @@
     return this.lastSeen;
   }
 
-  private recordHeartbeat(hello: FleetHeartbeat, at: MonotonicMs): void {
+  private recordHeartbeat(heartbeat: FleetHeartbeat, at: MonotonicMs): void {
     const {group} = this.options;
-    const heard = this.current();
-    heard.record(hello, at);
-    if (hello.kind === 'store') {
-      const known = group.driver.localState.stores.get(hello.name)?.replica;
-      // A lost disk's last words may be passed on after its successor's first.
-      const isLate = known !== undefined && (heard.stores.get(known)?.at ?? -Infinity) > at;
-      if (known !== hello.replica && !isLate) {
-        this.recordStore(hello.name, hello.replica);
+    const lastSeen = this.current();
+    lastSeen.record(heartbeat, at);
+    if (heartbeat.kind === 'store') {
+      const known = group.driver.localState.stores.get(heartbeat.name)?.replica;
+      // A forwarded heartbeat of a lost disk may arrive after the first one of its successor.
+      const isLate = known !== undefined && (lastSeen.stores.get(known)?.at ?? -Infinity) > at;
+      if (known !== heartbeat.replica && !isLate) {
+        this.recordStore(heartbeat.name, heartbeat.replica);
       }
     }
   }
@@ -257,19 +272,19 @@
     const {log} = this.options;
     this.propose({kind: 'seeStore', name, replica}).then(
       () => log('A store process joins.', {name, replica}),
-      // It says so again with its next question.
+      // The next heartbeat retries.
       () => {},
     );
   }
 
-  /** The first change after a pause is told at once, what comes soon after it with the next look. */
+  /** Publishes the first change after a pause at once; those that follow soon wait for the next check. */
   private refreshSoon(): void {
     if (this.options.clock.monotonicMs() - this.refreshedAt >= REFRESH_MS) {
       this.refresh();
     }
   }
 
-  /** Makes the news anew and tells those that wait what has changed. */
+  /** Rebuilds the fleet status, and answers waiting requests when it has changed. */
   private refresh(): void {
     const {clock, group} = this.options;
     const {driver} = group;
@@ -280,22 +295,22 @@
     }
     this.foundJobs();
     this.suspects.tickIfDue();
-    const isPut = this.publishStatus();
+    const isPublished = this.publishStatus();
     const version = driver.localState.config?.version;
-    if (!isPut && version !== this.publishedConfigVersion) {
+    if (!isPublished && version !== this.publishedConfigVersion) {
       this.publisher.wakeAll();
     }
     this.publishedConfigVersion = version;
   }
 
-  /** Numbers the news anew when they have changed, or belong to a new term; returns whether they have. */
+  /** Publishes the status under a new number if it has changed or the term is new; returns whether it did. */
   private publishStatus(): boolean {
-    const news = this.buildStatus();
+    const status = this.buildStatus();
     const {term} = this.current();
     const {latest} = this.publisher;
-    const isSame = latest?.term === term && isEmptyDelta(diffStatus(latest.news, news));
+    const isSame = latest?.term === term && isEmptyDelta(diffStatus(latest.news, status));
     if (!isSame) {
-      this.publisher.publish({fleet: (latest?.fleet ?? 0) + 1, news, term});
+      this.publisher.publish({fleet: (latest?.fleet ?? 0) + 1, news: status, term});
     }
     return !isSame;
   }
@@ -304,8 +319,8 @@
     const {clock, group, lastKnownJobsReplicas: jobsBefore, reportMs} = this.options;
     const {driver} = group;
     return buildFleetStatus({
-      lastSeen: this.current(),
       lastKnownJobsReplicas: jobsBefore(),
+      lastSeen: this.current(),
       members: driver.status.log.members,
       now: clock.monotonicMs(),
       reportMs,
@@ -313,16 +328,16 @@
     });
   }
 
-  /** Founds the group that keeps batch jobs, once enough store processes are there to bear a loss. */
+  /** Has the group that keeps batch jobs founded once there are enough store processes to tolerate the losses. */
   private foundJobs(): void {
     const {group, log, lostDisks} = this.options;
     const {driver} = group;
-    const heard = this.current();
+    const lastSeen = this.current();
     if (driver.localState.jobsFounders !== null || !this.toleratesLosses()) {
       return;
     }
     const now = this.options.clock.monotonicMs();
-    const founders = chooseFounders([...heard.stores.values()], lostDisks, now);
+    const founders = chooseFounders([...lastSeen.stores.values()], lostDisks, now);
     if (founders === null || this.founding) {
       return;
     }
@@ -333,7 +348,7 @@
         log('The group for batch jobs is founded.', {founders: founders.join(',')});
       },
       () => {
-        // The next look tries again.
+        // The next check retries.
         this.founding = false;
       },
     );
@@ -348,13 +363,13 @@
     if (store.retiring) {
       return this.retireState(name);
     }
-    const heard = this.current();
-    const report = heard.jobsReport;
+    const lastSeen = this.current();
+    const report = lastSeen.jobsReport;
     if (report === null) {
       throw new NotLeaderError(null);
     }
     const {clock, lostDisks} = this.options;
-    const staying = stayingReplicas(store, report, heard, state, clock.monotonicMs());
+    const staying = stayingReplicas(store, report, lastSeen, state, clock.monotonicMs());
     if (staying.size < votersFor(lostDisks)) {
       return 'tooFew';
     }
--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -1,6 +1,5 @@
 /**
- * A process's place in its fleet: the other processes, the control group's leader, and what is known of the
- * whole. Every process has one, whatever else it does.
+ * Access of a process to the rest of its fleet.
  */
 import type {Clock, LogFields, ReplicaId, VmId} from 'stallpaddle';
 import type {FleetHeartbeat, FleetView} from 'stallpaddle-fleet';
@@ -19,25 +18,28 @@
 import {hostOf} from './NodeSettings';
 import {NodeWatch} from './NodeWatch';
 
-/** What the place needs of its process. */
+/** Dependencies of {@link NodeFleet}. */
 export interface NodeFleetOptions {
-  /** Answers calls to the control group's leader here, where this process may lead it. */
+  /** Answers calls to the control group's leader locally; null where this process holds no replica of the group. */
   readonly answer: null | ((request: TryRequest) => Promise<TryOutcome>);
-  /** Whether the process asks the leader itself for news: a replica that passes them on, or one that runs items. */
+  /** Whether the process watches the leader itself: a control replica, which followers watch, or one that runs items. */
   readonly asksLeader: () => boolean;
   readonly clock: Clock;
-  /** What each part of the process says of itself now. */
+  /** Current heartbeats of the process, one for each of its roles. */
   readonly heartbeats: () => readonly FleetHeartbeat[];
-  /** Writes a line of the process's log. */
+  /** Writes a line to the process's log. */
   readonly note: (message: string, fields: LogFields) => void;
-  /** Called after each question for news that nobody answered. */
+  /** Called after each watch request that was not answered. */
   readonly onUnanswered: () => void;
-  /** Called after each answer to a question for news. */
+  /** Called after each answer to a watch request. */
   readonly onView: (view: FleetView, before: FleetView) => void;
   readonly settings: NodeSettings;
 }
 
-/** See the module's comment. */
+/**
+ * Connects a process to its fleet: the other processes, the leaders of both groups, and the fleet status. Every process
+ * has one.
+ */
 export class NodeFleet {
   /** Calls to the control group's leader. */
   readonly control: NodeCaller;
@@ -47,24 +49,32 @@
   readonly metrics = new NodeMetrics();
   /** Connections to the other processes. */
   readonly peers: NodePeers;
-  /** What other processes have said to this one, for the control group's leader. */
+  /** Heartbeats that other processes have sent to this one, to be forwarded to the control group's leader. */
   readonly forwarded = new NodeForwardedHeartbeats();
-  /** What is known of the fleet. */
+  /** Keeps this process's view of the fleet up to date. */
   readonly watch: NodeWatch;
-  /** This VM, where it holds a replica of the control group. */
+  /** This VM where it holds a replica of the control group, else empty. */
   private readonly ownHosts: readonly VmId[];
-  /** Addresses of VMs that serve control calls, to be asked first. */
+  /** Addresses of VMs that are called first, while no replica is known. */
   private seeds: readonly string[];
 
   /**
-   * @param options what it needs of its process
+   * @param options its dependencies
    */
   constructor(options: NodeFleetOptions) {
-    const {answer, clock, heartbeats: hellos, note, onUnanswered: onSilence, onView, settings} = options;
+    const {
+      answer,
+      clock,
+      heartbeats: hellos,
+      note,
+      onUnanswered: onSilence,
+      onView,
+      settings,
+    } = options;
     this.ownHosts = answer === null ? [] : [settings.host];
     this.peers = new NodePeers(settings.peerPort, note);
     this.seeds = settings.seeds;
-    const {peers, forwarded: relayed} = this;
+    const {forwarded: relayed, peers} = this;
     this.control = new NodeCaller({
       clock,
       group: CONTROL_GROUP,
@@ -95,16 +105,16 @@
   }
 
   /**
-   * Takes in settings that have changed.
+   * Applies changed settings.
    *
-   * @param settings the settings as they are now; only the seeds are followed
+   * @param settings the new settings; only the seeds are applied
    */
   reload(settings: NodeSettings): void {
     this.seeds = settings.seeds;
   }
 
   /**
-   * Hosts of the seeds that hold none of some replicas.
+   * Hosts of the seeds that hold none of the given replicas.
    *
    * @param replicas the replicas
    */
@@ -113,13 +123,13 @@
     return this.seeds.map(hostOf).filter((host) => !hosts.has(host));
   }
 
-  /** Asks for no more news, and ends all connections to other processes. */
+  /** Stops watching, and closes all connections to other processes. */
   close(): void {
     this.watch.stop();
     this.peers.close();
   }
 
-  /** VMs that may answer for the control group's leader, the best for this process first. */
+  /** VMs that may answer watches in place of the leader, the best for this process first. */
   private hopHosts({name, zone}: NodeSettings): readonly VmId[] {
     const {controls, view} = this.watch;
     const hosts = controls.length === 0 ? this.seeds.map(hostOf) : controls.map(vmOfReplica);
@@ -127,7 +137,7 @@
     return orderHops({hosts: [...new Set(hosts)], name, zone, zoneOf: (host) => zones.get(host)});
   }
 
-  /** Hosts that may lead the control group, best known first. */
+  /** Hosts that may lead the control group, the likeliest first. */
   private controlHosts(): readonly VmId[] {
     const known = hostsToAsk(this.seeds, this.watch.controls);
     return [...new Set([...known, ...this.ownHosts])];
--- a/packages/stallpaddle-node/src/NodeFleetStatus.ts
+++ b/packages/stallpaddle-node/src/NodeFleetStatus.ts
@@ -1,6 +1,5 @@
 /**
- * The news that a leader of the control group has for all processes: pure, from the group's state and what
- * the leader has heard.
+ * Builds the fleet status that a leader of the control group publishes to all processes. Pure.
  */
 import type {EngineId, MonotonicMs, ReplicaId} from 'stallpaddle';
 import type {
@@ -19,10 +18,10 @@
 
 import {ENTRY_SILENT_MS, MISSED_REPORTS, SETTLE_MS} from './NodeConstants';
 
-/** What the news are made from. */
+/** What the fleet status is built from. */
 export interface FleetStatusInput {
   readonly lastSeen: NodeLastSeen;
-  /** Where this process last heard that batch jobs are kept, from whoever led then. */
+  /** Replicas that keep batch jobs, as a leader last reported them to this process. */
   readonly lastKnownJobsReplicas: readonly ReplicaId[];
   /** Members of the control group. */
   readonly members: GroupMembers;
@@ -34,56 +33,60 @@
 }
 
 /**
- * Whether an engine's reports fail to come. One that a new leader hasn't heard yet counts as heard when it began to listen.
+ * Whether an engine has missed its reports. One that hasn't reported to a new leader yet counts from the leader's start.
  *
- * @param heard what the leader has heard
+ * @param lastSeen heartbeats and reports that the leader has received
  * @param id the engine
  * @param now the present moment
  * @param reportMs time between two reports, in milliseconds
  */
 export function hasMissedReports(
-  heard: NodeLastSeen,
+  lastSeen: NodeLastSeen,
   id: EngineId,
   now: MonotonicMs,
   reportMs: number,
 ): boolean {
-  return now - (heard.engines.get(id) ?? heard.since) >= MISSED_REPORTS * reportMs;
+  return now - (lastSeen.engines.get(id) ?? lastSeen.since) >= MISSED_REPORTS * reportMs;
 }
 
-function engineViews({lastSeen: heard, now, reportMs, state}: FleetStatusInput): readonly EngineView[] {
+function engineViews({lastSeen, now, reportMs, state}: FleetStatusInput): readonly EngineView[] {
   const engines = [...state.engines.values()].map((engine) => ({
     ...engine,
     sequence: 0,
-    silent: hasMissedReports(heard, engine.id, now, reportMs),
+    silent: hasMissedReports(lastSeen, engine.id, now, reportMs),
   }));
   return sortByName(engines, ({id}) => id);
 }
 
-function entryViews({lastSeen: heard, now}: FleetStatusInput): readonly EntryView[] {
-  const entries = [...heard.entries.values()]
+function entryViews({lastSeen, now}: FleetStatusInput): readonly EntryView[] {
+  const entries = [...lastSeen.entries.values()]
     .filter(({at, ready}) => ready && now - at < ENTRY_SILENT_MS)
     .map(({address, name, zone}) => ({address, name, zone}));
   return sortByName(entries, ({name}) => name);
 }
 
-function storeViews({lastSeen: heard, now, state}: FleetStatusInput): readonly StoreView[] {
+function storeViews({lastSeen, now, state}: FleetStatusInput): readonly StoreView[] {
   const stores = [...state.stores.values()].map((store) => ({
     ...store,
-    heard: now - (heard.stores.get(store.replica)?.at ?? -Infinity) < ENTRY_SILENT_MS,
+    heard: now - (lastSeen.stores.get(store.replica)?.at ?? -Infinity) < ENTRY_SILENT_MS,
   }));
   return sortByName(stores, ({name}) => name);
 }
 
 /**
- * Replicas of the group that keeps batch jobs. While no leader of it was heard: those that were named before, or, after
- * a loss of all power, every store, for none of the founders may belong to it any more.
+ * Replicas of the group that keeps batch jobs. While no leader of it is known, these are the last known ones or, when all
+ * processes have restarted, the founders and every store: none of the founders may belong to the group any more.
  */
-function jobsReplicas({lastSeen: heard, lastKnownJobsReplicas: jobsBefore, state}: FleetStatusInput): readonly ReplicaId[] {
+function jobsReplicas({
+  lastKnownJobsReplicas,
+  lastSeen,
+  state,
+}: FleetStatusInput): readonly ReplicaId[] {
   const {jobsFounders, stores} = state;
   if (jobsFounders === null) {
     return [];
   }
-  const known = heard.jobsReport?.voters ?? jobsBefore;
+  const known = lastSeen.jobsReport?.voters ?? lastKnownJobsReplicas;
   const all = [...jobsFounders, ...[...stores.values()].map(({replica}) => replica)];
   return known.length > 0 ? known : [...new Set(all)];
 }
@@ -93,18 +96,18 @@
 }
 
 /**
- * Makes the news.
+ * Builds the fleet status.
  *
- * @param input what they are made from
+ * @param input what it is built from
  */
 export function buildFleetStatus(input: FleetStatusInput): FleetStatus {
-  const {lastSeen: heard, members, now, state} = input;
+  const {lastSeen, members, now, state} = input;
   const {jobsFounders} = state;
   return {
     controls: [...members.voters, ...members.learners],
     engines: engineViews(input),
     entries: entryViews(input),
-    entriesComplete: now - heard.since > SETTLE_MS,
+    entriesComplete: now - lastSeen.since > SETTLE_MS,
     jobsFounders,
     jobsReplicas: jobsReplicas(input),
     stores: storeViews(input),
--- a/packages/stallpaddle-node/src/NodeFollowerHandler.ts
+++ b/packages/stallpaddle-node/src/NodeFollowerHandler.ts
@@ -1,6 +1,5 @@
 /**
- * Answers questions for news at a replica that doesn't lead, with what the leader told this process; passes on to the
- * leader what the askers say of themselves.
+ * Watch requests at a replica of the control group that doesn't lead.
  */
 import type {Clock} from 'stallpaddle';
 import type {FleetRequest, FleetView, WatchAnswer} from 'stallpaddle-fleet';
@@ -13,18 +12,21 @@
 import {RELAY_AGE_MS} from './NodeConstants';
 import {NodeStatusPublisher, type PublishedState} from './NodeStatusPublisher';
 
-/** Time for which what processes say for the first time is gathered, in milliseconds: a fifth of the leader's own pause. */
+/** Time for which new heartbeats are collected before they are forwarded together, in milliseconds. */
 const FORWARD_DELAY_MS = 20;
 
-/** See the module's comment. */
+/**
+ * Answers watch requests at a follower from this process's view of the fleet, and forwards the watchers' heartbeats to the
+ * leader.
+ */
 export class NodeFollowerHandler {
   private readonly publisher: NodeStatusPublisher;
   private forwardTimer: NodeJS.Timeout | undefined;
 
   /**
    * @param clock this process's clock
-   * @param watch what this process knows
-   * @param heartbeats what processes have said to this one
+   * @param watch this process's view of the fleet
+   * @param heartbeats collects the heartbeats to be forwarded
    */
   constructor(
     private readonly clock: Clock,
@@ -35,10 +37,10 @@
   }
 
   /**
-   * Answers a question.
+   * Answers a watch request.
    *
-   * @param request the question
-   * @throws {NotLeaderError} while this process itself knows too little
+   * @param request the request
+   * @throws {NotLeaderError} while this process's own view is too old
    */
   answer(request: Extract<FleetRequest, {kind: 'watch'}>): Promise<WatchAnswer> {
     if (this.heartbeats.record(request.hellos, this.clock.monotonicMs())) {
@@ -48,10 +50,10 @@
   }
 
   /**
-   * Follows what this process knows.
+   * Publishes a changed view of the fleet.
    *
-   * @param view what it knows now
-   * @param before what it knew before
+   * @param view the new view
+   * @param before the previous view
    */
   onView(view: FleetView, before: FleetView): void {
     const {fleet, term, told} = view;
@@ -62,12 +64,12 @@
     }
   }
 
-  /** Nobody told this process anything: those that wait here are sent elsewhere once it knows too little. */
+  /** Wakes held requests after an unanswered watch of this process: they are refused once the view is too old. */
   onUnanswered(): void {
     this.publisher.wakeAll();
   }
 
-  /** A VM that comes or leaves is told to the leader before this replica's next question; those that start together go together. */
+  /** Forwards new or changed heartbeats before the replica's next regular watch, batching those of VMs that start together. */
   private scheduleForward(): void {
     this.forwardTimer ??= setTimeout(() => {
       this.forwardTimer = undefined;
--- a/packages/stallpaddle-node/src/NodeForwardedHeartbeats.ts
+++ b/packages/stallpaddle-node/src/NodeForwardedHeartbeats.ts
@@ -1,53 +1,55 @@
 /**
- * What processes said of themselves to a replica that doesn't lead, until it has told the leader. A new leader has heard
- * nobody, so it is told all of it again.
+ * Heartbeats that a follower forwards to the leader of the control group.
  */
 import type {MonotonicMs} from 'stallpaddle';
 import type {FleetHeartbeat, ForwardedHeartbeat} from 'stallpaddle-fleet';
 
-/** Age beyond which words are not passed on, in milliseconds: they count for nothing after that. */
+/** Age from which a heartbeat is dropped instead of forwarded, in milliseconds. */
 const MAX_AGE_MS = 2_000;
 
 interface ReceivedHeartbeat {
   readonly at: MonotonicMs;
   readonly hello: FleetHeartbeat;
-  /** Whether the leader was told. */
-  told: boolean;
+  /** Whether the leader has received it. */
+  reported: boolean;
 }
 
-/** Tells processes apart, and the parts of each. */
-function keyOf(hello: FleetHeartbeat): string {
-  return `${hello.kind} ${hello.kind === 'entry' ? hello.name : hello.replica}`;
+/** Identifies a process and its role. */
+function keyOf(heartbeat: FleetHeartbeat): string {
+  return `${heartbeat.kind} ${heartbeat.kind === 'entry' ? heartbeat.name : heartbeat.replica}`;
 }
 
-/** See the module's comment. */
+/**
+ * Collects the heartbeats that a follower has received, until it has forwarded them to the leader. A new leader has no
+ * heartbeats yet, so it gets all of them again.
+ */
 export class NodeForwardedHeartbeats {
   private readonly received = new Map<string, ReceivedHeartbeat>();
   private term: number | undefined;
   private inFlight: readonly ReceivedHeartbeat[] = [];
 
   /**
-   * Notes what a process says.
+   * Records the heartbeats of a process.
    *
-   * @param hellos its words
-   * @param at the present moment
-   * @returns whether it says anything that it did not say before
+   * @param heartbeats the heartbeats
+   * @param at the current time
+   * @returns whether one of them is new or differs from the last one
    */
-  record(hellos: readonly FleetHeartbeat[], at: MonotonicMs): boolean {
+  record(heartbeats: readonly FleetHeartbeat[], at: MonotonicMs): boolean {
     let isNew = false;
-    for (const hello of hellos) {
-      const key = keyOf(hello);
+    for (const heartbeat of heartbeats) {
+      const key = keyOf(heartbeat);
       const before = this.received.get(key)?.hello;
-      isNew ||= before === undefined || JSON.stringify(before) !== JSON.stringify(hello);
-      this.received.set(key, {at, hello, told: false});
+      isNew ||= before === undefined || JSON.stringify(before) !== JSON.stringify(heartbeat);
+      this.received.set(key, {at, hello: heartbeat, reported: false});
     }
     return isNew;
   }
 
   /**
-   * What the leader has to be told now.
+   * Returns the heartbeats that are to be forwarded now.
    *
-   * @param now the present moment
+   * @param now the current time
    */
   take(now: MonotonicMs): readonly ForwardedHeartbeat[] {
     for (const [key, {at}] of this.received) {
@@ -55,12 +57,12 @@
         this.received.delete(key);
       }
     }
-    this.inFlight = [...this.received.values()].filter(({told}) => !told);
+    this.inFlight = [...this.received.values()].filter(({reported}) => !reported);
     return this.inFlight.map(({at, hello}) => ({ageMs: now - at, hello}));
   }
 
   /**
-   * Notes that a leader has what was taken last.
+   * Marks the heartbeats that were taken last as received by a leader.
    *
    * @param term the leader's term
    */
@@ -68,10 +70,10 @@
     const isSame = term === this.term;
     this.term = term;
     if (isSame) {
-      this.inFlight.forEach((heard) => (heard.told = true));
+      this.inFlight.forEach((heartbeat) => (heartbeat.reported = true));
     } else {
-      const told = new Set(this.inFlight);
-      this.received.forEach((heard) => (heard.told = told.has(heard)));
+      const taken = new Set(this.inFlight);
+      this.received.forEach((heartbeat) => (heartbeat.reported = taken.has(heartbeat)));
     }
     this.inFlight = [];
   }
--- a/packages/stallpaddle-node/src/NodeGroup.ts
+++ b/packages/stallpaddle-node/src/NodeGroup.ts
@@ -1,5 +1,5 @@
 /**
- * One replica of a group, and the care for the group's members while it leads.
+ * This process's replica of a group.
  */
 import type {ReplicaId} from 'stallpaddle';
 
@@ -18,39 +18,38 @@
 import {GROUP_TIMING, KEEP_MEMBERS_MS, REOPEN_MS, SECOND_MS} from './NodeConstants';
 import {type KnownReplica, planMembers} from './NodeMembershipPlanner';
 
-/** Most changes of members at one look: all that follows a lost VM, or the founding of a group of five by three. */
+/** Most membership changes in one check: enough to replace a lost VM, or to grow a group from three to five voters. */
 const MAX_STEPS_PER_CHECK = 4;
 
-/** A replica that may belong to the group, as the process has heard of it. */
+/** A replica that may become a member of the group. */
 export interface Candidate {
   readonly id: ReplicaId;
   readonly retiring: boolean;
-  /** Time since it was last heard, in milliseconds. */
+  /** Time since its last heartbeat, in milliseconds. */
   readonly silentMs: number;
 }
 
-/** What the replica needs of its process. */
+/** Dependencies of {@link NodeGroup}. */
 export interface NodeGroupOptions<State> extends Omit<
   ReplicaOptions<State>,
   'timing' | 'transport'
 > {
-  /** Everyone who may belong to the group. */
+  /** Replicas that may become members. */
   readonly candidates: () => readonly Candidate[];
-  /** First members, when the group begins with this disk among them. */
+  /** First members of the group; null on a disk that is not to found it. */
   readonly founders: readonly ReplicaId[] | null;
   readonly lostDisks: number;
   readonly peers: NodePeers;
 }
 
-/**
- * Whether a disk is only full: that may pass, and no byte that was synced is in doubt. After any other
- * failure of a disk the process ends.
- */
+/** Whether a disk is full. That may pass and leaves synced data intact; after any other disk failure the process ends. */
 function isFullDisk(err: unknown): boolean {
   return err instanceof Error && 'code' in err && err.code === 'ENOSPC';
 }
 
-/** See the module's comment. */
+/**
+ * Runs one replica of a group. While it leads, it also changes the group's members as {@link planMembers} decides.
+ */
 export class NodeGroup<State> {
   private closed = false;
   private current!: ReplicaDriver<State>;
@@ -60,9 +59,9 @@
   private constructor(private readonly options: NodeGroupOptions<State>) {}
 
   /**
-   * Opens the replica. A disk that holds none yet and isn't among the founders waits to be taken in.
+   * Opens the replica. An empty disk that isn't among the founders waits until the group adds it.
    *
-   * @param options what the replica needs of its process
+   * @param options its dependencies
    */
   static async open<State>(options: NodeGroupOptions<State>): Promise<NodeGroup<State>> {
     const {disk, founders, machine, self} = options;
@@ -80,21 +79,21 @@
       }
       await group.retryOpen(err);
     }
-    // Only now: a slow disk may take longer to open than a round waits.
+    // Starts only after the replica is open: on a slow disk that may take longer than the interval.
     group.stopReconciling = registerLoop(KEEP_MEMBERS_MS, () => group.reconcileMembers());
     return group;
   }
 
-  /** The replica; another one after its disk has failed and come back. */
+  /** The replica's driver. A new one replaces it after the disk was full. */
   get driver(): ReplicaDriver<State> {
     return this.current;
   }
 
   /**
-   * Calls back after each change of the state.
+   * Registers a listener that is called after each change of the state.
    *
-   * @param listener what to call
-   * @returns ends the calls
+   * @param listener the listener
+   * @returns removes the listener
    */
   registerListener(listener: () => void): () => void {
     this.listeners.add(listener);
@@ -129,7 +128,7 @@
     }
   }
 
-  /** Opens the replica again and again until its disk takes it; the others go on without it. */
+  /** Reopens the replica, retrying until its disk has space. */
   private async reopen(failure: unknown): Promise<void> {
     await this.current.close().catch(() => {});
     await this.retryOpen(failure);
@@ -137,7 +136,7 @@
 
   private async retryOpen(failure: unknown): Promise<void> {
     const {group, logger} = this.options;
-    logger.warn('The disk is full; the replica waits for room.', {
+    logger.warn('The disk is full; the replica waits for free space.', {
       group,
       reason: errorMessage(failure),
     });
@@ -157,8 +156,8 @@
   }
 
   /**
-   * Whether every voter holds all that was committed, and the members themselves are: the next leader may not know of a
-   * change that isn't, and count on a replica that has left since.
+   * Whether the current members are committed and every voter holds all committed entries. The next leader may not know
+   * of an uncommitted change of members, and would still count on a replica that has left.
    */
   get settled(): boolean {
     const {status} = this.driver;
@@ -169,7 +168,7 @@
   }
 
   /**
-   * Adds what tells of the replica's health.
+   * Exposes metrics of the replica's health.
    *
    * @param metrics the process's metrics
    */
@@ -195,7 +194,7 @@
     });
   }
 
-  /** Ends the replica. */
+  /** Closes the replica. */
   async close(): Promise<void> {
     this.closed = true;
     await this.stopReconciling();
@@ -214,8 +213,8 @@
       known.set(id, {caughtUp: false, id, retiring, silentMs});
     }
     for (const [id, {addedAt, appendAckedSentAt}] of role.progress) {
-      // Whoever this leader has just begun to send to may have answered nothing yet: its first answer comes behind what
-      // is under way to it. A process that lives while its disk takes nothing is silent too.
+      // A member that was just added may not have answered yet: its first acknowledgement comes after all the data that
+      // is in flight to it. Only acknowledged appends count, so a process whose disk hangs is silent too.
       const silentMs = now - Math.max(appendAckedSentAt, addedAt);
       const retiring = known.get(id)?.retiring ?? false;
       known.set(id, {caughtUp: isCaughtUp(status, id), id, retiring, silentMs});
@@ -227,8 +226,8 @@
   }
 
   /**
-   * A step that is due after another is taken at once: between the vote of a successor and the end of the voter that it
-   * replaces lies one voter that counts and may be lost.
+   * Executes membership steps until none is due. Steps aren't spread over several checks: while both a
+   * successor and the voter that it replaces are voters, the group may survive fewer losses.
    */
   private async reconcileMembers(): Promise<void> {
     for (let steps = 0; steps < MAX_STEPS_PER_CHECK && !this.closed; steps++) {
@@ -238,7 +237,7 @@
     }
   }
 
-  /** Changes the members where that is due; returns whether it was done. */
+  /** Executes the next membership step, if any; returns whether the members were changed. */
   private async takeStep(): Promise<boolean> {
     const {group, logger, lostDisks, self} = this.options;
     const {driver} = this;
--- a/packages/stallpaddle-node/src/NodeJobsHandler.ts
+++ b/packages/stallpaddle-node/src/NodeJobsHandler.ts
@@ -1,5 +1,5 @@
 /**
- * Answers all processes while this one leads the group that keeps batch jobs; reads of jobs also while it follows.
+ * Requests to the group that keeps batch jobs.
  */
 import type {Clock, MonotonicMs} from 'stallpaddle';
 
@@ -41,7 +41,10 @@
 type ReadBody = Extract<JobsRequest, {kind: 'readBody'}>;
 type ReadResults = Extract<JobsRequest, {kind: 'readResults'}>;
 
-/** See the module's comment. */
+/**
+ * Handles requests of other processes to the group that keeps batch jobs. Changes need leadership; reads may also be
+ * answered by a follower, for what its replica holds.
+ */
 export class NodeJobsHandler {
   private readonly online = new NodeOnlineHandler();
   private readonly reads: NodeReadQueue;
@@ -49,8 +52,8 @@
 
   /**
    * @param clock this process's clock
-   * @param group the replica here of the group that keeps batch jobs
-   * @param decide writes a line on a job
+   * @param group this process's replica of the group
+   * @param decide logs a decision about a job
    */
   constructor(
     private readonly clock: Clock,
@@ -61,27 +64,27 @@
   }
 
   /**
-   * Records a change.
+   * Commits a change.
    *
    * @param change the change
    * @returns the group's answer
    * @throws {NotLeaderError} without leadership
-   * @throws {OutcomeUnknownError} when it may still be recorded
+   * @throws {OutcomeUnknownError} when the change may still be committed
    */
   propose(change: JobsChange): Promise<unknown> {
     return this.proposeTo(this.group.driver, change);
   }
 
-  /** Tells reads that wait for results to look again. */
+  /** Wakes reads that wait for results. */
   wakeReads(): void {
     this.waiters.wakeAll();
   }
 
   /**
-   * Answers a request.
+   * Handles a request.
    *
    * @param request the request
-   * @param dispatcher runs the items
+   * @param dispatcher runs the batch items
    * @throws {NotLeaderError} without leadership or lease
    */
   async answer(request: JobsRequest, dispatcher: JobsDispatcher): Promise<unknown> {
@@ -110,7 +113,7 @@
     }
   }
 
-  /** Tells where a job stands in the log, and on whose disks it is once it counts as accepted. */
+  /** Submits a job; logs its index in the group's log and, once it is accepted, the replicas that hold it. */
   private async submit(
     driver: Driver,
     change: Extract<JobsChange, {kind: 'submit'}>,
@@ -133,7 +136,7 @@
     }
   }
 
-  /** Only the leader knows for certain what is not there. */
+  /** Answers that a job does not exist, which only the leader knows for certain. */
   private answerNotFound(
     driver: Driver,
     {customer, job, kind: call}: ReadBody | ReadResults,
@@ -145,7 +148,7 @@
     return {kind: 'notFound'};
   }
 
-  /** Reads in its turn; tells where the job's data is there by its name, but its bytes are not whole. */
+  /** Queues a read; logs a job that is listed but whose data can't be read. */
   private readFor<Result>(
     job: JobId,
     endAt: MonotonicMs,
@@ -202,14 +205,15 @@
   }
 }
 
-/** The state from which a read is answered: what is listed stays, so any replica's will do for what it holds. */
+/** The state to read from. Listed jobs and results don't change, so for those any replica's state will do. */
 function stateFor(driver: Driver, mayFollow: boolean): JobsState {
   return mayFollow ? driver.localState : driver.read();
 }
 
 /**
- * That there is nothing yet may be said only by who holds all that was committed before the question came: whoever has read
- * a result finds it again. A replica that follows can say so of a question that it has held for a while.
+ * Throws unless this replica may answer that there are no results yet. It must hold everything that was committed before
+ * the request came, or a caller could miss a result that it has read before. A follower may have caught up with that
+ * moment while it held the request; else only the leader may answer.
  */
 function requireComplete(driver: Driver, askedMs: number): void {
   if (driver.completeAgeMs > askedMs) {
--- a/packages/stallpaddle-node/src/NodeKnownEntries.ts
+++ b/packages/stallpaddle-node/src/NodeKnownEntries.ts
@@ -1,6 +1,5 @@
 /**
- * Entry VMs that a replica of the control group remembers on its disk. After a loss of all processes the VMs without a disk know
- * their seeds only, and those may be the last to come back: whoever is back first tells them what it holds.
+ * The entry VMs that a replica of the control group has recorded on its disk.
  */
 import type {LogFields, MonotonicMs, VmId} from 'stallpaddle';
 import type {EntryView} from 'stallpaddle-fleet';
@@ -13,16 +12,16 @@
 
 const FILE_NAME = 'entries.json';
 
-/** Time between two records, in milliseconds: entry VMs that come or leave one after the other make one. */
+/** Shortest time between two writes, in milliseconds; it combines changes that follow each other closely. */
 const RECORD_AGAIN_MS = 5_000;
 
-/** Replicas that tell each entry VM: one of them may be lost. */
+/** Replicas that bootstrap each entry VM; one of them may be lost. */
 const BOOTSTRAPPERS_PER_ENTRY = 2;
 
 const hostsSchema = z.array(z.string());
 
 /**
- * Whether a replica is one of those that tell an entry VM what they hold.
+ * Whether a replica is one of those that bootstrap an entry VM.
  *
  * @param entry the entry VM
  * @param self the replica's VM
@@ -32,7 +31,10 @@
   return rendezvousOrder(entry, replicas).slice(0, BOOTSTRAPPERS_PER_ENTRY).includes(self);
 }
 
-/** See the module's comment. */
+/**
+ * Records the addresses of the entry VMs on disk. After all processes were lost, VMs without a disk know only their seeds,
+ * which may return last; the replicas that return first bootstrap the entry VMs recorded here.
+ */
 export class NodeKnownEntries {
   private recordedAt: MonotonicMs = -Infinity;
   private recording = false;
@@ -44,10 +46,10 @@
   ) {}
 
   /**
-   * Reads what is remembered.
+   * Reads the recorded entry VMs.
    *
    * @param disk this VM's disk
-   * @param note writes a line of the log
+   * @param note writes a log line
    */
   static async open(
     disk: Disk,
@@ -60,8 +62,8 @@
         : hostsSchema.parse(JSON.parse(Buffer.from(bytes).toString()));
     };
     const known = await read().catch((err: unknown) => {
-      // What was remembered only makes a start faster.
-      note('The entry VMs of before can’t be read.', {error: errorMessage(err)});
+      // The record only speeds up a start, so the process goes on without it.
+      note('The recorded entry VMs can’t be read.', {error: errorMessage(err)});
       return [];
     });
     return new NodeKnownEntries(disk, note, known);
@@ -73,10 +75,10 @@
   }
 
   /**
-   * Takes in the entry VMs as they are now, and records them when others are there than before.
+   * Records the current entry VMs if they have changed.
    *
-   * @param entries entry VMs by the news
-   * @param now the present moment
+   * @param entries entry VMs of the fleet status
+   * @param now the current time
    */
   update(entries: readonly EntryView[], now: MonotonicMs): void {
     const hosts = entries.map(({address}) => hostOf(address)).sort();
--- a/packages/stallpaddle-node/src/NodeLastSeen.ts
+++ b/packages/stallpaddle-node/src/NodeLastSeen.ts
@@ -1,20 +1,19 @@
 /**
- * What one leader of the control group has heard of other processes. It is kept in memory only, and begins
- * anew with each leader.
+ * Heartbeats that a leader of the control group has received.
  */
 import type {EngineId, MonotonicMs, ReplicaId, VmId, ZoneId} from 'stallpaddle';
 import type {EntryView, FleetHeartbeat, JobsGroupReport} from 'stallpaddle-fleet';
 
 import {unreachable} from 'stallpaddle';
 
-/** An entry VM, and when it last spoke. */
+/** An entry VM with the time of its last heartbeat. */
 export interface SeenEntry extends EntryView {
   readonly at: MonotonicMs;
   /** Whether it takes new callers. */
   readonly ready: boolean;
 }
 
-/** A store process, and when it last spoke. */
+/** A store process with the time of its last heartbeat. */
 export interface SeenStore {
   readonly at: MonotonicMs;
   /** Present while it leads the group that keeps batch jobs. */
@@ -24,57 +23,63 @@
   readonly zone: ZoneId;
 }
 
-/** See the module's comment. */
+/**
+ * The last heartbeat of each process and the last report of each engine, as one leader of the control group received them.
+ * They are kept in memory only; each leader starts without any.
+ */
 export class NodeLastSeen {
-  /** When each process of the control group last spoke. */
+  /** Last heartbeat of each process of the control group. */
   readonly controls = new Map<ReplicaId, MonotonicMs>();
-  /** When each engine last reported. */
+  /** Last report of each engine. */
   readonly engines = new Map<EngineId, MonotonicMs>();
   readonly entries = new Map<VmId, SeenEntry>();
   readonly stores = new Map<ReplicaId, SeenStore>();
 
   /**
    * @param term the leader's term
-   * @param since when it began to listen
+   * @param since when the leader began to receive heartbeats
    */
   constructor(
     readonly term: number,
     readonly since: MonotonicMs,
   ) {}
 
-  /** What the latest leader of the group that keeps batch jobs says of it. */
+  /** Members of the group that keeps batch jobs, as its leader of the highest term reports them; null without a leader. */
   get jobsReport(): JobsGroupReport | null {
     const reports = [...this.stores.values()].flatMap(({leads}) => leads ?? []);
     return reports.sort((a, b) => b.term - a.term)[0] ?? null;
   }
 
   /**
-   * Notes what a process says of itself. Words may be passed on by another process, so older ones may come after newer.
+   * Records a heartbeat. Forwarded heartbeats may arrive out of order; an older one than the last is dropped.
    *
-   * @param hello its words
-   * @param at when it said so
+   * @param heartbeat the heartbeat
+   * @param at when it was sent
    */
-  record(hello: FleetHeartbeat, at: MonotonicMs): void {
-    switch (hello.kind) {
+  record(heartbeat: FleetHeartbeat, at: MonotonicMs): void {
+    switch (heartbeat.kind) {
       case 'control':
-        this.controls.set(hello.replica, Math.max(at, this.controls.get(hello.replica) ?? at));
+        this.controls.set(
+          heartbeat.replica,
+          Math.max(at, this.controls.get(heartbeat.replica) ?? at),
+        );
         return;
       case 'entry': {
-        const {callerAddress, name, ready, zone} = hello;
+        const {callerAddress, name, ready, zone} = heartbeat;
         if (at >= (this.entries.get(name)?.at ?? at)) {
           this.entries.set(name, {address: callerAddress, at, name, ready, zone});
         }
         return;
       }
       case 'store': {
-        const {leads, name, replica, zone} = hello;
+        const {leads, name, replica, zone} = heartbeat;
         if (at >= (this.stores.get(replica)?.at ?? at)) {
           this.stores.set(replica, {at, leads, name, replica, zone});
         }
         return;
       }
       default:
-        unreachable(hello);
+        unreachable(heartbeat);
     }
   }
 }
--- a/packages/stallpaddle-node/src/NodeMembershipPlanner.ts
+++ b/packages/stallpaddle-node/src/NodeMembershipPlanner.ts
@@ -1,5 +1,5 @@
 /**
- * Who belongs to a group: one step at a time, decided by its leader from what it has heard. Pure.
+ * Plans the members of a group, one change at a time. Pure.
  */
 import type {ReplicaId} from 'stallpaddle';
 import type {GroupMembers} from 'stallpaddle-replication';
@@ -19,17 +19,17 @@
   readonly id: ReplicaId;
   /** Whether its VM is to be emptied. */
   readonly retiring: boolean;
-  /** Time since it was last heard, in milliseconds. */
+  /** Time since its last heartbeat or acknowledged append, in milliseconds. */
   readonly silentMs: number;
 }
 
 /** One change of the members. */
 export type MemberStep =
   | {readonly kind: 'change'; readonly members: GroupMembers; readonly reason: string}
-  /** This leader must go: another replica leads first. */
+  /** This leader is to be removed, so another replica must take over leadership first. */
   | {readonly kind: 'handOver'};
 
-/** What the decision rests on. */
+/** What the leader knows of the group and its possible members. */
 export interface MembershipInput {
   readonly known: readonly KnownReplica[];
   readonly lostDisks: number;
@@ -42,7 +42,7 @@
 }
 
 /**
- * Number of voters that bears the loss of some disks.
+ * Number of voters that tolerates the loss of some disks.
  *
  * @param lostDisks disks that may be lost at once
  */
@@ -50,16 +50,16 @@
   return 2 * lostDisks + 1;
 }
 
-/** What the decision looks at, by replica. */
+/** The input with lookups by replica. */
 interface PlannerView extends MembershipInput {
   readonly isCaughtUp: (id: ReplicaId) => boolean;
   readonly isReachable: (id: ReplicaId) => boolean;
-  /** Whether its VM has come back with another disk: it is lost for certain. */
+  /** Whether its VM has come back with another disk, so that it is certainly lost. */
   readonly isReplaced: (id: ReplicaId) => boolean;
   readonly isRetiring: (id: ReplicaId) => boolean;
   readonly isSilent: (id: ReplicaId) => boolean;
   readonly silentMs: (id: ReplicaId) => number;
-  /** Voters that bear the losses once nobody is on the way out. */
+  /** Number of voters while none of them is being replaced. */
   readonly wanted: number;
 }
 
@@ -67,7 +67,7 @@
   const byId = new Map(input.known.map((replica) => [replica.id, replica]));
   const silentMs = (id: ReplicaId): number => byId.get(id)?.silentMs ?? Infinity;
   const isHeard = (id: ReplicaId): boolean => silentMs(id) < CANDIDATE_SILENT_MS;
-  // Of two disks of one VM the lost one has spoken least lately.
+  // Of two disks of one VM, the lost one has the older heartbeat.
   const isSuperseded = (id: ReplicaId): boolean =>
     input.known.some(
       (other) =>
@@ -91,7 +91,7 @@
   return {kind: 'change', members, reason};
 }
 
-/** A voter whose disk is lost is in the way of a majority and helps none: each look without it is better. */
+/** A voter whose disk is lost raises the majority and can't contribute to it, so it is removed before its successor votes. */
 function removeReplacedVoter({isReplaced, members, self}: PlannerView): MemberStep | null {
   const {learners, voters} = members;
   const lost = voters.find((id) => id !== self && isReplaced(id));
@@ -100,7 +100,12 @@
     : change({learners, voters: without(voters, lost)}, `${lost} came back with another disk`);
 }
 
-function removeLearner({isReachable: isHeard, isReplaced, isRetiring, members}: PlannerView): MemberStep | null {
+function removeLearner({
+  isReachable: isHeard,
+  isReplaced,
+  isRetiring,
+  members,
+}: PlannerView): MemberStep | null {
   const {learners, voters} = members;
   const gone = learners.find((id) => isReplaced(id) || isRetiring(id) || !isHeard(id));
   return gone === undefined
@@ -108,7 +113,7 @@
     : change({learners: without(learners, gone), voters}, `learner ${gone} is gone`);
 }
 
-/** One more that holds everything never makes the loss of a majority likelier. */
+/** Promotes a learner that holds the whole log; it can only make the loss of a majority less likely. */
 function promoteLearner(view: PlannerView): MemberStep | null {
   const {isCaughtUp, isRetiring, isSilent, members, wanted} = view;
   const {learners, voters} = members;
@@ -123,8 +128,8 @@
 }
 
 /**
- * Lets one go of more voters than are wanted, so that those who stay bear all losses without it. Silence is no loss: the
- * disk of a silent voter may be one of the majority that is left when others are lost, so its successor votes first.
+ * Removes a voter when there are more than wanted, so that those that stay tolerate all losses without it. A silent voter
+ * is not lost: its disk may be needed for a majority when others are lost, so its successor is promoted first.
  */
 function removeExcessVoter(view: PlannerView): MemberStep | null {
   const {isCaughtUp, isRetiring, isSilent, members, self, silentMs, wanted} = view;
@@ -132,7 +137,7 @@
   if (voters.length <= wanted) {
     return null;
   }
-  // The longest silent one is the likeliest to be gone for good.
+  // The one that has been silent longest is the likeliest to be gone for good.
   const [silent] = voters.filter(isSilent).sort((a, b) => silentMs(b) - silentMs(a));
   if (silent !== undefined) {
     return change({learners, voters: without(voters, silent)}, `${silent} is silent`);
@@ -143,8 +148,8 @@
       ? {kind: 'handOver'}
       : change({learners, voters: without(voters, retiring)}, `${retiring} is to be emptied`);
   }
-  // Whoever was silent is back, or its leader went between two steps. It isn't known yet who of those that haven't
-  // answered this leader is about to go instead.
+  // A silent voter has returned, or the last leader failed between two steps. Voters that haven't answered this leader
+  // yet may be the ones to remove, so it waits until all have caught up.
   const spare = voters.every((id) => isCaughtUp(id))
     ? voters.findLast((id) => id !== self)
     : undefined;
@@ -155,7 +160,7 @@
     : change({learners: kept, voters: without(voters, spare)}, `${spare} is one too many`);
 }
 
-/** Two disks of one VM are one lost and its successor: were both members, the lost one would count among those that stay. */
+/** Adds a learner. No VM gets a second member: one of its two disks is lost, and would count as one that stays. */
 function addLearner(view: PlannerView): MemberStep | null {
   const {isReachable: isHeard, isRetiring, known, members, wanted} = view;
   const {learners, voters} = members;
@@ -171,17 +176,21 @@
 }
 
 /**
- * The next step, or null when the members are as they should be.
+ * Returns the next step, or null when no member has to change.
  *
- * A replica whose VM has come back with another disk is lost for certain and leaves at once. Any other voter leaves only
- * when more vote than are wanted, for the rest must bear the losses without it: its successor comes first. A leader that
- * goes between the two leaves one voter too many, which bears as much.
+ * A replica whose VM has come back with another disk is certainly lost and is removed at once. Any other voter is removed
+ * only while there are more voters than wanted, since the rest must tolerate the losses without it; its successor is
+ * promoted first. A leader that fails between the two steps leaves one voter too many, which tolerates as many losses.
  *
  * @param input what the leader knows
  */
 export function planMembers(input: MembershipInput): MemberStep | null {
   const view = toPlannerView(input);
   return (
-    removeReplacedVoter(view) ?? removeLearner(view) ?? promoteLearner(view) ?? removeExcessVoter(view) ?? addLearner(view)
+    removeReplacedVoter(view) ??
+    removeLearner(view) ??
+    promoteLearner(view) ??
+    removeExcessVoter(view) ??
+    addLearner(view)
   );
 }
--- a/packages/stallpaddle-node/src/NodeOnlineHandler.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineHandler.ts
@@ -1,7 +1,5 @@
 /**
- * Answers entry VMs that tell their online requests, while this process runs the batch items: each word is answered
- * with what has changed of the others' counts since the VM's last one. So a VM learns with each
- * request that it begins, and one that serves nobody costs one word a second.
+ * Reports of entry VMs on their online requests.
  */
 import type {EngineId} from 'stallpaddle';
 import type {JobsDispatcher, JobsRequest, OnlineAnswer} from 'stallpaddle-jobs';
@@ -18,15 +16,18 @@
   return Object.fromEntries(engines.map((engine) => [engine, totals[engine] ?? 0]));
 }
 
-/** See the module's comment. */
+/**
+ * Handles entry VMs' reports of their online requests while this process runs the batch items. Each report is answered with
+ * the changes of the other VMs' counts since the sender's last report.
+ */
 export class NodeOnlineHandler {
   private readonly epoch = drawId('n');
 
   /**
-   * Takes in a VM's counts, and tells it those of the others.
+   * Records a VM's counts, and returns those of the others.
    *
-   * @param request its words
-   * @param dispatcher runs the items
+   * @param request the report
+   * @param dispatcher runs the batch items
    */
   exchange({known, own, sender, sequence}: OnlineReport, dispatcher: JobsDispatcher): OnlineAnswer {
     dispatcher.learnOnline(sender, sequence, own);
--- a/packages/stallpaddle-node/src/NodePeers.ts
+++ b/packages/stallpaddle-node/src/NodePeers.ts
@@ -1,5 +1,5 @@
 /**
- * Other processes of the fleet. A replica's name holds its VM's IP number, and all VMs share the port.
+ * Connections to the other processes of the fleet.
  */
 import type {LogFields, ReplicaId} from 'stallpaddle';
 import type {Message} from 'stallpaddle-replication';
@@ -17,24 +17,27 @@
 import {DELIVER_TRY_MS, OPENING_MS, SLOW_DELIVERY_MS} from './NodeConstants';
 
 /**
- * The platform hands out no secret; its network lets only the fleet's own VMs in. The number is the form of the calls
- * between processes: one that speaks another form is refused, and says so in its log.
+ * The platform provides no secret; its network admits only the fleet's own VMs. The number is the version of the protocol
+ * between processes: one with another version is refused, which is logged.
  */
 const FLEET_KEY = 'fleet 6';
 
-/** Time between two lines about one VM that is refused, in milliseconds. */
+/** Shortest time between two log lines about the same refused VM, in milliseconds. */
 const REFUSED_LOG_INTERVAL_MS = 10_000;
 
 function bytesOf({encoded = [], part}: Delivery): number {
   return encoded.reduce((sum, {length}) => sum + length, part?.bytes?.length ?? 0);
 }
 
-/** See the module's comment. */
+/**
+ * Opens and keeps connections to the other processes of the fleet. A replica's name holds its VM's IP number, and all VMs
+ * use the same port.
+ */
 export class NodePeers {
   private readonly channels = new Map<string, RpcChannel>();
   /**
-   * Streams of replication messages: a large answer on the others must not keep heartbeats back. Snapshots go beside
-   * them, in small pieces: the library throws when a connection without any stream is ended by the other side.
+   * Streams of replication messages, apart from those of calls, so that a large answer can't delay heartbeats. Snapshots
+   * share these connections: the library throws when the peer closes a connection that has no stream.
    */
   private readonly messageChannels = new Map<string, RpcChannel>();
   private readonly outboxes = new Map<ReplicaId, RpcOutbox>();
@@ -43,20 +46,20 @@
 
   /**
    * @param port port on which all processes reach each other
-   * @param note writes a line of the log
+   * @param note writes a log line
    */
   constructor(
     private readonly port: number,
     private readonly note: (message: string, fields: LogFields) => void = () => {},
   ) {}
 
-  /** Key that every process shows the others. */
+  /** Key that every process presents to the others. */
   get key(): string {
     return FLEET_KEY;
   }
 
   /**
-   * Notes a process that showed another key.
+   * Logs a process that presented another key.
    *
    * @param host its IP number
    */
@@ -64,12 +67,12 @@
     const now = performance.now();
     if (now - (this.refusedAt.get(host) ?? -Infinity) >= REFUSED_LOG_INTERVAL_MS) {
       this.refusedAt.set(host, now);
-      this.note('A process that speaks another form of calls is refused.', {host});
+      this.note('A process with another protocol version is refused.', {host});
     }
   }
 
   /**
-   * Standing stream of calls to the process at a host.
+   * Persistent stream of calls to the process at a host.
    *
    * @param host IP number
    */
@@ -87,7 +90,7 @@
   }
 
   /**
-   * Sends a replication message without waiting; it may be lost.
+   * Sends a replication message without waiting for delivery; it may be lost.
    *
    * @param message the message
    */
@@ -102,7 +105,7 @@
     outbox.add(message);
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): void {
     this.stopped = true;
     this.channels.forEach((channel) => channel.close());
@@ -115,14 +118,14 @@
       channels.get(host) ??
       new RpcChannel(
         () => openConnection(FLEET_KEY, host, this.port, null),
-        () => this.note('A connection to another VM brings nothing and is given up.', {host}),
+        () => this.note('A connection to another VM is unresponsive and is closed.', {host}),
         openingMs,
       );
     channels.set(host, known);
     return known;
   }
 
-  /** One delivery at a time: what comes meanwhile goes with the next. */
+  /** Sends one delivery at a time; messages that are queued meanwhile go with the next one. */
   private async deliver(to: ReplicaId, {lost, next}: Deliveries): Promise<void> {
     for (let delivery = await next(); delivery !== undefined; delivery = await next()) {
       const startedAt = performance.now();
--- a/packages/stallpaddle-node/src/NodeStatusPublisher.ts
+++ b/packages/stallpaddle-node/src/NodeStatusPublisher.ts
@@ -1,6 +1,5 @@
 /**
- * Answers questions for news: at once to whoever lacks some, else when there are some or its time is over. Used by the
- * control group's leader and by replicas that pass on what it told them.
+ * Answers watch requests by long polling.
  */
 import type {Clock} from 'stallpaddle';
 
@@ -14,51 +13,54 @@
 
 import {NodeWaiters} from './NodeWaiters';
 
-/** What is known beside the news, at one moment. */
+/** What is published besides the fleet status. */
 export interface PublishedState {
-  /** Age of what is known, in milliseconds. */
+  /** Age of the published data, in milliseconds. */
   readonly ageMs: number;
   readonly config: FleetConfig | null;
 }
 
-/** See the module's comment. */
+/**
+ * Holds the published fleet status and answers watch requests: at once to processes that lack a part of it, else when it
+ * changes or their waiting time is over. Used by the control group's leader and by followers that forward its status.
+ */
 export class NodeStatusPublisher {
   private readonly history = new FleetHistory();
   private readonly waiters = new NodeWaiters();
 
   /**
    * @param clock this process's clock
-   * @param read what is known now; throws while it may not be told
+   * @param read reads what is published besides the status; throws while nothing may be published
    */
   constructor(
     private readonly clock: Clock,
     private readonly read: () => PublishedState,
   ) {}
 
-  /** The latest news, once there are some. */
+  /** The latest status, once there is one. */
   get latest(): NumberedStatus | undefined {
     return this.history.latest;
   }
 
   /**
-   * Adds news, and answers all who wait.
+   * Publishes a status, and answers all waiting requests.
    *
-   * @param numbered the news
+   * @param numbered the status with its number
    */
   publish(numbered: NumberedStatus): void {
     this.history.put(numbered);
     this.wakeAll();
   }
 
-  /** Lets all who wait look again: the configuration has changed, or nothing may be told any more. */
+  /** Rechecks all waiting requests: the configuration has changed, or nothing may be published any more. */
   wakeAll(): void {
     this.waiters.wakeAll();
   }
 
   /**
-   * Answers a question.
+   * Answers a watch request.
    *
-   * @param known what the process holds
+   * @param known versions that the asking process holds
    * @param waitMs longest time to hold the answer while there is nothing new, in milliseconds
    * @throws what `read` throws
    */
--- a/packages/stallpaddle-node/src/NodeStore.ts
+++ b/packages/stallpaddle-node/src/NodeStore.ts
@@ -1,5 +1,5 @@
 /**
- * The process that keeps batch jobs, and runs their items while it leads their group.
+ * The store process.
  */
 
 import type {ConnectRouter} from '@connectrpc/connect';
@@ -35,18 +35,18 @@
 import {makeSuspects} from './NodeSuspects';
 import {NodeWaiters} from './NodeWaiters';
 
-/** Pause before a process that may be a founder looks again without news whether it stops, in milliseconds. */
+/** Time after which a process that waits for the founders checks whether it is stopping, in milliseconds. */
 const FOUNDING_CHECK_MS = 1_000;
 /**
- * Silence of a store process that the control group's leader doesn't hear, in milliseconds: the news gives no
- * time, and this makes it no candidate but is not yet that of a lost voter.
+ * Assumed silence of a store process without recent heartbeats, in milliseconds. The fleet status gives no time; this is
+ * too long for a candidate and too short for a lost voter.
  */
 const NO_HEARTBEAT_SILENT_MS = (CANDIDATE_SILENT_MS + VOTER_SILENT_MS) / 2;
 
-/** Longest wait for what runs have brought to be recorded at a planned stop, in milliseconds: some records. */
+/** Longest wait at a planned stop until the progress of running items is committed, in milliseconds. */
 const SAVE_AT_STOP_MS = 1_000;
 
-/** See the module's comment. */
+/** Keeps a replica of the group that keeps batch jobs, and runs their items while it leads the group. */
 export class NodeStore implements RunningNode {
   private handler: NodeJobsHandler | undefined;
   private dispatcher: JobsDispatcher | undefined;
@@ -64,7 +64,7 @@
     this.logger = loggers('store');
     this.fleet = new NodeFleet({
       answer: null,
-      // Whoever runs items must know soon which engines leave.
+      // The process that runs items must learn quickly which engines leave.
       asksLeader: () => (this.group?.driver.leadership.kind ?? 'follows') !== 'follows',
       clock,
       heartbeats: () => [this.heartbeat()],
@@ -84,7 +84,7 @@
   /**
    * Starts the process.
    *
-   * @param options what it is made of
+   * @param options the process's clock, settings and other dependencies
    */
   static async start(options: NodeOptions): Promise<NodeStore> {
     const node = new NodeStore(options);
@@ -93,17 +93,17 @@
   }
 
   /**
-   * Takes in settings that have changed.
+   * Applies changed settings.
    *
-   * @param settings the settings as they are now; only the seeds are followed
+   * @param settings the new settings; only the seeds are applied
    */
   reload(settings: NodeSettings): void {
     this.fleet.reload(settings);
   }
 
-  /** Hands leadership over and stops. */
+  /** Transfers leadership and stops. */
   async stop(): Promise<void> {
-    // Without a majority no record is ever made; the next leader then begins those runs a little earlier.
+    // Without a majority nothing can be committed; the next leader then repeats a little more of those runs.
     await Promise.race([this.dispatcher?.saveProgress(), delay(SAVE_AT_STOP_MS)]);
     this.stopped = true;
     this.group?.driver.transferLeadership();
@@ -136,7 +136,7 @@
         answer: (value) => this.answer(value as JobsRequest),
         group: JOBS_GROUP,
         onFailure: (err) =>
-          this.log.note('A call of another process broke off.', {error: errorMessage(err)}),
+          this.log.note('A call of another process failed.', {error: errorMessage(err)}),
         replica: () => this.group?.driver,
       });
     this.rpc = await startRpcServer(
@@ -170,7 +170,7 @@
     const {clock, onFailure, settings} = this.options;
     const {logger} = this;
     const disk = await openDisk(path.join(dataFolder, JOBS_GROUP));
-    // A disk that holds a replica opens at once; an empty one may be a founder's.
+    // A disk that holds a replica opens at once; with an empty one this process may be a founder.
     const founders = (await ReplicaStorage.isUsed(disk)) ? null : await this.findFounders();
     this.group = await NodeGroup.open({
       candidates: () => this.candidates(),
@@ -188,26 +188,26 @@
     });
     this.group.exposeMetrics(this.fleet.metrics);
     const {group} = this;
-    const desk = new NodeJobsHandler(clock, group, (decision, id, fields) =>
+    const handler = new NodeJobsHandler(clock, group, (decision, id, fields) =>
       this.log.decide(decision, id, fields),
     );
-    this.handler = desk;
-    this.dispatcher = this.makeDispatcher(group, desk);
+    this.handler = handler;
+    this.dispatcher = this.makeDispatcher(group, handler);
     group.registerListener(() => {
       this.dispatcher?.poke();
-      desk.wakeReads();
+      handler.wakeReads();
     });
-    // The group may lead already.
+    // This replica may lead already.
     this.dispatcher.poke();
   }
 
-  private makeDispatcher(group: NodeGroup<JobsState>, desk: NodeJobsHandler): JobsDispatcher {
+  private makeDispatcher(group: NodeGroup<JobsState>, handler: NodeJobsHandler): JobsDispatcher {
     const {clock, wire} = this.options;
     return new JobsDispatcher({
       clock,
       decide: (decision, id, fields) => this.log.decide(decision, id, fields),
       leadership: () => (this.stopped ? {kind: 'follows'} : group.driver.leadership),
-      propose: (change) => desk.propose(change),
+      propose: (change) => handler.propose(change),
       readBlob: (ref) => group.driver.readBlob(ref),
       state: () => group.driver.localState,
       suspects: makeSuspects({
@@ -234,8 +234,8 @@
   }
 
   /**
-   * Processes that may belong to the group, as the control group's leader names them. Of whom it said something long ago
-   * nothing is known now, nor whether they have come back with another disk or are to be emptied.
+   * Store processes that may belong to the group, by the fleet status. Their silence counts from the status's age: an old
+   * status doesn't show which of them have failed, returned with another disk or are to be emptied.
    */
   private candidates(): readonly Candidate[] {
     const {ageMs, view} = this.watch;
@@ -246,7 +246,7 @@
     }));
   }
 
-  /** What the group's leader says of the group; nothing from others. */
+  /** The group's members, reported while this process leads the group; null otherwise. */
   private groupReport(): JobsGroupReport | null {
     const {group} = this;
     if (group === undefined || !group.driver.leads) {
@@ -260,10 +260,10 @@
   }
 
   private async answer(request: JobsRequest): Promise<unknown> {
-    const {handler: desk, dispatcher} = this;
-    if (desk === undefined || dispatcher === undefined) {
+    const {dispatcher, handler} = this;
+    if (handler === undefined || dispatcher === undefined) {
       throw new NotLeaderError(null);
     }
-    return desk.answer(request, dispatcher);
+    return handler.answer(request, dispatcher);
   }
 }
--- a/packages/stallpaddle-node/src/NodeStorePlan.ts
+++ b/packages/stallpaddle-node/src/NodeStorePlan.ts
@@ -1,5 +1,5 @@
 /**
- * Which store processes found the group that keeps batch jobs, and which of them may leave it. Pure.
+ * Chooses the founders of the group that keeps batch jobs, and decides when a store may be removed. Pure.
  */
 import type {MonotonicMs, ReplicaId, VmId} from 'stallpaddle';
 import type {FleetState, FleetStore, JobsGroupReport} from 'stallpaddle-fleet';
@@ -9,7 +9,7 @@
 import {ENTRY_SILENT_MS} from './NodeConstants';
 import {votersFor} from './NodeMembershipPlanner';
 
-/** One store of each availability zone first, then the second of each, and so on. */
+/** Orders stores by rounds over the availability zones: the first store of each zone, then the second of each, and so on. */
 function spreadOverZones(stores: readonly SeenStore[]): readonly SeenStore[] {
   const seen = new Map<string, number>();
   const ranked = [...stores]
@@ -22,7 +22,7 @@
   return ranked.sort((a, b) => a.rank - b.rank).map(({store}) => store);
 }
 
-/** The present disk of each VM: the one that spoke last. */
+/** The current disk of each VM: the one with the latest heartbeat. */
 function presentStores(stores: readonly SeenStore[]): readonly SeenStore[] {
   const byVm = new Map<VmId, SeenStore>();
   for (const store of stores) {
@@ -34,12 +34,12 @@
 }
 
 /**
- * First members of the group, or null while too few store processes are there to bear a loss. A disk that is lost already
- * would be one of those that may be lost later.
+ * Chooses the first members of the group; null while too few store processes are alive. A disk that is already lost would
+ * use up one of the losses that the group must tolerate.
  *
- * @param stores the store processes that were heard
+ * @param stores the store processes with their last heartbeats
  * @param lostDisks disks that may be lost at once
- * @param now the present moment
+ * @param now the current time
  */
 export function chooseFounders(
   stores: readonly SeenStore[],
@@ -57,24 +57,24 @@
 }
 
 /**
- * Replicas that can keep the jobs without one store: members of the group and store processes that were
- * heard lately, none of them to be emptied.
+ * Replicas that can keep the jobs without one store: members of the group and store processes with a recent heartbeat,
+ * except those that are to be emptied.
  *
  * @param store the store to be emptied
  * @param report the group's members
- * @param heard what was heard of all processes
+ * @param lastSeen the last heartbeats of all processes
  * @param state the control group's state
- * @param now the present moment
+ * @param now the current time
  */
 export function stayingReplicas(
   store: FleetStore,
   report: JobsGroupReport,
-  heard: NodeLastSeen,
+  lastSeen: NodeLastSeen,
   state: FleetState,
   now: MonotonicMs,
 ): ReadonlySet<ReplicaId> {
   const staying = new Set([...report.voters, ...report.learners]);
-  for (const {at, replica} of heard.stores.values()) {
+  for (const {at, replica} of lastSeen.stores.values()) {
     if (now - at < ENTRY_SILENT_MS) {
       staying.add(replica);
     }
@@ -88,7 +88,7 @@
 }
 
 /**
- * Whether a store holds nothing that counts any more: the group is whole and up to date without it.
+ * Whether a store can be removed: the group is complete and up to date without it.
  *
  * @param store the store to be emptied
  * @param report the group's members; null while its leader is not known
@@ -101,7 +101,7 @@
 ): boolean {
   return (
     report !== null &&
-    // A leader with older news may take the store in as a copy, and count on it once it has gone.
+    // A leader that does not know yet that the store is to be emptied may add it again, and rely on it after its removal.
     report.emptying?.includes(store.replica) === true &&
     report.settled &&
     report.voters.length >= votersFor(lostDisks) &&
--- a/packages/stallpaddle-node/src/NodeSuspects.ts
+++ b/packages/stallpaddle-node/src/NodeSuspects.ts
@@ -1,5 +1,5 @@
 /**
- * The requests during whose runs engines ended, as a process knows them by its place in the fleet.
+ * Connects the suspect requests of a relay to the fleet.
  */
 import {RelaySuspects, type RelaySuspectsOptions} from 'stallpaddle-relay';
 
@@ -7,7 +7,7 @@
 
 import {SUSPECT_CALL_MS} from './NodeConstants';
 
-/** What it needs of its process. */
+/** Dependencies of {@link makeSuspects}. */
 export interface NodeSuspectsOptions extends Omit<
   RelaySuspectsOptions,
   'engines' | 'record' | 'told'
@@ -16,9 +16,9 @@
 }
 
 /**
- * Makes it.
+ * Creates suspects that read the fleet status and are recorded by the control group's leader.
  *
- * @param options what it needs of its process
+ * @param options the dependencies
  */
 export function makeSuspects({fleet, ...options}: NodeSuspectsOptions): RelaySuspects {
   return new RelaySuspects({
--- a/packages/stallpaddle-node/src/NodeSuspectsHandler.ts
+++ b/packages/stallpaddle-node/src/NodeSuspectsHandler.ts
@@ -1,5 +1,5 @@
 /**
- * Requests during whose runs engines ended, as the control group's leader records and lists them.
+ * Suspect requests, during whose runs engines ended.
  */
 import type {Clock, LogFields, MonotonicMs} from 'stallpaddle';
 import type {
@@ -15,29 +15,29 @@
 
 import type {NodeGroup} from './NodeGroup';
 
-/** Time between ticks of the group's clock while it has suspects, in milliseconds: a sixth of the shortest time that it measures. */
+/** Time between ticks of the group's clock while there are suspects, in milliseconds. */
 const TICK_MS = 10_000;
 
-/** What it needs of its process. */
+/** Dependencies of {@link NodeSuspectsHandler}. */
 export interface NodeSuspectsHandlerOptions {
   readonly clock: Clock;
-  /** The control group's replica here. */
+  /** This process's replica of the control group. */
   readonly group: Pick<NodeGroup<FleetState>, 'driver'>;
   readonly log: (message: string, fields: LogFields) => void;
   readonly propose: (command: FleetCommand) => Promise<FleetAnswer>;
 }
 
-/** See the module's comment. */
+/** Records, lists and releases suspect requests while this process leads the control group. */
 export class NodeSuspectsHandler {
   private tickedAt: MonotonicMs = -Infinity;
 
   /**
-   * @param options what it needs of its process
+   * @param options its dependencies
    */
   constructor(private readonly options: NodeSuspectsHandlerOptions) {}
 
   /**
-   * All suspects, for an operator.
+   * Lists all suspects for the operator.
    *
    * @throws {NotLeaderError} without leadership or lease
    */
@@ -49,16 +49,16 @@
   }
 
   /**
-   * Records that an engine ended while it began to run a request.
+   * Records that an engine ended while it started to run a request.
    *
-   * @param end the end
+   * @param end the engine and the request
    */
   async noteEngineEnd(end: NoteEngineEnd): Promise<FleetAnswer> {
     const {group, log, propose} = this.options;
     const answer = await propose(end);
     const {digest, engine, known, startedAtMs} = end;
     const suspect = group.driver.localState.suspects.get(digest);
-    log('An engine ended while it began to run a request.', {
+    log('An engine ended while it started to run a request.', {
       digest,
       ended: suspect?.ended.join(','),
       engine,
@@ -71,9 +71,9 @@
   }
 
   /**
-   * Lets a suspect go.
+   * Releases a suspect.
    *
-   * @param release the request, and who speaks for it
+   * @param release the request and who releases it
    */
   async release(release: ReleaseRequest): Promise<FleetAnswer> {
     const {group, log, propose} = this.options;
@@ -82,17 +82,17 @@
       return {kind: 'applied'};
     }
     const {digest, level} = suspect;
-    log('A request is a suspect no more.', {by: release.by, digest, level});
+    log('A request is no longer a suspect.', {by: release.by, digest, level});
     return propose(release);
   }
 
-  /** Suspects are let go by the group's clock, which runs with commands only. */
+  /** Advances the group's clock while there are suspects: it only advances with commands, and quarantines end by it. */
   tickIfDue(): void {
     const {clock, group, propose} = this.options;
     const now = clock.monotonicMs();
     if (group.driver.localState.suspects.size > 0 && now - this.tickedAt >= TICK_MS) {
       this.tickedAt = now;
-      // Without a leader the next look tries again.
+      // Without a leader the next check retries.
       propose({kind: 'tick'}).catch(() => {});
     }
   }
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeControlHandler.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeControlHandler.test.ts
@@ -193,7 +193,9 @@
     await report('new', 2_000);
     await report('old', 1_000);
     expect([...at.state.engines.keys()]).toEqual(['new']);
-    expect(logged).toEqual(['A report of an earlier start of an engine came late.']);
+    expect(logged).toEqual([
+      'An outdated report of an earlier incarnation of an engine was ignored.',
+    ]);
   });
 
   test('an engine whose time of day is behind gets the address of one that has fallen silent', async () => {
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeFleetStatus.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeFleetStatus.test.ts
@@ -23,7 +23,14 @@
 
 function newsOf(heard: NodeLastSeen, jobsBefore: readonly string[], state = founded()) {
   const members = {learners: [], voters: ['c/1']};
-  return buildFleetStatus({lastSeen: heard, lastKnownJobsReplicas: jobsBefore, members, now: 100, reportMs: 1_000, state});
+  return buildFleetStatus({
+    lastKnownJobsReplicas: jobsBefore,
+    lastSeen: heard,
+    members,
+    now: 100,
+    reportMs: 1_000,
+    state,
+  });
 }
 
 function storeHello(replica: string, term: null | number): FleetHeartbeat {
