--- a/packages/stallpaddle-fleet/src/FleetMachine.ts
+++ b/packages/stallpaddle-fleet/src/FleetMachine.ts
@@ -249,9 +249,7 @@
       clockMs: encoded.clockMs ?? 0,
       engines: new Map(encoded.engines.map((engine) => [engine.id, withStart(engine)])),
       goneEngines: new Map(
-        encoded.goneEngines.map((gone) =>
-          typeof gone === 'string' ? [gone, UNKNOWN_START] : gone,
-        ),
+        encoded.goneEngines.map((end) => (typeof end === 'string' ? [end, UNKNOWN_START] : end)),
       ),
       stores: new Map(encoded.stores.map((store) => [store.name, store])),
       suspects: new Map((encoded.suspects ?? []).map((suspect) => [suspect.digest, suspect])),
--- a/packages/stallpaddle-node/src/NodeForwardedHeartbeats.ts
+++ b/packages/stallpaddle-node/src/NodeForwardedHeartbeats.ts
@@ -15,8 +15,8 @@
 }
 
 /** Identifies a process and its role. */
-function keyOf(heartbeat: FleetHeartbeat): string {
-  return `${heartbeat.kind} ${heartbeat.kind === 'entry' ? heartbeat.name : heartbeat.replica}`;
+function keyOf(hello: FleetHeartbeat): string {
+  return `${hello.kind} ${hello.kind === 'entry' ? hello.name : hello.replica}`;
 }
 
 /**
@@ -26,22 +26,22 @@
 export class NodeForwardedHeartbeats {
   private readonly received = new Map<string, ReceivedHeartbeat>();
   private term: number | undefined;
-  private inFlight: readonly ReceivedHeartbeat[] = [];
+  private underWay: readonly ReceivedHeartbeat[] = [];
 
   /**
    * Records the heartbeats of a process.
    *
-   * @param heartbeats the heartbeats
-   * @param at the current time
+   * @param hellos the heartbeats
+   * @param at the present moment
    * @returns whether one of them is new or differs from the last one
    */
-  record(heartbeats: readonly FleetHeartbeat[], at: MonotonicMs): boolean {
+  record(hellos: readonly FleetHeartbeat[], at: MonotonicMs): boolean {
     let isNew = false;
-    for (const heartbeat of heartbeats) {
-      const key = keyOf(heartbeat);
+    for (const hello of hellos) {
+      const key = keyOf(hello);
       const before = this.received.get(key)?.hello;
-      isNew ||= before === undefined || JSON.stringify(before) !== JSON.stringify(heartbeat);
-      this.received.set(key, {at, hello: heartbeat, reported: false});
+      isNew ||= before === undefined || JSON.stringify(before) !== JSON.stringify(hello);
+      this.received.set(key, {at, hello, reported: false});
     }
     return isNew;
   }
@@ -49,7 +49,7 @@
   /**
    * Returns the heartbeats that are to be forwarded now.
    *
-   * @param now the current time
+   * @param now the present moment
    */
   take(now: MonotonicMs): readonly ForwardedHeartbeat[] {
     for (const [key, {at}] of this.received) {
@@ -57,8 +57,8 @@
         this.received.delete(key);
       }
     }
-    this.inFlight = [...this.received.values()].filter(({reported}) => !reported);
-    return this.inFlight.map(({at, hello}) => ({ageMs: now - at, hello}));
+    this.underWay = [...this.received.values()].filter(({reported}) => !reported);
+    return this.underWay.map(({at, hello}) => ({ageMs: now - at, hello}));
   }
 
   /**
@@ -70,11 +70,11 @@
     const isSame = term === this.term;
     this.term = term;
     if (isSame) {
-      this.inFlight.forEach((heartbeat) => (heartbeat.reported = true));
+      this.underWay.forEach((heartbeat) => (heartbeat.reported = true));
     } else {
-      const taken = new Set(this.inFlight);
+      const taken = new Set(this.underWay);
       this.received.forEach((heartbeat) => (heartbeat.reported = taken.has(heartbeat)));
     }
-    this.inFlight = [];
+    this.underWay = [];
   }
 }
