--- a/packages/stallpaddle-node/src/__tests__/unit/NodeControlHandler.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeControlHandler.test.ts
@@ -1,6 +1,6 @@
 /**
- * The control group's leader: what it acknowledges, and whom it lets found the group that keeps batch jobs, while its own
- * group can't bear the losses yet; what it takes of engines' reports.
+ * The control group's leader acknowledges no configuration and has no jobs group founded before its own group tolerates the
+ * configured losses, and ignores outdated reports of engines.
  */
 import type {Clock, MonotonicMs, ReplicaId} from 'stallpaddle';
 import type {
@@ -22,11 +22,11 @@
 import {NodeControlHandler} from '../../NodeControlHandler';
 
 const CONFIG = {customers: [], routes: [], services: [], version: 7};
-const desks: NodeControlHandler[] = [];
+const handlers: NodeControlHandler[] = [];
 
-afterEach(() => desks.splice(0).forEach((desk) => desk.stop()));
+afterEach(() => handlers.splice(0).forEach((handler) => handler.stop()));
 
-/** A leader whose group has so many voters, and records whatever it is given. */
+/** A leader whose group has the given number of voters and commits every command. */
 function lead(voterCount: number, lostDisks: number) {
   const voters = Array.from({length: voterCount}, (_, at): ReplicaId => `10.0.0.${at + 1}/first`);
   const proposed: FleetCommand[] = [];
@@ -49,7 +49,7 @@
     status,
     uncountedMs: 0,
   };
-  const desk = new NodeControlHandler({
+  const handler = new NodeControlHandler({
     clock: systemClock,
     group: {
       driver: driver as unknown as ReplicaDriver<FleetState>,
@@ -60,18 +60,18 @@
     lostDisks,
     reportMs: 1_000,
   });
-  desks.push(desk);
+  handlers.push(handler);
   const kinds = (): readonly string[] => proposed.map(({kind}) => kind);
-  return {desk, held, kinds, proposed, status};
+  return {handler, held, kinds, proposed, status};
 }
 
 function watch(
-  desk: NodeControlHandler,
+  handler: NodeControlHandler,
   hellos: readonly FleetHeartbeat[],
   ageMs = 0,
 ): Promise<unknown> {
   const relayed = hellos.map((hello) => ({ageMs, hello}));
-  return desk.answer({
+  return handler.answer({
     hellos: [],
     kind: 'watch',
     known: {config: null, fleet: 0, term: 0},
@@ -87,47 +87,47 @@
 
 const STORES = [1, 2, 3, 4, 5].map((number) => store(`s${number}`, `10.1.0.${number}/1`));
 
-/** Longer than the pause between two looks of the leader. */
-const LOOK_MS = 250;
+/** Longer than the time between two checks of the leader. */
+const CHECK_MS = 250;
 
 describe('NodeControlHandler', () => {
-  test('acknowledges no configuration before its group has the voters to bear the losses', async () => {
-    // Three seeds found the group; two of them may be lost right after the acknowledgement.
-    const {desk, kinds, status} = lead(3, 2);
+  test('acknowledges no configuration before its group has enough voters to tolerate the losses', async () => {
+    // Two of the three founders may be lost right after the acknowledgement.
+    const {handler, kinds, status} = lead(3, 2);
     const put = {config: CONFIG, kind: 'putConfig'} as unknown as Parameters<
       NodeControlHandler['answer']
     >[0];
-    await expect(desk.answer(put)).rejects.toThrow(NotLeaderError);
+    await expect(handler.answer(put)).rejects.toThrow(NotLeaderError);
     expect(kinds()).toEqual([]);
     const more = ['10.0.0.4/1', '10.0.0.5/1'];
     status.log.members = {learners: [], voters: [...status.log.members.voters, ...more]};
-    await expect(desk.answer(put)).resolves.toEqual({kind: 'applied'});
-    // From now on fewer voters mean that some were lost, and those count among the losses.
+    await expect(handler.answer(put)).resolves.toEqual({kind: 'applied'});
+    // After that, fewer voters mean that some were lost, and those count among the losses.
     status.log.members = {learners: more, voters: status.log.members.voters.slice(0, 4)};
-    await expect(desk.answer(put)).resolves.toMatchObject({kind: 'held'});
+    await expect(handler.answer(put)).resolves.toMatchObject({kind: 'held'});
   });
 
-  test('has the group for batch jobs founded no earlier either', async () => {
-    const {desk, kinds, status} = lead(3, 2);
-    await watch(desk, STORES);
-    await delay(LOOK_MS);
+  test('does not have the jobs group founded before that either', async () => {
+    const {handler, kinds, status} = lead(3, 2);
+    await watch(handler, STORES);
+    await delay(CHECK_MS);
     expect(kinds()).not.toContain('foundJobs');
     const more = ['10.0.0.4/1', '10.0.0.5/1'];
     status.log.members = {learners: [], voters: [...status.log.members.voters, ...more]};
-    await watch(desk, STORES);
-    await delay(LOOK_MS);
+    await watch(handler, STORES);
+    await delay(CHECK_MS);
     expect(kinds()).toContain('foundJobs');
   });
 
-  test('names no founder that is silent, or whose VM has come back with another disk', async () => {
-    const {desk, proposed} = lead(3, 1);
-    await watch(desk, [store('s1', '10.1.0.1/1')], 5_000);
-    await watch(desk, [store('s2', '10.1.0.2/1')], 1_000);
-    await watch(desk, [store('s2', '10.1.0.2/2'), store('s3', '10.1.0.3/1')]);
-    await delay(LOOK_MS);
+  test('chooses no founder without a recent heartbeat, or whose VM has returned with another disk', async () => {
+    const {handler, proposed} = lead(3, 1);
+    await watch(handler, [store('s1', '10.1.0.1/1')], 5_000);
+    await watch(handler, [store('s2', '10.1.0.2/1')], 1_000);
+    await watch(handler, [store('s2', '10.1.0.2/2'), store('s3', '10.1.0.3/1')]);
+    await delay(CHECK_MS);
     expect(proposed.filter(({kind}) => kind === 'foundJobs')).toEqual([]);
-    await watch(desk, [store('s4', '10.1.0.4/1')]);
-    await delay(LOOK_MS);
+    await watch(handler, [store('s4', '10.1.0.4/1')]);
+    await delay(CHECK_MS);
     const founders = ['10.1.0.2/2', '10.1.0.3/1', '10.1.0.4/1'];
     expect(proposed).toContainEqual({founders, kind: 'foundJobs'});
   });
@@ -149,7 +149,7 @@
   };
 }
 
-/** A leader whose clock a test sets, and which records every command at once. */
+/** A leader whose clock the test sets, and which commits every command at once. */
 function leadAt() {
   const at = {now: 0 as MonotonicMs, state: fleetMachine.initial()};
   const driver = {
@@ -173,7 +173,7 @@
     driver,
     registerListener: () => () => {},
   } as unknown as NodeControlHandlerOptions['group'];
-  const desk = new NodeControlHandler({
+  const handler = new NodeControlHandler({
     clock,
     group,
     lastKnownJobsReplicas: () => [],
@@ -181,14 +181,14 @@
     lostDisks: 1,
     reportMs: REPORT_MS,
   });
-  desks.push(desk);
+  handlers.push(handler);
   const report = (id: string, startedAtMs: number): Promise<unknown> =>
-    desk.answer({kind: 'reportEngine', report: reportOf(id, startedAtMs)});
+    handler.answer({kind: 'reportEngine', report: reportOf(id, startedAtMs)});
   return {at, logged, report};
 }
 
 describe('reports of engines', () => {
-  test('a late report of an older engine takes no living engine its address', async () => {
+  test('an outdated report of an older engine does not take the address of a live engine', async () => {
     const {at, logged, report} = leadAt();
     await report('new', 2_000);
     await report('old', 1_000);
@@ -198,7 +198,7 @@
     ]);
   });
 
-  test('an engine whose time of day is behind gets the address of one that has fallen silent', async () => {
+  test('an engine with a slow clock gets the address of one that has stopped reporting', async () => {
     const {at, report} = leadAt();
     await report('new', 2_000);
     at.now = 3 * REPORT_MS;
@@ -206,16 +206,16 @@
     expect([...at.state.engines.keys()]).toEqual(['behind']);
   });
 
-  test('records ends of engines, tells all of the suspects, and records no clearing of others', async () => {
-    const {desk, kinds} = lead(3, 1);
+  test('records ends of engines, publishes the suspects, and commits no release of other requests', async () => {
+    const {handler, kinds} = lead(3, 1);
     const end = {digest: 'd', kind: 'noteEngineEnd', startedAtMs: 0} as const;
-    await desk.answer({...end, engine: 'e1', known: 0});
-    await desk.answer({...end, engine: 'e2', known: 1});
-    const told = (await watch(desk, [])) as {update: {news: FleetStatus}};
-    expect(told.update.news.suspects).toEqual([
+    await handler.answer({...end, engine: 'e1', known: 0});
+    await handler.answer({...end, engine: 'e2', known: 1});
+    const published = (await watch(handler, [])) as {update: {news: FleetStatus}};
+    expect(published.update.news.suspects).toEqual([
       {digest: 'd', holdMs: FIRST_QUARANTINE_MS, level: 2},
     ]);
-    expect(await desk.answer({kind: 'listSuspects'})).toEqual([
+    expect(await handler.answer({kind: 'listSuspects'})).toEqual([
       {
         digest: 'd',
         ended: ['e1@0', 'e2@0'],
@@ -224,22 +224,22 @@
         level: 2,
       },
     ]);
-    await desk.answer({by: 'engine', digest: 'other', kind: 'releaseRequest'});
+    await handler.answer({by: 'engine', digest: 'other', kind: 'releaseRequest'});
     expect(kinds()).not.toContain('releaseRequest');
-    await desk.answer({by: 'operator', digest: 'd', kind: 'releaseRequest'});
-    await delay(LOOK_MS);
-    const later = (await watch(desk, [])) as {update: {news: FleetStatus}};
+    await handler.answer({by: 'operator', digest: 'd', kind: 'releaseRequest'});
+    await delay(CHECK_MS);
+    const later = (await watch(handler, [])) as {update: {news: FleetStatus}};
     expect(later.update.news.suspects).toEqual([]);
   });
 
-  test('lets its group’s clock run only while there are suspects', async () => {
-    const {desk, kinds} = lead(3, 1);
-    await watch(desk, []);
-    await delay(LOOK_MS);
+  test('advances its group’s clock only while there are suspects', async () => {
+    const {handler, kinds} = lead(3, 1);
+    await watch(handler, []);
+    await delay(CHECK_MS);
     expect(kinds()).not.toContain('tick');
     const end = {digest: 'd', engine: 'e1', kind: 'noteEngineEnd', known: 0, startedAtMs: 0};
-    await desk.answer(end as Parameters<NodeControlHandler['answer']>[0]);
-    await delay(LOOK_MS);
+    await handler.answer(end as Parameters<NodeControlHandler['answer']>[0]);
+    await delay(CHECK_MS);
     expect(kinds().filter((kind) => kind === 'tick')).toHaveLength(1);
   });
 });
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeFleetStatus.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeFleetStatus.test.ts
@@ -1,5 +1,5 @@
 /**
- * Where callers are told that batch jobs are kept, while the jobs' leader is not known.
+ * The fleet status names the replicas that keep batch jobs, also while their leader is unknown.
  */
 import type {FleetHeartbeat} from 'stallpaddle-fleet';
 
@@ -12,7 +12,7 @@
 const FOUNDERS = ['10.0.0.1/a', '10.0.0.2/a', '10.0.0.3/a'];
 const MEMBERS = ['10.0.0.4/a', '10.0.0.5/a', '10.0.0.6/a'];
 
-/** A fleet of six stores, three of which founded the group. */
+/** State of a fleet with six stores, three of which founded the jobs group. */
 function founded(): FleetState {
   const stores = [...FOUNDERS, ...MEMBERS].map((replica) => {
     const [name] = replica.split('/');
@@ -21,7 +21,7 @@
   return {...fleetMachine.initial(), jobsFounders: FOUNDERS, stores: new Map(stores)};
 }
 
-function newsOf(heard: NodeLastSeen, jobsBefore: readonly string[], state = founded()) {
+function statusOf(heard: NodeLastSeen, jobsBefore: readonly string[], state = founded()) {
   const members = {learners: [], voters: ['c/1']};
   return buildFleetStatus({
     lastKnownJobsReplicas: jobsBefore,
@@ -33,36 +33,35 @@
   });
 }
 
-function storeHello(replica: string, term: null | number): FleetHeartbeat {
+function storeHeartbeat(replica: string, term: null | number): FleetHeartbeat {
   const leads = term === null ? null : {learners: [], settled: true, term, voters: MEMBERS};
   return {kind: 'store', leads, name: replica, replica, zone: 'z'};
 }
 
 describe('buildFleetStatus', () => {
   test('names the voters that the jobs’ leader reports', () => {
-    const heard = new NodeLastSeen(7, 0);
-    heard.record(storeHello(MEMBERS[0]!, 4), 10);
-    expect(newsOf(heard, FOUNDERS).jobsReplicas).toEqual(MEMBERS);
+    const lastSeen = new NodeLastSeen(7, 0);
+    lastSeen.record(storeHeartbeat(MEMBERS[0]!, 4), 10);
+    expect(statusOf(lastSeen, FOUNDERS).jobsReplicas).toEqual(MEMBERS);
   });
 
-  test('a new leader of the control group, or one that the jobs’ leader left, forgets no member', () => {
-    // Whoever founded the group may have left it long ago, one lost disk after the other: with the founders alone, an
-    // entry VM asked processes that belong to no group, and told its callers that the jobs have no leader.
-    const unheard = new NodeLastSeen(8, 0);
-    expect(newsOf(unheard, MEMBERS).jobsReplicas).toEqual(MEMBERS);
+  test('the last known voters stay when the control group has a new leader, or the jobs’ leader steps down', () => {
+    // The founders may all have been replaced: calls to them alone would find no leader.
+    const unreported = new NodeLastSeen(8, 0);
+    expect(statusOf(unreported, MEMBERS).jobsReplicas).toEqual(MEMBERS);
     const deposed = new NodeLastSeen(8, 0);
-    deposed.record(storeHello(MEMBERS[0]!, 4), 10);
-    deposed.record(storeHello(MEMBERS[0]!, null), 20);
-    expect(newsOf(deposed, MEMBERS).jobsReplicas).toEqual(MEMBERS);
+    deposed.record(storeHeartbeat(MEMBERS[0]!, 4), 10);
+    deposed.record(storeHeartbeat(MEMBERS[0]!, null), 20);
+    expect(statusOf(deposed, MEMBERS).jobsReplicas).toEqual(MEMBERS);
   });
 
-  test('when every process has lost what it knew, all stores are named, the founders first', () => {
-    const {jobsReplicas} = newsOf(new NodeLastSeen(9, 0), []);
+  test('after a restart of all processes all stores are named, the founders first', () => {
+    const {jobsReplicas} = statusOf(new NodeLastSeen(9, 0), []);
     expect(jobsReplicas).toEqual([...FOUNDERS, ...MEMBERS]);
   });
 
-  test('names nobody before the group is founded', () => {
+  test('names no replica before the group is founded', () => {
     const state = {...founded(), jobsFounders: null};
-    expect(newsOf(new NodeLastSeen(9, 0), [], state).jobsReplicas).toEqual([]);
+    expect(statusOf(new NodeLastSeen(9, 0), [], state).jobsReplicas).toEqual([]);
   });
 });
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeGroup.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeGroup.test.ts
@@ -1,6 +1,5 @@
 /**
- * Groups of replicas over real connections: founding, a disk that fails for a while, a lost disk, one more
- * replica, a VM to be emptied.
+ * Groups of replicas over real connections: founding, full and lost disks, joining replicas, removal of VMs.
  */
 import type {ReplicaMachine} from 'stallpaddle-replication';
 
@@ -47,27 +46,27 @@
   }
 });
 
-/** Distance to the port of a server that stands behind a slow link. */
+/** Offset of the port of a server behind a slow link. */
 const BEHIND = 100;
 
 /** Lease of a leader, in milliseconds. */
 const LEASE_MS = GROUP_TIMING.electionTimeoutMs * (1 - GROUP_TIMING.leaseDriftFraction);
-/** Hold-ups of all its processes that a leader's lease must outlive, in milliseconds; `RpcLease.test.ts` has the sum. */
+/** Stall of all processes that a leader's lease must outlast, in milliseconds; see `RpcLease.test.ts`. */
 const LEAST_HELD_MS = 100;
 
-/** Replicas on addresses of their own. */
+/** Replicas, each on its own address. */
 class Fleet {
   readonly groups = new Map<ReplicaId, NodeGroup<ListState>>();
   readonly lost = new Set<ReplicaId>();
-  /** Changes of the members, as the logs tell them. */
+  /** Reasons of the membership changes in the logs. */
   readonly memberChanges: string[] = [];
   private readonly port = port++;
-  /** Whether nobody tells the replicas who may belong to the group: the control group has no majority. */
+  /** Whether the replicas get no candidates, as while the control group has no majority. */
   isBlind = false;
   retiring: ReplicaId | undefined;
 
   /**
-   * @param bytesPerMs how much each connection to a replica carries; undefined for what the machine does
+   * @param bytesPerMs bandwidth of each connection to a replica; undefined for no limit
    * @param clock the replicas' clock
    */
   constructor(
@@ -171,7 +170,7 @@
 }
 
 describe('NodeGroup', () => {
-  test('opens on a disk that is slower than a look at the members', async () => {
+  test('opens on a disk that is slower than the membership check interval', async () => {
     const fleet = new Fleet();
     const ids = [1, 2, 3].map((number) => `127.0.7.${number}/first`);
     await Promise.all(
@@ -184,14 +183,14 @@
     await (await fleet.leader()).driver.propose(Buffer.from('one'));
   });
 
-  test('a VM that comes back with another disk takes the place of the lost one', async () => {
+  test('a VM that returns with another disk replaces the lost one', async () => {
     const {fleet, ids} = await found();
     await (await fleet.leader()).driver.propose(Buffer.from('one'));
     const lost = ids.find((id) => fleet.groups.get(id)!.driver.leads)!;
     const group = fleet.groups.get(lost)!;
     fleet.groups.delete(lost);
     await group.close();
-    // The old server still stands: the new replica is reached by its own name.
+    // The old server still runs, so the new replica has an address of its own.
     const again = `127.0.7.9/again`;
     await fleet.start(again, null);
     await fleet.untilVoters([...ids.filter((id) => id !== lost), again]);
@@ -203,8 +202,8 @@
     expect(fleet.groups.get(again)!.driver.localState.texts).toEqual(['one', 'two']);
   });
 
-  test('voters that lost power together find each other with two disks lost, and without any news', async () => {
-    // Two of the five VMs come back under their old hosts with empty disks, and are told of the founders once more.
+  test('voters that lost power together elect a leader with two disks lost, and without a fleet status', async () => {
+    // Two of the five VMs return under their old hosts with empty disks, and are given the founders again.
     const fleet = new Fleet();
     const ids = [1, 2, 3, 4, 5].map((number) => `127.0.7.${number}/first`);
     const started = await Promise.all(ids.map((id) => fleet.start(id, ids)));
@@ -222,11 +221,11 @@
     }
     const {driver} = await fleet.leader();
     expect(driver.read().texts).toEqual(['one']);
-    // The start counts as having heard a leader, then two election timeouts at most, and a vote that was split.
+    // A start counts as contact with a leader; then up to two election timeouts and one split vote.
     expect(performance.now() - returnedAt).toBeLessThan(4_000);
     expect(await driver.propose(Buffer.from('two'))).toBe(2);
     await delay(2 * GROUP_TIMING.electionTimeoutMs);
-    // What is sent to those that were there before is not for them: they answer nothing, and lead nobody.
+    // Messages to the old replicas of these VMs must not be taken by the new ones.
     for (const {group} of empty) {
       const {role, term} = group.driver.status;
       expect([group.driver.localState.texts, role.kind, term]).toEqual([[], 'follower', 0]);
@@ -234,7 +233,7 @@
     expect([driver.leads, driver.status.log.members.voters]).toEqual([true, ids]);
   });
 
-  test('empties a VM only after another has taken its place', async () => {
+  test('removes a VM that is to be emptied only after another has replaced it', async () => {
     const {fleet, ids} = await found();
     await (await fleet.leader()).driver.propose(Buffer.from('one'));
     const more = '127.0.7.4/more';
@@ -244,8 +243,8 @@
     expect(fleet.groups.get(more)!.driver.localState.texts).toEqual(['one']);
   });
 
-  test('is settled only once the change of its members is recorded, however well all are caught up', async () => {
-    // A VM to be emptied goes with its disk once the group is said to be whole without it.
+  test('is settled only once a change of its members is committed, even if all voters have caught up', async () => {
+    // A VM to be emptied is removed with its disk once the group reports that it is settled without it.
     const {fleet, ids} = await found();
     const group = await fleet.leader();
     await group.driver.propose(Buffer.from('one'));
@@ -261,8 +260,7 @@
     await changed;
   });
 
-  test('commands that links take long to carry are recorded, and leadership stays where it is', async () => {
-    // As measured on a fleet whose stores were busy: 800 KB took half a second.
+  test('large commands over slow links are committed without a change of leader', async () => {
     const clock = new UnheldClock();
     undo.push(() => clock.stop());
     const fleet = new Fleet(1_600, clock);
@@ -271,7 +269,7 @@
     const {driver} = await fleet.leader();
     const {term} = driver.status;
     let lapses = 0;
-    // A word that waits for a core on its way is late by every clock.
+    // Time in which the machine itself held the processes back does not count as a lapse.
     const isHeld = (): boolean => clock.heldMs(LEASE_MS) >= LEAST_HELD_MS;
     const watch = setInterval(() => (lapses += driver.leads || isHeld() ? 0 : 1), 10);
     undo.push(() => clearInterval(watch));
@@ -285,8 +283,8 @@
     expect([driver.leads, driver.status.term, lapses]).toEqual([true, term, 0]);
   });
 
-  test('a replica that joins a busy group late is waited for, not sent away and taken in by turns', async () => {
-    // Its first answer comes after the first look at the members: what it lacks is under way to it.
+  test('a replica that joins a busy group late is waited for, not removed and added by turns', async () => {
+    // Its first acknowledgement comes after the first membership check, while a snapshot is in flight to it.
     const fleet = new Fleet(400);
     const ids = [1, 2, 3].map((number) => `127.0.7.${number}/first`);
     await Promise.all(ids.map((id) => fleet.start(id, ids)));
@@ -309,7 +307,7 @@
     expect(fleet.memberChanges).toEqual([`${more} joins`]);
   });
 
-  test('a full disk costs one replica for as long as it is full, and nothing acknowledged', async () => {
+  test('a full disk stops one replica until it has space again, and loses no acknowledged command', async () => {
     const fleet = new Fleet();
     const ids = [1, 2, 3].map((number) => `127.0.7.${number}/first`);
     const started = await Promise.all(ids.map((id) => fleet.start(id, ids)));
@@ -331,7 +329,7 @@
     expect(group.driver.localState.texts[0]).toBe('one');
   });
 
-  test('a replica whose disk is full at its start waits for room', async () => {
+  test('a replica whose disk is full at its start waits for free space', async () => {
     const fleet = new Fleet();
     const id = '127.0.7.9/first';
     const {disk, group} = await fleet.start(id, [id]);
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeJobsHandler.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeJobsHandler.test.ts
@@ -1,5 +1,5 @@
 /**
- * The group's own clock, by which items grow old, while its replicas lead by turns.
+ * The group's clock across changes of leader, and the log lines about jobs.
  */
 import type {LogFields} from 'stallpaddle';
 import type {JobsDispatcher, JobsState, Submission} from 'stallpaddle-jobs';
@@ -19,10 +19,10 @@
 type Line = LogFields & {readonly decision: string; readonly job: string};
 
 interface Replica {
-  readonly desk: NodeJobsHandler;
+  readonly handler: NodeJobsHandler;
   readonly disk: FakeDisk;
   readonly group: NodeGroup<JobsState>;
-  /** What the desk wrote of jobs. */
+  /** Logged decisions about jobs. */
   readonly lines: readonly Line[];
 }
 
@@ -75,10 +75,10 @@
     await rpc.stop();
   });
   const lines: Line[] = [];
-  const desk = new NodeJobsHandler(systemClock, group, (decision, job, fields) => {
+  const handler = new NodeJobsHandler(systemClock, group, (decision, job, fields) => {
     lines.push({decision, job, ...fields});
   });
-  return {desk, disk, group, lines};
+  return {disk, group, handler, lines};
 }
 
 async function leaderOf(
@@ -95,20 +95,20 @@
   throw new Error('nobody leads');
 }
 
-/** Leads for a time as a dispatcher does: with a tick of the group's clock again and again. */
-async function tickFor({desk}: Replica, ms: number): Promise<void> {
+/** Ticks the group's clock for a time, as a dispatcher does. */
+async function tickFor({handler}: Replica, ms: number): Promise<void> {
   const end = systemClock.monotonicMs() + ms;
   while (systemClock.monotonicMs() < end) {
-    await desk.propose({kind: 'tick'});
+    await handler.propose({kind: 'tick'});
     await delay(20);
   }
 }
 
-/** How long the reads of these tests may take. */
+/** Options of the reads in these tests. */
 const TERMS = {mayFollow: false, patienceMs: 1_000};
 
 describe('NodeJobsHandler', () => {
-  test('the group’s clock never runs ahead of time, whoever leads and how often', async () => {
+  test('the group’s clock never runs ahead of real time across changes of leader', async () => {
     const ids = [1, 2, 3].map((number) => `127.0.8.${number}/first`);
     const replicas = await Promise.all(ids.map((id) => startReplica(id, ids)));
     const startedAt = systemClock.monotonicMs();
@@ -123,31 +123,31 @@
     const passedMs = systemClock.monotonicMs() - startedAt;
     const {clockMs} = last.group.driver.localState;
     expect(clockMs).toBeLessThanOrEqual(passedMs);
-    // It does run while somebody leads.
+    // It does advance while there is a leader.
     expect(clockMs).toBeGreaterThan(700);
   });
 
-  test('the log tells of a job whose disks hold it, that it is not known, and that its bytes are damaged', async () => {
+  test('logs which replicas hold a job, that a job is unknown, and that its data is damaged', async () => {
     const ids = [1, 2, 3].map((number) => `127.0.8.${number + 3}/first`);
     const replicas = await Promise.all(ids.map((id) => startReplica(id, ids)));
-    const {desk, disk, group, lines} = await leaderOf(replicas);
+    const {disk, group, handler, lines} = await leaderOf(replicas);
     const dispatcher = {} as JobsDispatcher;
-    await desk.answer({kind: 'submit', maxWaitingTokens: 0, submission: SUBMISSION}, dispatcher);
+    await handler.answer({kind: 'submit', maxWaitingTokens: 0, submission: SUBMISSION}, dispatcher);
     expect(lines.at(-1)).toMatchObject({answer: 'accepted', decision: 'jobRecorded', job: 'job'});
     const holders = String(lines.at(-1)?.holders).split(',');
     expect(holders.length).toBeGreaterThanOrEqual(2);
     expect(ids).toEqual(expect.arrayContaining(holders));
     expect(lines.at(-1)?.index).toBe(group.driver.status.commit);
-    await desk.answer({...TERMS, item: 'a', job: 'none', kind: 'readBody'}, dispatcher);
+    await handler.answer({...TERMS, item: 'a', job: 'none', kind: 'readBody'}, dispatcher);
     expect(lines.at(-1)).toMatchObject({decision: 'jobNotFound', job: 'none', known: false});
     const {body} = group.driver.localState.jobs.get('job')!.items[0]!;
-    // Until it is written, it is read from memory.
+    // The body is read from memory until it is written.
     while (disk.sizeOf('blobs-0000000000000000') <= body.offset + body.length) {
       await delay(5);
     }
     await delay(50);
     disk.flip('blobs-0000000000000000', body.offset + body.length);
-    const read = desk.answer({...TERMS, item: 'a', job: 'job', kind: 'readBody'}, dispatcher);
+    const read = handler.answer({...TERMS, item: 'a', job: 'job', kind: 'readBody'}, dispatcher);
     await expect(read).rejects.toBeInstanceOf(CorruptionError);
     expect(lines.at(-1)).toMatchObject({decision: 'jobUnreadable', job: 'job'});
   });
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeMembershipLosses.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeMembershipLosses.test.ts
@@ -1,11 +1,6 @@
 /**
- * What the settings allow to be lost at once leaves the group a majority and all that was committed, at every step of
- * every change of its members.
- *
- * A batch job of 15 items had been accepted; after losses of disks and of power it could not be read at the end of the
- * day. The cause of that record was not shown. Reading found a hole that ends the same way: of five voters, for two
- * disks that may be lost at once, one that was merely silent left before its successor voted. Two lost disks then left
- * two of four, no majority ever again, though two whole copies lay there, and a third on the disk of the one let go.
+ * A group that has lost as much as the settings allow at once still has a majority and all committed entries, at every step
+ * of every membership change. Guards against removing a voter that is merely silent before its successor votes.
  */
 import fc from 'fast-check';
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
@@ -13,33 +8,33 @@
 
 import {NodeMembershipSimulation} from './NodeMembershipSimulation';
 
-/** Looks at the members in which a calm group must have become whole again: ten seconds. */
-const CALM_LOOKS = 40;
+/** Membership checks after which an undisturbed group must be complete again: ten seconds. */
+const SETTLE_CHECKS = 40;
 
 type Action =
   | {readonly back: null | number; readonly kind: 'loseDisk'; readonly vm: number}
-  | {readonly kind: 'advance'; readonly looks: number}
+  | {readonly kind: 'advance'; readonly rounds: number}
   | {readonly kind: 'heal' | 'join' | 'removeEmptied'}
   | {
       readonly kind: 'leaderDies';
       readonly ms: number;
-      readonly told: number;
+      readonly receivers: number;
       readonly withDisk: boolean;
     }
-  | {readonly kind: 'propose'; readonly told: number}
+  | {readonly kind: 'propose'; readonly receivers: number}
   | {readonly kind: 'retire'; readonly vm: number}
   | {readonly kind: 'silence'; readonly ms: number; readonly vm: number};
 
 const vm = fc.nat({max: 9});
-/** Bits that tell which VMs hear of something. */
-const told = fc.nat({max: 1_023});
+/** Bit set of the VMs that receive a message. */
+const receivers = fc.nat({max: 1_023});
 const ms = fc.constantFrom(250, 1_000, 2_000, 3_000, 5_000, 20_000);
 
 const action: fc.Arbitrary<Action> = fc.oneof(
   {
     arbitrary: fc.record({
       kind: fc.constant('advance' as const),
-      looks: fc.integer({max: 24, min: 1}),
+      rounds: fc.integer({max: 24, min: 1}),
     }),
     weight: 8,
   },
@@ -56,59 +51,59 @@
     arbitrary: fc.record({
       kind: fc.constant('leaderDies' as const),
       ms,
-      told,
+      receivers,
       withDisk: fc.boolean(),
     }),
     weight: 3,
   },
-  {arbitrary: fc.record({kind: fc.constant('propose' as const), told}), weight: 3},
+  {arbitrary: fc.record({kind: fc.constant('propose' as const), receivers}), weight: 3},
   {arbitrary: fc.record({kind: fc.constant('retire' as const), vm}), weight: 1},
   {arbitrary: fc.record({kind: fc.constantFrom('heal', 'join', 'removeEmptied')}), weight: 3},
 );
 
-/** Most VMs of a history; more would show nothing else. */
-const MOST_VMS = 9;
+/** Most VMs of a history. */
+const MAX_VMS = 9;
 
-function perform(world: NodeMembershipSimulation, step: Action): void {
-  const names = world.vmNames;
+function perform(simulation: NodeMembershipSimulation, step: Action): void {
+  const names = simulation.vmNames;
   const nameAt = (at: number): string => names[at % names.length]!;
-  const tellsOf = (bits: number) => (name: string) => ((bits >> names.indexOf(name)) & 1) === 1;
+  const receivesOf = (bits: number) => (name: string) => ((bits >> names.indexOf(name)) & 1) === 1;
   switch (step.kind) {
     case 'advance':
-      world.advance(step.looks);
+      simulation.advance(step.rounds);
       return;
     case 'heal':
-      world.heal();
+      simulation.heal();
       return;
     case 'join':
-      if (world.vms.size < MOST_VMS) {
-        world.join();
+      if (simulation.vms.size < MAX_VMS) {
+        simulation.join();
       }
       return;
     case 'leaderDies':
-      world.leaderDies(tellsOf(step.told), step.ms, step.withDisk);
+      simulation.leaderDies(receivesOf(step.receivers), step.ms, step.withDisk);
       return;
     case 'loseDisk':
-      world.loseDisk(nameAt(step.vm), step.back);
+      simulation.loseDisk(nameAt(step.vm), step.back);
       return;
     case 'propose':
-      world.propose(tellsOf(step.told));
+      simulation.propose(receivesOf(step.receivers));
       return;
     case 'removeEmptied':
-      world.removeEmptied();
+      simulation.removeEmptied();
       return;
     case 'retire':
-      world.retire(nameAt(step.vm));
+      simulation.retire(nameAt(step.vm));
       return;
     case 'silence':
-      world.silence(nameAt(step.vm), step.ms);
+      simulation.silence(nameAt(step.vm), step.ms);
       return;
   }
 }
 
 describe('planMembers', () => {
   test(
-    'leaves a majority and every committed entry whatever the settings allow to be lost, before, during and after each step',
+    'keeps a majority and every committed entry under any allowed losses, before, during and after each step',
     async () => {
       let changes = 0;
       const property = fc.property(
@@ -116,34 +111,35 @@
         fc.nat({max: 2}),
         fc.array(action, {maxLength: 60, minLength: 10, size: 'max'}),
         (lostDisks, spareVms, actions) => {
-          const world = new NodeMembershipSimulation(lostDisks, spareVms);
-          world.advance(6);
-          actions.forEach((step) => perform(world, step));
-          world.heal();
-          world.advance(CALM_LOOKS);
-          expect(world.findFault()).toBeNull();
-          changes += world.changes;
+          const simulation = new NodeMembershipSimulation(lostDisks, spareVms);
+          simulation.advance(6);
+          actions.forEach((step) => perform(simulation, step));
+          simulation.heal();
+          simulation.advance(SETTLE_CHECKS);
+          expect(simulation.findFault()).toBeNull();
+          changes += simulation.changes;
         },
       );
       await assertHistories('losses and members', property, 300);
-      // A world in which nobody ever joins or leaves would prove nothing.
+      // Histories without membership changes would prove nothing.
       expect(changes).toBeGreaterThan(1_000);
     },
     fuzzTimeoutMs(),
   );
 
-  test('keeps a voter that is only silent until its successor votes', () => {
-    const world = new NodeMembershipSimulation(2, 1);
-    world.advance(8);
-    const silent = world.vmNames.find(
+  test('keeps a voter that is merely silent until its successor votes', () => {
+    const simulation = new NodeMembershipSimulation(2, 1);
+    simulation.advance(8);
+    const silent = simulation.vmNames.find(
       (name) =>
-        name !== world.leaderVm && world.members.voters.some((id) => id.startsWith(`${name}/`)),
+        name !== simulation.leaderVm &&
+        simulation.members.voters.some((id) => id.startsWith(`${name}/`)),
     )!;
-    world.silence(silent, 60_000);
-    for (let look = 0; look < CALM_LOOKS; look++) {
-      world.advance(1);
-      expect(world.members.voters.length).toBeGreaterThanOrEqual(5);
+    simulation.silence(silent, 60_000);
+    for (let check = 0; check < SETTLE_CHECKS; check++) {
+      simulation.advance(1);
+      expect(simulation.members.voters.length).toBeGreaterThanOrEqual(5);
     }
-    expect(world.members.voters.some((id) => id.startsWith(`${silent}/`))).toBe(false);
+    expect(simulation.members.voters.some((id) => id.startsWith(`${silent}/`))).toBe(false);
   });
 });
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeMembershipSimulation.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeMembershipSimulation.ts
@@ -1,10 +1,5 @@
 /**
- * A group whose members the product's own `planMembers` and `isEmptied` decide, among VMs that fall silent, lose their
- * disks, join, and are emptied and removed.
- *
- * Elections and replication are Raft's rules without messages: a leader copies its whole log to whom it reaches. After
- * every step of them the world asks what the operator's settings promise: as many more disks as may be lost at once go,
- * all other VMs lose power and come back; some replica must then be electable, and none that lacks a committed entry.
+ * Simulation of a group whose members are planned by the real `planMembers` and `isEmptied`.
  */
 import type {ReplicaId, VmId} from 'stallpaddle';
 import type {GroupMembers} from 'stallpaddle-replication';
@@ -19,10 +14,7 @@
 const ELECTION_MS = 1_000;
 /** Silence of a majority after which a leader gives up, in milliseconds. */
 const QUORUM_MS = 500;
-/**
- * Time for which a VM counts as lost once it is back, or a new one is there in its place, in milliseconds: the shortest
- * that a deployment has promised.
- */
+/** Time for which a VM still counts as lost after it has returned or was replaced, in milliseconds. */
 const CATCH_UP_MS = 4_800;
 
 interface Entry {
@@ -31,28 +23,28 @@
 }
 
 interface Replica {
-  /** When a new replica has received its first copy; null before one was begun. */
+  /** When a new replica has received its first copy; null before the copy has started. */
   copiedAt: null | number;
   log: readonly Entry[];
 }
 
 interface Vm {
-  /** Name of the present disk; null while the VM is gone. */
+  /** Name of the current disk; null once the VM is gone. */
   current: null | ReplicaId;
   disks: number;
-  heardAt: number;
-  /** Until when nobody reaches it. */
-  quietUntil: number;
+  lastSeenAt: number;
+  /** Until when the VM is unreachable. */
+  offlineUntil: number;
   retiring: boolean;
 }
 
-/** A disk that is gone and still counts among those lost at once. */
+/** A lost disk that still counts among those lost at once. */
 interface LostDisk {
-  /** The disk, and further ones that the same VM has lost before it was made good. */
+  /** The disk, and further ones that the same VM has lost before it was replaced. */
   readonly replicas: readonly ReplicaId[];
-  /** Since when all that made it good has been there: its VM or a new one, and no more away than may be lost. */
+  /** Since when its replacement has been available, with no more VMs away than may be lost. */
   since: number;
-  /** Its VM, or a new one in the place of one that is gone; null until such a one comes. */
+  /** Its VM, or a new VM that replaces it; null until one has joined. */
   successor: null | VmId;
 }
 
@@ -62,25 +54,25 @@
   readonly id: ReplicaId;
   quorumAt: number;
   readonly term: number;
-  /** Length of its log with its term's first entry. */
+  /** Length of its log up to and including its term's first entry. */
   readonly termLength: number;
 }
 
 /**
- * Whether a disk that still counts as lost is one of a VM that is itself back. If it loses its new disk too, that is no
- * further VM. The loss of a new VM that has come in another's place is one: between its vote and the end of the lost
- * one's, changes of one voter at a time can't bear both.
+ * Whether a disk that still counts as lost belongs to a VM that has itself returned. Losing its new disk too is no further
+ * loss. Losing a new VM that replaces another one is: while both are voters, single-step membership changes can't tolerate
+ * the loss of both.
  */
 function isOwnLoss({replicas, successor}: LostDisk, name: VmId): boolean {
   return successor === name && replicas.every((id) => vmOfReplica(id) === name);
 }
 
-/** A broken promise. */
+/** The group has lost its majority or a committed entry. */
 export class LossError extends Error {
   override readonly name = 'LossError';
 }
 
-/** All ways to choose so many of a list. */
+/** All combinations of the given size. */
 function choose<T>(list: readonly T[], count: number): readonly (readonly T[])[] {
   if (count === 0) {
     return [[]];
@@ -94,9 +86,15 @@
   return 2 * members.voters.filter(has).length > members.voters.length;
 }
 
-/** See the module's comment. */
+/**
+ * Simulates a group among VMs that become unreachable, lose their disks, join, and are emptied and removed.
+ *
+ * Elections and replication follow Raft without messages: a leader copies its whole log to every member that it reaches.
+ * After every step the simulation checks that the group survives any further losses that the settings allow together with
+ * a restart of all other VMs: some replica must be electable, and none that lacks a committed entry.
+ */
 export class NodeMembershipSimulation {
-  /** Changes of members so far, and steps that could not end. */
+  /** Membership steps so far. */
   changes = 0;
   now = 0;
   readonly vms = new Map<VmId, Vm>();
@@ -109,7 +107,7 @@
 
   /**
    * @param lostDisks disks that may be lost at once
-   * @param spareVms VMs beyond those that found the group
+   * @param spareVms VMs besides the founders
    */
   constructor(
     readonly lostDisks: number,
@@ -125,19 +123,19 @@
     this.committed = [founding];
   }
 
-  /** Names of the VMs that are there, in order. */
+  /** Names of the present VMs, in order. */
   get vmNames(): readonly VmId[] {
     return [...this.vms].filter(([, {current}]) => current !== null).map(([name]) => name);
   }
 
-  /** Members in the leader's log, or what was last committed. */
+  /** Members in the leader's log; without a leader, the last committed ones. */
   get members(): GroupMembers {
     return this.leader === null
       ? this.membersOf(this.committed)
       : this.membersOf(this.logOf(this.leader.id));
   }
 
-  /** Disks that count as lost at present. */
+  /** Number of disks that count as lost. */
   get lostNow(): number {
     return this.lost.length;
   }
@@ -147,14 +145,14 @@
     return this.leader === null ? null : vmOfReplica(this.leader.id);
   }
 
-  /** A new VM comes, in the place of one that is gone for good if there is such. */
+  /** Adds a VM, which replaces one that is gone for good if there is one. */
   join(): void {
     const name = `vm${this.vms.size + 1}`;
     const vm: Vm = {
       current: null,
       disks: 0,
-      heardAt: this.now,
-      quietUntil: -Infinity,
+      lastSeenAt: this.now,
+      offlineUntil: -Infinity,
       retiring: false,
     };
     this.vms.set(name, vm);
@@ -165,14 +163,14 @@
     }
   }
 
-  /** Nobody reaches a VM for a time: it is cut off, frozen, or without power; its disk stays. */
+  /** Makes a VM unreachable for a time; its disk stays. */
   silence(name: VmId, ms: number): void {
     const vm = this.vms.get(name)!;
-    vm.quietUntil = Math.max(vm.quietUntil, this.now + ms);
+    vm.offlineUntil = Math.max(vm.offlineUntil, this.now + ms);
     this.loseLeader(name);
   }
 
-  /** A VM loses its disk, if so many may be lost at once; it comes back with an empty one, or never. */
+  /** Loses a VM's disk if the settings allow one more loss; the VM returns with an empty disk, or never. */
   loseDisk(name: VmId, backMs: null | number): void {
     const vm = this.vms.get(name)!;
     const {current} = vm;
@@ -184,7 +182,7 @@
       this.lost.splice(this.lost.indexOf(known), 1);
     }
     const replicas = [...(known?.replicas ?? []), current];
-    // A new VM that is lost in its turn makes nothing good.
+    // A new VM that is lost too replaces nothing.
     const forIt = this.lost.filter(({successor}) => successor === name);
     forIt.forEach((disk) => Object.assign(disk, {successor: backMs === null ? null : name}));
     this.lost.push({replicas, since: this.now, successor: backMs === null ? null : name});
@@ -194,13 +192,13 @@
     if (backMs === null) {
       vm.current = null;
     } else {
-      vm.quietUntil = this.now + backMs;
+      vm.offlineUntil = this.now + backMs;
       this.newDisk(name, vm);
     }
     this.check();
   }
 
-  /** The operator wants a VM emptied, which is refused if too few would stay. */
+  /** Requests that a VM be emptied; refused if too few would stay. */
   retire(name: VmId): void {
     const staying = [...this.vms].filter(
       ([other, {current, retiring}]) => other !== name && current !== null && !retiring,
@@ -210,7 +208,7 @@
     }
   }
 
-  /** VMs that were told to be empty go, with their disks; that is no loss. */
+  /** Removes VMs that were reported as emptied; that is no loss. */
   removeEmptied(): void {
     for (const [name, vm] of this.vms) {
       const {current, retiring} = vm;
@@ -223,25 +221,25 @@
     }
   }
 
-  /** Time passes while leaders do their work. */
-  advance(looks: number): void {
-    for (let look = 0; look < looks; look++) {
+  /** Runs the given number of membership checks. */
+  advance(rounds: number): void {
+    for (let round = 0; round < rounds; round++) {
       this.now += KEEP_MEMBERS_MS;
-      this.hearVms();
-      this.look();
+      this.recordHeartbeats();
+      this.runCheck();
       this.forgetLost();
       this.check();
     }
   }
 
   /**
-   * The leader begins its next step, tells only some of the others, and falls silent.
+   * The leader starts its next step, replicates it to some of the others only, and becomes unreachable.
    *
-   * @param told tells of each VM whether it heard of the step
-   * @param ms how long it is silent
-   * @param withDisk whether it loses its disk besides, where one more may be lost
+   * @param receives whether a VM receives the step
+   * @param ms how long it is unreachable
+   * @param withDisk whether it also loses its disk, where the settings allow one more loss
    */
-  leaderDies(told: (name: VmId) => boolean, ms: number, withDisk: boolean): void {
+  leaderDies(receives: (name: VmId) => boolean, ms: number, withDisk: boolean): void {
     const {leader} = this;
     if (leader === null) {
       return;
@@ -249,7 +247,7 @@
     const step = this.mayChange(leader) ? this.plan(leader) : null;
     this.append(leader.id, step?.kind === 'change' ? step.members : null);
     this.check();
-    this.replicate(leader, told);
+    this.replicate(leader, receives);
     this.check();
     const name = vmOfReplica(leader.id);
     this.silence(name, ms);
@@ -259,28 +257,28 @@
     this.check();
   }
 
-  /** The leader records a command that only some hear of at first. */
-  propose(told: (name: VmId) => boolean): void {
+  /** Proposes a command that only some VMs receive at first. */
+  propose(receives: (name: VmId) => boolean): void {
     const {leader} = this;
     if (leader !== null) {
       this.append(leader.id, null);
-      this.replicate(leader, told);
+      this.replicate(leader, receives);
       this.check();
     }
   }
 
-  /** Ends all silence; VMs that are gone stay gone. */
+  /** Makes all VMs reachable again, except those that are gone. */
   heal(): void {
     for (const vm of this.vms.values()) {
-      vm.quietUntil = Math.min(vm.quietUntil, this.now);
+      vm.offlineUntil = Math.min(vm.offlineUntil, this.now);
     }
   }
 
-  /** Why the group does not bear losses as it should when all has been calm, or null. */
+  /** Describes why an undisturbed group is not complete; null if it is. */
   findFault(): null | string {
     const {leader, lostDisks} = this;
     if (leader === null) {
-      return 'nobody leads';
+      return 'no leader';
     }
     const wanted = votersFor(lostDisks);
     const able = [...this.vms.values()].filter(
@@ -293,10 +291,10 @@
     if (voters.length !== wanted) {
       return `${voters.length} voters in place of ${wanted}: ${voters.join(' ')}`;
     }
-    const poor = voters.find(
+    const lagging = voters.find(
       (id) => !this.replicas.has(id) || this.logOf(id).length < this.committed.length,
     );
-    return poor === undefined ? null : `voter ${poor} holds too little`;
+    return lagging === undefined ? null : `voter ${lagging} lacks committed entries`;
   }
 
   private vmOf(id: ReplicaId): Vm {
@@ -318,7 +316,7 @@
   }
 
   private isReached(id: ReplicaId): boolean {
-    return this.replicas.has(id) && this.vmOf(id).quietUntil <= this.now;
+    return this.replicas.has(id) && this.vmOf(id).offlineUntil <= this.now;
   }
 
   private loseLeader(name: VmId): void {
@@ -328,15 +326,15 @@
     }
   }
 
-  private hearVms(): void {
+  private recordHeartbeats(): void {
     for (const vm of this.vms.values()) {
-      if (vm.current !== null && vm.quietUntil <= this.now) {
-        vm.heardAt = this.now;
+      if (vm.current !== null && vm.offlineUntil <= this.now) {
+        vm.lastSeenAt = this.now;
       }
     }
   }
 
-  private look(): void {
+  private runCheck(): void {
     const {leader} = this;
     if (leader === null) {
       if (this.now - this.leaderlessSince >= ELECTION_MS) {
@@ -370,7 +368,7 @@
     this.replicate(leader, () => true);
   }
 
-  /** Only after an entry of its own term, and one change at a time. */
+  /** Whether the leader has committed an entry of its own term, and no membership change is pending. */
   private mayChange({id, termLength}: Leader): boolean {
     const log = this.logOf(id);
     const changedAt = log.findLastIndex(({members}) => members !== null);
@@ -385,10 +383,10 @@
 
   private known({acked, addedAt, id: self}: Leader): readonly KnownReplica[] {
     const known = new Map<ReplicaId, KnownReplica>();
-    for (const {current, heardAt, retiring} of this.vms.values()) {
+    for (const {current, lastSeenAt, retiring} of this.vms.values()) {
       if (current !== null) {
-        // The first look comes after a disk is new: until then nobody has heard of it.
-        const silentMs = this.isReached(current) ? this.now - heardAt : VOTER_SILENT_MS;
+        // A new disk is unknown until its first heartbeat.
+        const silentMs = this.isReached(current) ? this.now - lastSeenAt : VOTER_SILENT_MS;
         known.set(current, {caughtUp: false, id: current, retiring, silentMs});
       }
     }
@@ -408,25 +406,25 @@
     replica.log = [...replica.log, {members, term: this.term}];
   }
 
-  private replicate(leader: Leader, told: (name: VmId) => boolean): void {
+  private replicate(leader: Leader, receives: (name: VmId) => boolean): void {
     const {learners, voters} = this.membersOf(this.logOf(leader.id));
     for (const id of [...voters, ...learners]) {
       if (!leader.addedAt.has(id)) {
         leader.addedAt.set(id, this.now);
       }
-      if (id !== leader.id && this.isReached(id) && told(vmOfReplica(id))) {
+      if (id !== leader.id && this.isReached(id) && receives(vmOfReplica(id))) {
         this.copyTo(id, leader);
       }
     }
     leader.acked.set(leader.id, {at: this.now, length: this.logOf(leader.id).length});
-    const heard = (voter: ReplicaId): boolean => leader.acked.get(voter)?.at === this.now;
-    if (isMajority({learners, voters}, heard)) {
+    const isReached = (voter: ReplicaId): boolean => leader.acked.get(voter)?.at === this.now;
+    if (isMajority({learners, voters}, isReached)) {
       leader.quorumAt = this.now;
     }
     this.commit(leader);
   }
 
-  /** A new replica needs a look's time for its first copy. */
+  /** Copies the leader's log. The first copy to a new replica takes one check interval. */
   private copyTo(id: ReplicaId, leader: Leader): void {
     const replica = this.replicas.get(id)!;
     replica.copiedAt ??= this.now + KEEP_MEMBERS_MS;
@@ -451,7 +449,7 @@
     }
   }
 
-  /** Whether a replica's log is no older than another's. */
+  /** Whether a replica's log is at least as up to date as another's. */
   private isUpToDate(id: ReplicaId, other: ReplicaId): boolean {
     const own = this.logOf(id);
     const its = this.logOf(other);
@@ -475,7 +473,7 @@
     const able = [...this.replicas.keys()].filter(
       (id) => id !== but && isThere(id) && this.isElectable(id, isThere),
     );
-    // Any of them may be the first to stand.
+    // Any of them may become a candidate first.
     const id = able[this.term % Math.max(1, able.length)];
     if (id === undefined) {
       return;
@@ -501,43 +499,43 @@
     return isEmptied({name, replica, retiring: true}, report, this.lostDisks);
   }
 
-  /** Whether a VM's loss, or that of the VM that it replaces, still counts. */
-  private isPoor(name: VmId): boolean {
+  /** Whether the loss of a VM, or of the one that it replaces, still counts. */
+  private isCountedLost(name: VmId): boolean {
     return this.lost.some(({successor}) => successor === name);
   }
 
-  /** VMs that nobody reaches, or not yet for long. */
+  /** VMs that are unreachable, or have been reachable again only for a short time. */
   private silentVms(): readonly VmId[] {
-    const isSilent = ([, {current, quietUntil}]: [VmId, Vm]): boolean =>
-      current !== null && this.now - quietUntil < CATCH_UP_MS;
+    const isSilent = ([, {current, offlineUntil}]: [VmId, Vm]): boolean =>
+      current !== null && this.now - offlineUntil < CATCH_UP_MS;
     return [...this.vms].filter(isSilent).map(([name]) => name);
   }
 
-  /** Number of VMs that count as lost: they are silent, or their disk is not made good yet. */
+  /** Number of VMs that count as lost: they are unreachable, or their disk is not replaced yet. */
   private lostVms(): number {
-    return this.silentVms().filter((name) => !this.isPoor(name)).length + this.lost.length;
+    return this.silentVms().filter((name) => !this.isCountedLost(name)).length + this.lost.length;
   }
 
   private forgetLost(): void {
     const isOverwhelmed = this.lostVms() > this.lostDisks;
     for (const disk of [...this.lost]) {
       const {replicas, successor} = disk;
-      const isBack = successor !== null && this.vms.get(successor)!.quietUntil <= this.now;
-      // Nobody can tell a VM that is gone for good from one that is only silent.
+      const isBack = successor !== null && this.vms.get(successor)!.offlineUntil <= this.now;
+      // The group can't distinguish a VM that is gone for good from one that is only unreachable.
       const isUnclear =
         successor !== null && !isOwnLoss(disk, successor) && this.silentVms().length > 0;
       if (!isBack || isOverwhelmed || isUnclear) {
-        // Service may rest while more than the settings allow is away; the time begins anew.
+        // No progress is required while more VMs are away than the settings allow, so the time restarts.
         disk.since = this.now;
       }
-      if (this.now - disk.since >= CATCH_UP_MS || replicas.every((id) => this.isMadeGood(id))) {
+      if (this.now - disk.since >= CATCH_UP_MS || replicas.every((id) => this.isReplaced(id))) {
         this.lost.splice(this.lost.indexOf(disk), 1);
       }
     }
   }
 
-  /** Whether the lost one belongs to the group no longer, and others vote in its place and hold everything. */
-  private isMadeGood(replica: ReplicaId): boolean {
+  /** Whether a lost replica is no member any more, and enough voters hold all committed entries. */
+  private isReplaced(replica: ReplicaId): boolean {
     const {voters} = this.membersOf(this.committed);
     const present = [...this.members.voters, ...this.members.learners];
     const holds = (id: ReplicaId): boolean =>
@@ -549,16 +547,16 @@
     );
   }
 
-  /** The promise, for every choice of the disks that may still be lost at this moment. */
+  /** Checks the group for every combination of disks that may still be lost at this moment. */
   private check(): void {
     const ids = [...this.replicas.keys()];
-    const isPoor = (id: ReplicaId): boolean =>
+    const isCountedLost = (id: ReplicaId): boolean =>
       this.lost.some((disk) => isOwnLoss(disk, vmOfReplica(id)));
-    const poor = ids.filter(isPoor);
-    const others = ids.filter((id) => !poor.includes(id));
+    const countedLost = ids.filter(isCountedLost);
+    const others = ids.filter((id) => !countedLost.includes(id));
     for (const gone of choose(others, this.lostDisks - this.lost.length)) {
       this.checkWithout(gone);
-      this.checkWithout([...gone, ...poor]);
+      this.checkWithout([...gone, ...countedLost]);
     }
   }
 
@@ -566,15 +564,15 @@
     const there = [...this.replicas.keys()].filter((id) => !gone.includes(id));
     const isThere = (id: ReplicaId): boolean => there.includes(id);
     const able = there.filter((id) => this.isElectable(id, isThere));
-    const told = `without ${gone.join(' ')}, voters ${this.members.voters.join(' ')}`;
+    const context = `without ${gone.join(' ')}, voters ${this.members.voters.join(' ')}`;
     if (able.length === 0) {
-      throw new LossError(`no majority any more ${told}`);
+      throw new LossError(`no majority any more ${context}`);
     }
-    // Logs that hold the same entry hold the same ones before it.
+    // Logs with the same entry are identical up to it.
     const last = this.committed.length - 1;
-    const poor = able.find((id) => this.logOf(id)[last] !== this.committed[last]);
-    if (poor !== undefined) {
-      throw new LossError(`${poor} may lead and lacks a committed entry ${told}`);
+    const lagging = able.find((id) => this.logOf(id)[last] !== this.committed[last]);
+    if (lagging !== undefined) {
+      throw new LossError(`${lagging} may lead and lacks a committed entry ${context}`);
     }
   }
 }
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeStorePlan.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeStorePlan.test.ts
@@ -1,5 +1,5 @@
 /**
- * When a store is empty, by the word of the group's leader.
+ * When a store counts as emptied, by the report of the group's leader.
  */
 import {describe, expect, test} from 'vitest';
 
@@ -15,7 +15,7 @@
 };
 
 describe('isEmptied', () => {
-  test('asks for as many voters as bear the losses, all whole, and none of the VM itself', () => {
+  test('needs enough voters to tolerate the losses, a settled group, and no member on the VM itself', () => {
     expect(isEmptied(STORE, REPORT, 1)).toBe(true);
     expect(isEmptied(STORE, REPORT, 2)).toBe(false);
     expect(isEmptied(STORE, null, 1)).toBe(false);
@@ -24,8 +24,8 @@
     expect(isEmptied(STORE, {...REPORT, voters: ['a/1', 'b/1', 'd/1']}, 1)).toBe(false);
   });
 
-  test('takes no word of a leader that has not heard that the VM is to be emptied', () => {
-    // It would take the VM in as a copy, and count on it once it has gone with its disk.
+  test('does not trust a leader that does not know that the VM is to be emptied', () => {
+    // It could add the VM again, and rely on it after the VM is removed with its disk.
     const unaware = {...REPORT, emptying: []};
     expect(isEmptied(STORE, unaware, 1)).toBe(false);
   });
