--- a/packages/stallpaddle-fleet/src/FleetDelta.ts
+++ b/packages/stallpaddle-fleet/src/FleetDelta.ts
@@ -29,15 +29,15 @@
   | {readonly kind: 'whole'; readonly news: FleetStatus};
 
 /** A list, by the names of its lines. */
-interface NewsList<Line extends object> {
+interface StatusList<Line extends object> {
   readonly nameOf: (line: Line) => string;
   readonly of: (news: FleetStatus) => readonly Line[];
 }
 
-const ENGINES: NewsList<EngineView> = {nameOf: ({id}) => id, of: ({engines}) => engines};
-const ENTRIES: NewsList<EntryView> = {nameOf: ({name}) => name, of: ({entries}) => entries};
-const STORES: NewsList<StoreView> = {nameOf: ({name}) => name, of: ({stores}) => stores};
-const SUSPECTS: NewsList<SuspectView> = {
+const ENGINES: StatusList<EngineView> = {nameOf: ({id}) => id, of: ({engines}) => engines};
+const ENTRIES: StatusList<EntryView> = {nameOf: ({name}) => name, of: ({entries}) => entries};
+const STORES: StatusList<StoreView> = {nameOf: ({name}) => name, of: ({stores}) => stores};
+const SUSPECTS: StatusList<SuspectView> = {
   nameOf: ({digest}) => digest,
   of: ({suspects}) => suspects,
 };
@@ -57,12 +57,12 @@
   return a === b || (Array.isArray(a) && Array.isArray(b) && a.join() === b.join());
 }
 
-function byName<Line extends object>(list: NewsList<Line>, news: FleetStatus): Map<string, Line> {
+function byName<Line extends object>(list: StatusList<Line>, news: FleetStatus): Map<string, Line> {
   return new Map(list.of(news).map((line) => [list.nameOf(line), line]));
 }
 
 function diffList<Line extends object>(
-  list: NewsList<Line>,
+  list: StatusList<Line>,
   before: FleetStatus,
   after: FleetStatus,
 ): ListDelta<Line> {
@@ -84,7 +84,7 @@
 }
 
 function applyList<Line extends object>(
-  list: NewsList<Line>,
+  list: StatusList<Line>,
   before: FleetStatus,
   delta: ListDelta<Line>,
 ): readonly Line[] {
--- a/packages/stallpaddle-fleet/src/FleetMachine.ts
+++ b/packages/stallpaddle-fleet/src/FleetMachine.ts
@@ -213,13 +213,13 @@
 }
 
 /** What releases before wrote: their engines didn't say when they started. */
-type ToldBefore<Report extends {readonly startedAtMs: number | null}> = Omit<
+type WithOptionalStart<Report extends {readonly startedAtMs: number | null}> = Omit<
   Report,
   'startedAtMs'
 > &
   Partial<Pick<Report, 'startedAtMs'>>;
 
-function withStart(engine: ToldBefore<FleetEngine>): FleetEngine {
+function withStart(engine: WithOptionalStart<FleetEngine>): FleetEngine {
   return {...engine, startedAtMs: engine.startedAtMs ?? UNKNOWN_START};
 }
 
--- a/packages/stallpaddle-fleet/src/FleetView.ts
+++ b/packages/stallpaddle-fleet/src/FleetView.ts
@@ -170,7 +170,7 @@
   readonly told: FleetStatus;
 }
 
-const NO_NEWS: FleetStatus = {
+const EMPTY_STATUS: FleetStatus = {
   controls: [],
   engines: [],
   entries: [],
@@ -186,9 +186,9 @@
   asOf: -Infinity,
   config: null,
   fleet: 0,
-  news: NO_NEWS,
+  news: EMPTY_STATUS,
   term: UNPROVEN_TERM,
-  told: NO_NEWS,
+  told: EMPTY_STATUS,
 };
 
 function mergeEntries(before: FleetView, news: FleetStatus): readonly EntryView[] {
@@ -215,13 +215,13 @@
       return view.told;
     case 'whole':
       // Leaders of releases before tell of no suspects.
-      return {...NO_NEWS, ...update.news};
+      return {...EMPTY_STATUS, ...update.news};
     default:
       return unreachable(update);
   }
 }
 
-function takeNews(view: FleetView, answer: WatchAnswer, told: FleetStatus): FleetView {
+function withStatus(view: FleetView, answer: WatchAnswer, told: FleetStatus): FleetView {
   const {fleet, term} = answer;
   const news = told === view.told ? view.news : {...told, entries: mergeEntries(view, told)};
   return {...view, fleet, news, term, told};
@@ -249,7 +249,7 @@
     return configured;
   }
   const asOf = proven ? Math.max(view.asOf, sentAt + heldMs - ageMs) : view.asOf;
-  const next = told === undefined ? configured : takeNews(configured, answer, told);
+  const next = told === undefined ? configured : withStatus(configured, answer, told);
   return {...next, asOf};
 }
 
--- a/packages/stallpaddle-node/src/NodeControlHandler.ts
+++ b/packages/stallpaddle-node/src/NodeControlHandler.ts
@@ -316,10 +316,10 @@
   }
 
   private buildStatus(): FleetStatus {
-    const {clock, group, lastKnownJobsReplicas: jobsBefore, reportMs} = this.options;
+    const {clock, group, lastKnownJobsReplicas, reportMs} = this.options;
     const {driver} = group;
     return buildFleetStatus({
-      lastKnownJobsReplicas: jobsBefore(),
+      lastKnownJobsReplicas: lastKnownJobsReplicas(),
       lastSeen: this.current(),
       members: driver.status.log.members,
       now: clock.monotonicMs(),
--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -62,19 +62,11 @@
    * @param options its dependencies
    */
   constructor(options: NodeFleetOptions) {
-    const {
-      answer,
-      clock,
-      heartbeats: hellos,
-      note,
-      onUnanswered: onSilence,
-      onView,
-      settings,
-    } = options;
+    const {answer, clock, heartbeats, note, onUnanswered, onView, settings} = options;
     this.ownHosts = answer === null ? [] : [settings.host];
     this.peers = new NodePeers(settings.peerPort, note);
     this.seeds = settings.seeds;
-    const {forwarded: relayed, peers} = this;
+    const {forwarded, peers} = this;
     this.control = new NodeCaller({
       clock,
       group: CONTROL_GROUP,
@@ -92,14 +84,14 @@
     this.watch = new NodeWatch({
       caller: this.control,
       clock,
-      hellos,
-      hops: () => (options.asksLeader() ? [] : this.hopHosts(settings)),
+      hellos: heartbeats,
+      hops: () => (options.asksLeader() ? [] : this.replicaHosts(settings)),
       note,
-      onSilence,
+      onSilence: onUnanswered,
       onView,
       relayed: {
-        confirm: (term) => relayed.confirm(term),
-        take: () => relayed.take(clock.monotonicMs()),
+        confirm: (term) => forwarded.confirm(term),
+        take: () => forwarded.take(clock.monotonicMs()),
       },
     });
   }
@@ -130,7 +122,7 @@
   }
 
   /** VMs that may answer watches in place of the leader, the best for this process first. */
-  private hopHosts({name, zone}: NodeSettings): readonly VmId[] {
+  private replicaHosts({name, zone}: NodeSettings): readonly VmId[] {
     const {controls, view} = this.watch;
     const hosts = controls.length === 0 ? this.seeds.map(hostOf) : controls.map(vmOfReplica);
     const zones = new Map(view.news.entries.map((entry) => [hostOf(entry.address), entry.zone]));
--- a/packages/stallpaddle-node/src/NodeMembershipPlanner.ts
+++ b/packages/stallpaddle-node/src/NodeMembershipPlanner.ts
@@ -66,19 +66,19 @@
 function toPlannerView(input: MembershipInput): PlannerView {
   const byId = new Map(input.known.map((replica) => [replica.id, replica]));
   const silentMs = (id: ReplicaId): number => byId.get(id)?.silentMs ?? Infinity;
-  const isHeard = (id: ReplicaId): boolean => silentMs(id) < CANDIDATE_SILENT_MS;
+  const isReachable = (id: ReplicaId): boolean => silentMs(id) < CANDIDATE_SILENT_MS;
   // Of two disks of one VM, the lost one has the older heartbeat.
   const isSuperseded = (id: ReplicaId): boolean =>
     input.known.some(
       (other) =>
         vmOfReplica(other.id) === vmOfReplica(id) &&
-        isHeard(other.id) &&
+        isReachable(other.id) &&
         other.silentMs < silentMs(id),
     );
   return {
     ...input,
     isCaughtUp: (id) => byId.get(id)?.caughtUp === true,
-    isReachable: isHeard,
+    isReachable,
     isReplaced: (id) => silentMs(id) > REPLACED_SILENT_MS && isSuperseded(id),
     isRetiring: (id) => byId.get(id)?.retiring === true,
     isSilent: (id) => id !== input.self && silentMs(id) > VOTER_SILENT_MS,
@@ -101,13 +101,13 @@
 }
 
 function removeLearner({
-  isReachable: isHeard,
+  isReachable,
   isReplaced,
   isRetiring,
   members,
 }: PlannerView): MemberStep | null {
   const {learners, voters} = members;
-  const gone = learners.find((id) => isReplaced(id) || isRetiring(id) || !isHeard(id));
+  const gone = learners.find((id) => isReplaced(id) || isRetiring(id) || !isReachable(id));
   return gone === undefined
     ? null
     : change({learners: without(learners, gone), voters}, `learner ${gone} is gone`);
@@ -162,13 +162,13 @@
 
 /** Adds a learner. No VM gets a second member: one of its two disks is lost, and would count as one that stays. */
 function addLearner(view: PlannerView): MemberStep | null {
-  const {isReachable: isHeard, isRetiring, known, members, wanted} = view;
+  const {isReachable, isRetiring, known, members, wanted} = view;
   const {learners, voters} = members;
   const memberVms = new Set([...voters, ...learners].map(vmOfReplica));
   const successors = voters.some((id) => isRetiring(id)) ? 1 : 0;
   const missing = Math.max(0, wanted + successors - voters.length) + SPARE_LEARNERS;
   const candidate = known.find(
-    ({id}) => isHeard(id) && !isRetiring(id) && !memberVms.has(vmOfReplica(id)),
+    ({id}) => isReachable(id) && !isRetiring(id) && !memberVms.has(vmOfReplica(id)),
   );
   return candidate === undefined || learners.length >= missing
     ? null
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeControlHandler.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeControlHandler.test.ts
@@ -67,10 +67,10 @@
 
 function watch(
   handler: NodeControlHandler,
-  hellos: readonly FleetHeartbeat[],
+  heartbeats: readonly FleetHeartbeat[],
   ageMs = 0,
 ): Promise<unknown> {
-  const relayed = hellos.map((hello) => ({ageMs, hello}));
+  const relayed = heartbeats.map((hello) => ({ageMs, hello}));
   return handler.answer({
     hellos: [],
     kind: 'watch',
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeFleetStatus.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeFleetStatus.test.ts
@@ -21,11 +21,15 @@
   return {...fleetMachine.initial(), jobsFounders: FOUNDERS, stores: new Map(stores)};
 }
 
-function statusOf(heard: NodeLastSeen, jobsBefore: readonly string[], state = founded()) {
+function statusOf(
+  lastSeen: NodeLastSeen,
+  lastKnownJobsReplicas: readonly string[],
+  state = founded(),
+) {
   const members = {learners: [], voters: ['c/1']};
   return buildFleetStatus({
-    lastKnownJobsReplicas: jobsBefore,
-    lastSeen: heard,
+    lastKnownJobsReplicas,
+    lastSeen,
     members,
     now: 100,
     reportMs: 1_000,
