--- a/packages/stallpaddle-experiment/src/ExperimentBlame.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentBlame.ts
@@ -4,7 +4,7 @@
  * begin to run it.
  */
 import {type Random, seededRandom} from 'stallpaddle';
-import {afterEngineEnd, type FleetSuspects, HELD_LEVEL} from 'stallpaddle-fleet';
+import {afterEngineEnd, type FleetSuspects, QUARANTINE_LEVEL} from 'stallpaddle-fleet';
 import {isStarting} from 'stallpaddle-relay';
 
 /** What is modelled. */
@@ -118,9 +118,9 @@
         ended.add(engine);
       }
     }
-    const isCut = ({engine}: Run): boolean => ended.has(engine);
-    this.runs.filter(isCut).forEach((run) => this.cut(run, now));
-    this.runs = this.runs.filter((run) => !isCut(run) && now - run.beganAt < RUN_MS);
+    const isPreempted = ({engine}: Run): boolean => ended.has(engine);
+    this.runs.filter(isPreempted).forEach((run) => this.cut(run, now));
+    this.runs = this.runs.filter((run) => !isPreempted(run) && now - run.beganAt < RUN_MS);
     for (const engine of ended) {
       this.ends++;
       this.backAt[engine] = now + BACK_MS;
@@ -136,7 +136,7 @@
       const end = {digest: name, engine: `e${engine}`, kind: 'noteEngineEnd', known} as const;
       this.suspects = afterEngineEnd(this.suspects, {...end, startedAtMs: now}, 0);
     }
-    if ((this.suspects.get(name)?.level ?? 0) >= HELD_LEVEL) {
+    if ((this.suspects.get(name)?.level ?? 0) >= QUARANTINE_LEVEL) {
       this.held[isFatal ? 'guilty' : 'innocent']++;
     } else {
       this.due.push({at: now + AGAIN_MS, isFatal, name});
--- a/packages/stallpaddle-fleet/src/FleetDelta.ts
+++ b/packages/stallpaddle-fleet/src/FleetDelta.ts
@@ -3,7 +3,7 @@
  * the whole list: with 170 entry VMs, 52 engines and 30 stores the list has 18 KB. Pure.
  */
 import type {SuspectView} from './FleetSuspects';
-import type {EngineView, EntryView, FleetNews, StoreView} from './FleetView';
+import type {EngineView, EntryView, FleetStatus, StoreView} from './FleetView';
 
 /** Lines of one list that are new, changed or gone. */
 export interface ListDelta<Line> {
@@ -12,32 +12,32 @@
 }
 
 /** Everything that differs; what is left out is the same. */
-export interface NewsDelta {
+export interface StatusDelta {
   readonly engines: ListDelta<EngineView>;
   readonly entries: ListDelta<EntryView>;
-  readonly plain: Partial<Omit<FleetNews, 'engines' | 'entries' | 'stores' | 'suspects'>>;
+  readonly plain: Partial<Omit<FleetStatus, 'engines' | 'entries' | 'stores' | 'suspects'>>;
   readonly stores: ListDelta<StoreView>;
   /** Leaders of releases before send none. */
   readonly suspects?: ListDelta<SuspectView>;
 }
 
 /** A part of an answer that brings news. */
-export type NewsUpdate =
+export type StatusUpdate =
   /** The news under a number, given those under `from`. */
-  | {readonly delta: NewsDelta; readonly from: number; readonly kind: 'delta'}
+  | {readonly delta: StatusDelta; readonly from: number; readonly kind: 'delta'}
   | {readonly kind: 'same'}
-  | {readonly kind: 'whole'; readonly news: FleetNews};
+  | {readonly kind: 'whole'; readonly news: FleetStatus};
 
 /** A list, by the names of its lines. */
-interface NewsList<Line extends object> {
+interface StatusList<Line extends object> {
   readonly nameOf: (line: Line) => string;
-  readonly of: (news: FleetNews) => readonly Line[];
+  readonly of: (news: FleetStatus) => readonly Line[];
 }
 
-const ENGINES: NewsList<EngineView> = {nameOf: ({id}) => id, of: ({engines}) => engines};
-const ENTRIES: NewsList<EntryView> = {nameOf: ({name}) => name, of: ({entries}) => entries};
-const STORES: NewsList<StoreView> = {nameOf: ({name}) => name, of: ({stores}) => stores};
-const SUSPECTS: NewsList<SuspectView> = {
+const ENGINES: StatusList<EngineView> = {nameOf: ({id}) => id, of: ({engines}) => engines};
+const ENTRIES: StatusList<EntryView> = {nameOf: ({name}) => name, of: ({entries}) => entries};
+const STORES: StatusList<StoreView> = {nameOf: ({name}) => name, of: ({stores}) => stores};
+const SUSPECTS: StatusList<SuspectView> = {
   nameOf: ({digest}) => digest,
   of: ({suspects}) => suspects,
 };
@@ -57,14 +57,14 @@
   return a === b || (Array.isArray(a) && Array.isArray(b) && a.join() === b.join());
 }
 
-function byName<Line extends object>(list: NewsList<Line>, news: FleetNews): Map<string, Line> {
+function byName<Line extends object>(list: StatusList<Line>, news: FleetStatus): Map<string, Line> {
   return new Map(list.of(news).map((line) => [list.nameOf(line), line]));
 }
 
 function diffList<Line extends object>(
-  list: NewsList<Line>,
-  before: FleetNews,
-  after: FleetNews,
+  list: StatusList<Line>,
+  before: FleetStatus,
+  after: FleetStatus,
 ): ListDelta<Line> {
   const known = byName(list, before);
   const put: Line[] = [];
@@ -84,8 +84,8 @@
 }
 
 function applyList<Line extends object>(
-  list: NewsList<Line>,
-  before: FleetNews,
+  list: StatusList<Line>,
+  before: FleetStatus,
   delta: ListDelta<Line>,
 ): readonly Line[] {
   if (isEmpty(delta)) {
@@ -94,7 +94,7 @@
   const lines = byName(list, before);
   delta.gone.forEach((name) => lines.delete(name));
   delta.put.forEach((line) => lines.set(list.nameOf(line), line));
-  return sortLines([...lines.values()], list.nameOf);
+  return sortByName([...lines.values()], list.nameOf);
 }
 
 /**
@@ -103,7 +103,7 @@
  * @param lines the lines
  * @param nameOf a line's name
  */
-export function sortLines<Line>(
+export function sortByName<Line>(
   lines: readonly Line[],
   nameOf: (line: Line) => string,
 ): readonly Line[] {
@@ -116,7 +116,7 @@
  * @param before news as a process holds them
  * @param after news as they are now
  */
-export function diffNews(before: FleetNews, after: FleetNews): NewsDelta {
+export function diffStatus(before: FleetStatus, after: FleetStatus): StatusDelta {
   const changed = PLAIN.filter((key) => !isSamePlain(before[key], after[key]));
   return {
     engines: diffList(ENGINES, before, after),
@@ -132,7 +132,7 @@
  *
  * @param delta what differs
  */
-export function isEmptyDelta(delta: NewsDelta): boolean {
+export function isEmptyDelta(delta: StatusDelta): boolean {
   const {engines, entries, plain, stores, suspects = NO_LINES} = delta;
   return [engines, entries, stores, suspects].every(isEmpty) && Object.keys(plain).length === 0;
 }
@@ -143,7 +143,7 @@
  * @param before the news from which the delta was made
  * @param delta what differs
  */
-export function applyNews(before: FleetNews, delta: NewsDelta): FleetNews {
+export function applyStatusDelta(before: FleetStatus, delta: StatusDelta): FleetStatus {
   return {
     ...before,
     ...delta.plain,
--- a/packages/stallpaddle-fleet/src/FleetHistory.ts
+++ b/packages/stallpaddle-fleet/src/FleetHistory.ts
@@ -3,9 +3,9 @@
  * to one leader's term, and are the same at whoever passes the news on.
  */
 import type {KnownVersions} from './FleetView';
-import type {FleetNews} from './FleetView';
+import type {FleetStatus} from './FleetView';
 
-import {diffNews, type NewsUpdate} from './FleetDelta';
+import {diffStatus, type StatusUpdate} from './FleetDelta';
 
 /**
  * States that are kept: a process asks again within 1.3 s, and there are ten a second at most. Whoever is further behind
@@ -14,21 +14,21 @@
 const KEPT = 16;
 
 /** News under their number. */
-export interface NumberedNews {
+export interface NumberedStatus {
   readonly fleet: number;
-  readonly news: FleetNews;
+  readonly news: FleetStatus;
   readonly term: number;
 }
 
 /** See the module's comment. */
 export class FleetHistory {
-  private current: NumberedNews | undefined;
-  private readonly kept = new Map<number, FleetNews>();
+  private current: NumberedStatus | undefined;
+  private readonly kept = new Map<number, FleetStatus>();
   /** What was worked out for processes that hold an earlier state; most hold the same one. */
-  private readonly updates = new Map<number, NewsUpdate>();
+  private readonly updates = new Map<number, StatusUpdate>();
 
   /** The latest state, once there is one. */
-  get latest(): NumberedNews | undefined {
+  get latest(): NumberedStatus | undefined {
     return this.current;
   }
 
@@ -37,7 +37,7 @@
    *
    * @param numbered the state
    */
-  put(numbered: NumberedNews): void {
+  put(numbered: NumberedStatus): void {
     if (this.current?.term !== numbered.term) {
       this.kept.clear();
     }
@@ -55,7 +55,7 @@
    *
    * @param known what the process holds
    */
-  updateFor({fleet, term}: KnownVersions): NewsUpdate {
+  updateFor({fleet, term}: KnownVersions): StatusUpdate {
     const {current} = this;
     if (current === undefined || term > current.term) {
       return {kind: 'same'};
@@ -66,12 +66,12 @@
     return fleet >= current.fleet ? {kind: 'same'} : this.updateFrom(fleet, current.news);
   }
 
-  private updateFrom(fleet: number, news: FleetNews): NewsUpdate {
+  private updateFrom(fleet: number, news: FleetStatus): StatusUpdate {
     const before = this.kept.get(fleet);
-    const update: NewsUpdate = this.updates.get(fleet) ?? {
+    const update: StatusUpdate = this.updates.get(fleet) ?? {
       ...(before === undefined
         ? {kind: 'whole', news}
-        : {delta: diffNews(before, news), from: fleet, kind: 'delta'}),
+        : {delta: diffStatus(before, news), from: fleet, kind: 'delta'}),
     };
     this.updates.set(fleet, update);
     return update;
--- a/packages/stallpaddle-fleet/src/FleetMachine.ts
+++ b/packages/stallpaddle-fleet/src/FleetMachine.ts
@@ -17,7 +17,7 @@
 } from './FleetTypes';
 
 import {afterEngineEnd, afterRelease, afterTick} from './FleetSuspects';
-import {UNTOLD_START} from './FleetTypes';
+import {UNKNOWN_START} from './FleetTypes';
 
 /** Ended engines that are remembered: at 290 restarts a day, more than a week of them. */
 const GONE_ENGINES_KEPT = 4_096;
@@ -111,7 +111,7 @@
  * @param state the group's state
  * @param report the report
  */
-export function isNews(state: FleetState, report: EngineReport): boolean {
+export function changesEngine(state: FleetState, report: EngineReport): boolean {
   if (isOutdated(state, report)) {
     return false;
   }
@@ -125,7 +125,7 @@
 }
 
 function reportEngine(state: FleetState, report: EngineReport): FleetStep {
-  if (!isNews(state, report)) {
+  if (!changesEngine(state, report)) {
     return unchanged(state);
   }
   const known = state.engines.get(report.id);
@@ -143,7 +143,7 @@
 function removeEngine(state: FleetState, {id, startedAtMs}: RemoveEngine): FleetStep {
   const running = state.engines.get(id)?.startedAtMs;
   const endedAt = state.goneEngines.get(id);
-  const ending = startedAtMs ?? running ?? endedAt ?? UNTOLD_START;
+  const ending = startedAtMs ?? running ?? endedAt ?? UNKNOWN_START;
   const isKnown = endedAt !== undefined && ending <= endedAt;
   // The word of an earlier start may come after the next one has begun.
   const isEarlier = running !== undefined && ending < running;
@@ -213,14 +213,14 @@
 }
 
 /** What releases before wrote: their engines didn't say when they started. */
-type ToldBefore<Report extends {readonly startedAtMs: number | null}> = Omit<
+type WithOptionalStart<Report extends {readonly startedAtMs: number | null}> = Omit<
   Report,
   'startedAtMs'
 > &
   Partial<Pick<Report, 'startedAtMs'>>;
 
-function withStart(engine: ToldBefore<FleetEngine>): FleetEngine {
-  return {...engine, startedAtMs: engine.startedAtMs ?? UNTOLD_START};
+function withStart(engine: WithOptionalStart<FleetEngine>): FleetEngine {
+  return {...engine, startedAtMs: engine.startedAtMs ?? UNKNOWN_START};
 }
 
 function decodeCommand(bytes: Uint8Array): FleetCommand {
@@ -249,7 +249,7 @@
       clockMs: encoded.clockMs ?? 0,
       engines: new Map(encoded.engines.map((engine) => [engine.id, withStart(engine)])),
       goneEngines: new Map(
-        encoded.goneEngines.map((gone) => (typeof gone === 'string' ? [gone, UNTOLD_START] : gone)),
+        encoded.goneEngines.map((end) => (typeof end === 'string' ? [end, UNKNOWN_START] : end)),
       ),
       stores: new Map(encoded.stores.map((store) => [store.name, store])),
       suspects: new Map((encoded.suspects ?? []).map((suspect) => [suspect.digest, suspect])),
--- a/packages/stallpaddle-fleet/src/FleetView.ts
+++ b/packages/stallpaddle-fleet/src/FleetView.ts
@@ -15,10 +15,10 @@
   StoredConfig,
 } from './FleetTypes';
 
-import {applyNews, type NewsUpdate} from './FleetDelta';
+import {applyStatusDelta, type StatusUpdate} from './FleetDelta';
 
 /** What a process says of itself each time it asks. */
-export type Hello =
+export type FleetHeartbeat =
   | {
       /** Where callers reach the VM, IP number and port. */
       readonly callerAddress: string;
@@ -53,10 +53,10 @@
 }
 
 /** What a process said of itself to a replica that passes it on. */
-export interface RelayedHello {
+export interface ForwardedHeartbeat {
   /** Time since it said so, in milliseconds. */
   readonly ageMs: number;
-  readonly hello: Hello;
+  readonly hello: FleetHeartbeat;
 }
 
 /** Versions that a process holds; what is newer is sent. */
@@ -90,7 +90,7 @@
 }
 
 /** Everything but the configuration. */
-export interface FleetNews {
+export interface FleetStatus {
   readonly controls: readonly ReplicaId[];
   readonly engines: readonly EngineView[];
   readonly entries: readonly EntryView[];
@@ -108,13 +108,13 @@
 export type FleetRequest =
   | {
       /** One for each part of the process. */
-      readonly hellos: readonly Hello[];
+      readonly hellos: readonly FleetHeartbeat[];
       readonly kind: 'watch';
       readonly known: KnownVersions;
       /** Whether a replica that doesn't lead may answer, with what the leader told it. */
       readonly mayRelay: boolean;
       /** What other processes have said to this one since it last passed it on. */
-      readonly relayed: readonly RelayedHello[];
+      readonly relayed: readonly ForwardedHeartbeat[];
       /** Longest time to hold the answer while there is nothing new, in milliseconds. */
       readonly waitMs: number;
     }
@@ -152,7 +152,7 @@
   /** Term of the leader whose news these are. */
   readonly term: number;
   /** What is newer than what the process holds. */
-  readonly update: NewsUpdate;
+  readonly update: StatusUpdate;
 }
 
 /** Answer to `retireStore` and `retireState`. */
@@ -164,13 +164,13 @@
   readonly asOf: MonotonicMs;
   readonly config: FleetConfig | null;
   readonly fleet: number;
-  readonly news: FleetNews;
+  readonly news: FleetStatus;
   readonly term: number;
   /** The news as the leader told them: `news` may name entry VMs besides that a new leader has not heard yet. */
-  readonly told: FleetNews;
+  readonly told: FleetStatus;
 }
 
-const NO_NEWS: FleetNews = {
+const EMPTY_STATUS: FleetStatus = {
   controls: [],
   engines: [],
   entries: [],
@@ -186,12 +186,12 @@
   asOf: -Infinity,
   config: null,
   fleet: 0,
-  news: NO_NEWS,
+  news: EMPTY_STATUS,
   term: UNPROVEN_TERM,
-  told: NO_NEWS,
+  told: EMPTY_STATUS,
 };
 
-function mergeEntries(before: FleetView, news: FleetNews): readonly EntryView[] {
+function mergeEntries(before: FleetView, news: FleetStatus): readonly EntryView[] {
   if (news.entriesComplete) {
     return news.entries;
   }
@@ -205,23 +205,23 @@
 }
 
 /** News after an update; undefined when the update belongs to news that are not held here. */
-function updated(view: FleetView, {term, update}: WatchAnswer): FleetNews | undefined {
+function updated(view: FleetView, {term, update}: WatchAnswer): FleetStatus | undefined {
   switch (update.kind) {
     case 'delta': {
       const fits = term === view.term && update.from === view.fleet;
-      return fits ? applyNews(view.told, update.delta) : undefined;
+      return fits ? applyStatusDelta(view.told, update.delta) : undefined;
     }
     case 'same':
       return view.told;
     case 'whole':
       // Leaders of releases before tell of no suspects.
-      return {...NO_NEWS, ...update.news};
+      return {...EMPTY_STATUS, ...update.news};
     default:
       return unreachable(update);
   }
 }
 
-function takeNews(view: FleetView, answer: WatchAnswer, told: FleetNews): FleetView {
+function withStatus(view: FleetView, answer: WatchAnswer, told: FleetStatus): FleetView {
   const {fleet, term} = answer;
   const news = told === view.told ? view.news : {...told, entries: mergeEntries(view, told)};
   return {...view, fleet, news, term, told};
@@ -235,7 +235,11 @@
  * @param answer the answer of the leader or of a replica that it told
  * @param sentAt when it was asked for, by this process's clock
  */
-export function takeAnswer(view: FleetView, answer: WatchAnswer, sentAt: MonotonicMs): FleetView {
+export function applyWatchAnswer(
+  view: FleetView,
+  answer: WatchAnswer,
+  sentAt: MonotonicMs,
+): FleetView {
   const {ageMs, config, heldMs, proven} = answer;
   const isNewer = config !== null && config.version > (view.config?.version ?? -Infinity);
   const configured = isNewer ? {...view, config} : view;
@@ -245,7 +249,7 @@
     return configured;
   }
   const asOf = proven ? Math.max(view.asOf, sentAt + heldMs - ageMs) : view.asOf;
-  const next = told === undefined ? configured : takeNews(configured, answer, told);
+  const next = told === undefined ? configured : withStatus(configured, answer, told);
   return {...next, asOf};
 }
 
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetCustomers.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetCustomers.test.ts
@@ -5,7 +5,7 @@
 
 import type {FleetCustomer} from '../../FleetTypes';
 
-import {CustomerTable, findCustomerFault, keyDigest, toldConfig} from '../../FleetCustomers';
+import {CustomerTable, findCustomerFault, keyDigest, withoutSource} from '../../FleetCustomers';
 
 function customerOf(name: string, changes: Partial<FleetCustomer> = {}): FleetCustomer {
   const keys = [keyDigest(`${name} 1`), keyDigest(`${name} 2`)];
@@ -38,11 +38,11 @@
   });
 });
 
-describe('toldConfig', () => {
+describe('withoutSource', () => {
   test('leaves out the text that holds the keys', () => {
     const limits = {headerTimeoutMs: 1, idleTimeoutMs: 1, maxBodyBytes: 1, maxHeaderBytes: 1};
     const customers = [customerOf('a')];
     const config = {customers, limits, routes: [], services: [], source: 'a 1', version: 1};
-    expect(JSON.stringify(toldConfig(config))).not.toContain('a 1');
+    expect(JSON.stringify(withoutSource(config))).not.toContain('a 1');
   });
 });
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -1,25 +1,25 @@
 /** The control group's state for self-registering engines and whole configurations. */
 export {type ConfigFault, findConfigFault, RouteTable} from './FleetConfigs';
-export {CustomerTable, findCustomerFault, keyDigest, toldConfig} from './FleetCustomers';
+export {CustomerTable, findCustomerFault, keyDigest, withoutSource} from './FleetCustomers';
 export {
-  applyNews,
-  diffNews,
+  applyStatusDelta,
+  diffStatus,
   isEmptyDelta,
-  type NewsDelta,
-  type NewsUpdate,
-  sortLines,
+  sortByName,
+  type StatusDelta,
+  type StatusUpdate,
 } from './FleetDelta';
-export {FleetHistory, type NumberedNews} from './FleetHistory';
-export {fleetMachine, isNews, isOutdated, laterHolders} from './FleetMachine';
+export {FleetHistory, type NumberedStatus} from './FleetHistory';
+export {changesEngine, fleetMachine, isOutdated, laterHolders} from './FleetMachine';
 export {
   afterEngineEnd,
   afterRelease,
   afterTick,
-  FIRST_HOLD_MS,
+  FIRST_QUARANTINE_MS,
   type FleetSuspect,
   type FleetSuspects,
-  HELD_LEVEL,
   type NoteEngineEnd,
+  QUARANTINE_LEVEL,
   type ReleaseRequest,
   suspectDetails,
   type SuspectDetails,
@@ -42,23 +42,23 @@
   type RouteKind,
   type RouteShare,
   type StoredConfig,
-  UNTOLD_START,
+  UNKNOWN_START,
 } from './FleetTypes';
 export {
+  applyWatchAnswer,
   EMPTY_VIEW,
   engineOf,
   type EngineView,
   type EntryView,
-  type FleetNews,
+  type FleetHeartbeat,
   type FleetRequest,
+  type FleetStatus,
   type FleetView,
-  type Hello,
+  type ForwardedHeartbeat,
   type JobsGroupReport,
   type KnownVersions,
-  type RelayedHello,
   type RetireAnswer,
   type StoreView,
-  takeAnswer,
   UNPROVEN_TERM,
   type WatchAnswer,
 } from './FleetView';
--- a/packages/stallpaddle-jobs/src/JobsTrial.ts
+++ b/packages/stallpaddle-jobs/src/JobsTrial.ts
@@ -1,7 +1,7 @@
 /** Timing of trial runs of quarantined items: pure functions. */
 import type {MonotonicMs} from 'stallpaddle';
 
-import {FIRST_HOLD_MS, HELD_LEVEL} from 'stallpaddle-fleet';
+import {FIRST_QUARANTINE_MS, QUARANTINE_LEVEL} from 'stallpaddle-fleet';
 
 /** The next trial run of a quarantined item. */
 export interface ItemTrial {
@@ -26,7 +26,10 @@
  * @param level number of engines that ended, one after the other, while they began to run it
  */
 export function trialDelayMs(level: number): number {
-  return Math.min(FIRST_HOLD_MS, FIRST_TRIAL_DELAY_MS * TRIAL_FACTOR ** (level - HELD_LEVEL));
+  return Math.min(
+    FIRST_QUARANTINE_MS,
+    FIRST_TRIAL_DELAY_MS * TRIAL_FACTOR ** (level - QUARANTINE_LEVEL),
+  );
 }
 
 /**
--- a/packages/stallpaddle-node/src/NodeControl.ts
+++ b/packages/stallpaddle-node/src/NodeControl.ts
@@ -1,6 +1,5 @@
 /**
- * The part of a process that serves engines and the operator. Where the VM has a disk it holds a replica of
- * the control group; elsewhere it hands every call on to the group's leader.
+ * Control API of a process for engines, the operator and other processes.
  */
 
 import type {ConnectRouter} from '@connectrpc/connect';
@@ -12,11 +11,11 @@
 import path from 'node:path';
 import {decodeValue, delay, errorMessage, registerLoop, vmOfReplica} from 'stallpaddle';
 import {
+  type FleetHeartbeat,
   fleetMachine,
   type FleetRequest,
   type FleetState,
   type FleetView,
-  type Hello,
 } from 'stallpaddle-fleet';
 import {loadIdentity, NotLeaderError} from 'stallpaddle-replication';
 import {type RpcServer, startRpcServer, tryLocal} from 'stallpaddle-rpc';
@@ -26,40 +25,43 @@
 import type {NodeLimits} from './NodeLimits';
 import type {NodeOptions} from './NodeTypes';
 
+import {NodeBootstrapper} from './NodeBootstrapper';
 import {BOOTSTRAP_INTERVAL_MS, CONTROL_GROUP, LEADER_HANDOVER_MS} from './NodeConstants';
 import {NodeControlCalls} from './NodeControlCalls';
-import {NodeDesk} from './NodeDesk';
-import {NodeFollowerDesk} from './NodeFollowerDesk';
+import {NodeControlHandler} from './NodeControlHandler';
+import {NodeFollowerHandler} from './NodeFollowerHandler';
 import {NodeGroup} from './NodeGroup';
 import {readBody, requestHead, sendResponse, startServer} from './NodeHttp';
-import {NodeIntroducer} from './NodeIntroducer';
+import {NodeKnownEntries} from './NodeKnownEntries';
 import {NodeLog} from './NodeLog';
-import {NodeRemembered} from './NodeRemembered';
 import {addNodeService} from './NodeService';
 import {hostOf, portOf, toleratedDiskLosses} from './NodeSettings';
 
-/** Largest call of the operator, in bytes: a configuration of some hundred thousand routes' shares. */
+/** Largest body of a control call, in bytes. */
 const MAX_CALL_BYTES = 16_777_216;
-/** Time that a rested connection of an engine or the operator is kept, in milliseconds. */
+/** Idle timeout of a connection of an engine or the operator, in milliseconds. */
 const IDLE_MS = 15_000;
-/** Name of the first disk of a founder, known to all founders beforehand. */
+/** Name of a founder's first disk. It is fixed, so that founders can name each other's replicas before they have met. */
 const FOUNDER = 'first';
 
-/** See the module's comment. */
+/**
+ * Serves calls of engines, the operator and other processes. On a VM with a disk it also runs a replica of the control
+ * group; on other VMs calls go to the group's leader.
+ */
 export class NodeControl {
-  private desk: NodeDesk | undefined;
-  private readonly follower: NodeFollowerDesk;
+  private handler: NodeControlHandler | undefined;
+  private readonly followerHandler: NodeFollowerHandler;
   private group: NodeGroup<FleetState> | undefined;
   private readonly log: NodeLog;
   private rpc: RpcServer | undefined;
   private self: ReplicaId | undefined;
   private server: Server | undefined;
-  private stopIntroducing: () => Promise<void> = () => Promise.resolve();
+  private stopBootstrapping: () => Promise<void> = () => Promise.resolve();
 
   /**
-   * @param options what the process is made of
-   * @param fleet the process's place in its fleet
-   * @param limits limits that this VM may own
+   * @param options the process's clock, settings and other dependencies
+   * @param fleet connections to the other processes and the fleet status
+   * @param limits answers requests for limits that this VM owns
    */
   constructor(
     private readonly options: NodeOptions,
@@ -68,58 +70,58 @@
   ) {
     const {clock, loggers} = options;
     this.log = new NodeLog(loggers('control'), clock, fleet.metrics);
-    this.follower = new NodeFollowerDesk(clock, fleet.watch, fleet.relayed);
+    this.followerHandler = new NodeFollowerHandler(clock, fleet.watch, fleet.forwarded);
   }
 
   /**
-   * Answers a call of this process to the control group's leader.
+   * Answers a call of this process to the control group's leader without the network.
    *
    * @param request the call
    */
-  answerHere({encoded}: TryRequest): Promise<TryOutcome> {
+  answerLocally({encoded}: TryRequest): Promise<TryOutcome> {
     return tryLocal(() => this.answer(decodeValue<FleetRequest>(encoded)));
   }
 
   /**
-   * Follows what this process knows, for those that ask it.
+   * Publishes a changed view of the fleet to the processes that watch it here.
    *
-   * @param view what it knows now
-   * @param before what it knew before
+   * @param view the new view
+   * @param before the previous view
    */
   onView(view: FleetView, before: FleetView): void {
-    this.follower.onView(view, before);
+    this.followerHandler.onView(view, before);
   }
 
-  /** Nobody told this process anything: who asks it may have to ask elsewhere. */
-  onSilence(): void {
-    this.follower.onSilence();
+  /** Reports that this process got no status update, so that processes that watch here may have to go elsewhere. */
+  onUnanswered(): void {
+    this.followerHandler.onUnanswered();
   }
 
   /**
-   * Writes a line of this part's log.
+   * Writes a line to the control log.
    *
    * @param message one sentence
-   * @param fields what goes with it
+   * @param fields structured fields of the line
    */
   note(message: string, fields: LogFields): void {
     this.log.note(message, fields);
   }
 
-  /** What this part says of itself to the control group's leader. */
-  hellos(): readonly Hello[] {
+  /** Heartbeats of this process's control replica; none without a replica. */
+  heartbeats(): readonly FleetHeartbeat[] {
     return this.self === undefined ? [] : [{kind: 'control', replica: this.self}];
   }
 
-  /** Begins to listen, and opens the replica where the VM has a disk. */
+  /** Starts the servers, and opens the replica where the VM has a disk. */
   async open(): Promise<void> {
     const {control, dataFolder, host, peerListenPort, peerPort} = this.options.settings;
     const {key} = this.fleet.peers;
     const addService = (router: ConnectRouter) =>
       addNodeService(router, {
-        answer: (value) => this.answerOther(value as FleetRequest | LimitAsk),
+        answer: (value) => this.answerPeer(value as FleetRequest | LimitAsk),
         group: CONTROL_GROUP,
         onFailure: (err) =>
-          this.log.note('A call of another process broke off.', {error: errorMessage(err)}),
+          this.log.note('A call of another process failed.', {error: errorMessage(err)}),
         replica: () => this.group?.driver,
       });
     this.rpc = await startRpcServer(host, peerListenPort ?? peerPort, key, addService, (from) =>
@@ -136,21 +138,21 @@
     }
   }
 
-  /** Leads no more; calls are answered and votes are cast on. */
-  leave(): void {
+  /** Transfers leadership away; the replica still answers calls and votes. */
+  stepDown(): void {
     this.group?.driver.transferLeadership();
   }
 
-  /** Ends the replica; a leader hands over first. */
+  /** Stops the servers and closes the replica; a leader transfers its leadership first. */
   async stop(): Promise<void> {
     if (this.group?.driver.leads === true) {
-      this.leave();
-      // Calls under way get their answers from the next leader.
+      this.stepDown();
+      // Lets calls in flight finish with the next leader.
       await delay(LEADER_HANDOVER_MS);
     }
     this.server?.close();
-    this.desk?.stop();
-    await this.stopIntroducing();
+    this.handler?.stop();
+    await this.stopBootstrapping();
     await this.group?.close();
     await this.rpc?.stop();
   }
@@ -164,7 +166,7 @@
     const root = await openDisk(dataFolder);
     const self = await loadIdentity(root, host, isFounder ? FOUNDER : undefined);
     const group = await NodeGroup.open({
-      candidates: () => this.desk?.candidates() ?? [],
+      candidates: () => this.handler?.candidates() ?? [],
       clock,
       disk: await openDisk(path.join(dataFolder, CONTROL_GROUP)),
       founders,
@@ -176,10 +178,10 @@
       peers: this.fleet.peers,
       self,
     });
-    this.desk = new NodeDesk({
+    this.handler = new NodeControlHandler({
       clock,
       group,
-      jobsBefore: () => this.fleet.watch.view.news.jobsReplicas,
+      lastKnownJobsReplicas: () => this.fleet.watch.view.news.jobsReplicas,
       log: (message, fields) => this.log.note(message, fields),
       lostDisks,
       reportMs: settings.bounds.report,
@@ -187,24 +189,24 @@
     this.group = group;
     this.self = self;
     this.exposeMetrics(group);
-    const {desk, fleet} = this;
-    fleet.watch.offer(desk.peek());
-    const introducer = new NodeIntroducer({
+    const {fleet, handler} = this;
+    fleet.watch.offer(handler.peek());
+    const introducer = new NodeBootstrapper({
       clock,
       fleet,
       group,
       host,
-      peek: () => desk.peek(),
-      remembered: await NodeRemembered.open(root, (message, fields) =>
+      knownEntries: await NodeKnownEntries.open(root, (message, fields) =>
         this.log.note(message, fields),
       ),
+      peek: () => handler.peek(),
     });
-    // Whoever is back knows nothing until the first round.
-    void introducer.introduce();
-    this.stopIntroducing = registerLoop(BOOTSTRAP_INTERVAL_MS, () => introducer.introduce());
+    // A restarted process knows nobody until the first round, so it doesn't wait for the interval.
+    void introducer.bootstrap();
+    this.stopBootstrapping = registerLoop(BOOTSTRAP_INTERVAL_MS, () => introducer.bootstrap());
   }
 
-  /** Whether the replica knows the members of its group; an empty disk does once the group has taken it in. */
+  /** Whether the replica knows the members of its group. One on an empty disk does once it has joined. */
   private get knowsGroup(): boolean {
     return (this.group?.driver.status.log.members.voters.length ?? 0) > 0;
   }
@@ -217,24 +219,24 @@
     });
   }
 
-  /** Limits are asked for at any VM, whether it holds a replica or not. */
-  private answerOther(request: FleetRequest | LimitAsk): Promise<unknown> {
+  /** Answers another process. Any VM may own a limit, with or without a replica. */
+  private answerPeer(request: FleetRequest | LimitAsk): Promise<unknown> {
     return request.kind === 'askLimit' || request.kind === 'returnLimit'
       ? this.limits.answer(request)
       : this.answer(request);
   }
 
   /**
-   * Answers other processes: as a leader does, with what the leader told this replica where that is enough, or, without a
-   * replica or with an empty one, with what this process was told.
+   * Answers a fleet request. A follower answers watches that allow it from its view of the fleet; a replica that has
+   * joined its group answers the rest as a leader would. Without such a replica only the process's own view is available.
    */
   private answer(request: FleetRequest): Promise<unknown> {
-    if (this.desk !== undefined) {
-      if (request.kind === 'watch' && request.mayRelay && !this.desk.leads) {
-        return this.follower.answer(request);
+    if (this.handler !== undefined) {
+      if (request.kind === 'watch' && request.mayRelay && !this.handler.leads) {
+        return this.followerHandler.answer(request);
       }
       if (this.knowsGroup) {
-        return this.desk.answer(request);
+        return this.handler.answer(request);
       }
     }
     const {control, watch} = this.fleet;
@@ -263,7 +265,7 @@
       const call = wire.readControl({...requestHead(req), body});
       sendResponse(res, wire.encodeControl(await calls.reply(call)));
     } catch (err) {
-      this.log.note('A control call broke off.', {error: errorMessage(err), url: req.url});
+      this.log.note('A control call failed.', {error: errorMessage(err), url: req.url});
       res.destroy();
     }
   }
--- a/packages/stallpaddle-node/src/NodeControlCalls.ts
+++ b/packages/stallpaddle-node/src/NodeControlCalls.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of engines and the operator, brought to the control group's leader.
+ * Control calls of engines and the operator.
  */
 import type {
   FleetAnswer,
@@ -19,17 +19,17 @@
 
 import {CONTROL_CALL_TIMEOUT_MS} from './NodeConstants';
 
-/** Whether a call found no leader in time. */
+/** Whether a call failed because no leader was found in time. */
 function isLostCall(err: unknown): boolean {
   return err instanceof RefusalError || err instanceof NotLeaderError;
 }
 
-/** See the module's comment. */
+/** Validates control calls of engines and the operator, and forwards them to the control group's leader. */
 export class NodeControlCalls {
   /**
    * @param caller calls the control group's leader
    * @param port port on which every VM of the fleet serves control calls
-   * @param log the log of the part that serves them
+   * @param log the control log
    */
   constructor(
     private readonly caller: NodeGroupClient,
@@ -38,7 +38,7 @@
   ) {}
 
   /**
-   * Carries out a call; a call that found no leader in time is answered too.
+   * Executes a call. When no leader is found in time, the reply is `unavailable`.
    *
    * @param call the call
    */
@@ -59,34 +59,34 @@
       case 'bad':
         return {kind: 'refused', message: call.message};
       case 'listSuspects': {
-        const suspects = await this.ask<readonly SuspectDetails[]>(call);
+        const suspects = await this.query<readonly SuspectDetails[]>(call);
         return {kind: 'suspects', suspects};
       }
       case 'putConfig':
         return this.putConfig(call.config);
       case 'readConfig': {
-        const config = await this.ask<StoredConfig | null>({kind: 'readConfig'});
+        const config = await this.query<StoredConfig | null>({kind: 'readConfig'});
         return config === null ? {kind: 'notFound'} : {config, kind: 'config'};
       }
       case 'releaseSuspect': {
         const {digest} = call;
-        await this.order<FleetAnswer>({by: 'operator', digest, kind: 'releaseRequest'});
+        await this.change<FleetAnswer>({by: 'operator', digest, kind: 'releaseRequest'});
         this.log.decide('suspectReleased', digest, {});
         return {kind: 'done'};
       }
       case 'removeEngine':
-        await this.order<FleetAnswer>(call);
+        await this.change<FleetAnswer>(call);
         this.log.decide('engineGone', call.id, {});
         return {kind: 'done'};
       case 'reportEngine': {
-        await this.order<FleetAnswer>(call);
+        await this.change<FleetAnswer>(call);
         const {leaderHost} = this.caller;
         const beatsTo = leaderHost === null ? null : `${leaderHost}:${this.port}`;
         return {beatsTo, kind: 'reported'};
       }
       case 'retireState':
       case 'retireStore': {
-        const state = await this.order<RetireAnswer>(call);
+        const state = await this.change<RetireAnswer>(call);
         this.log.decide(call.kind, call.name, {state});
         return {kind: 'retire', state};
       }
@@ -103,16 +103,16 @@
       this.log.decide('configRefused', String(config.version), {...fault});
       return {kind: 'refused', message: fault.message};
     }
-    const {kind} = await this.order<FleetAnswer>({config, kind: 'putConfig'});
+    const {kind} = await this.change<FleetAnswer>({config, kind: 'putConfig'});
     this.log.decide('configTaken', String(config.version), {outcome: kind});
     return {kind: 'done'};
   }
 
-  private ask<Answer>(value: FleetRequest): Promise<Answer> {
+  private query<Answer>(value: FleetRequest): Promise<Answer> {
     return this.caller.call<Answer>({changes: false, totalMs: CONTROL_CALL_TIMEOUT_MS, value});
   }
 
-  private order<Answer>(value: FleetRequest): Promise<Answer> {
+  private change<Answer>(value: FleetRequest): Promise<Answer> {
     return this.caller.call<Answer>({changes: true, totalMs: CONTROL_CALL_TIMEOUT_MS, value});
   }
 }
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -2,7 +2,7 @@
 
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {LogFields} from 'stallpaddle';
-import type {FleetView, Hello} from 'stallpaddle-fleet';
+import type {FleetHeartbeat, FleetView} from 'stallpaddle-fleet';
 
 import {drawId, errorMessage, RefusalError, refuse, unreachable} from 'stallpaddle';
 import {
@@ -110,7 +110,7 @@
   }
 
   /** Heartbeats of this component. */
-  heartbeats(): readonly Hello[] {
+  heartbeats(): readonly FleetHeartbeat[] {
     const {callers, name, zone} = this.options.settings;
     return callers === null
       ? []
--- a/packages/stallpaddle-node/src/NodeFleet.ts
+++ b/packages/stallpaddle-node/src/NodeFleet.ts
@@ -1,9 +1,8 @@
 /**
- * A process's place in its fleet: the other processes, the control group's leader, and what is known of the
- * whole. Every process has one, whatever else it does.
+ * Access of a process to the rest of its fleet.
  */
 import type {Clock, LogFields, ReplicaId, VmId} from 'stallpaddle';
-import type {FleetView, Hello} from 'stallpaddle-fleet';
+import type {FleetHeartbeat, FleetView} from 'stallpaddle-fleet';
 import type {TryOutcome, TryRequest} from 'stallpaddle-rpc';
 
 import {vmOfReplica} from 'stallpaddle';
@@ -11,33 +10,36 @@
 import type {NodeSettings} from './NodeSettings';
 
 import {CONTROL_GROUP, JOBS_GROUP} from './NodeConstants';
+import {NodeForwardedHeartbeats} from './NodeForwardedHeartbeats';
 import {candidateHosts, NodeGroupClient} from './NodeGroupClient';
 import {NodeMetrics} from './NodeMetrics';
 import {NodePeers} from './NodePeers';
-import {NodeRelayedHellos} from './NodeRelayedHellos';
 import {orderReplicaHosts} from './NodeReplicaSelector';
 import {hostOf} from './NodeSettings';
 import {NodeWatch} from './NodeWatch';
 
-/** What the place needs of its process. */
+/** Dependencies of {@link NodeFleet}. */
 export interface NodeFleetOptions {
-  /** Answers calls to the control group's leader here, where this process may lead it. */
+  /** Answers calls to the control group's leader locally; null where this process holds no replica of the group. */
   readonly answer: null | ((request: TryRequest) => Promise<TryOutcome>);
-  /** Whether the process asks the leader itself for news: a replica that passes them on, or one that runs items. */
+  /** Whether the process watches the leader itself: a control replica, which followers watch, or one that runs items. */
   readonly asksLeader: () => boolean;
   readonly clock: Clock;
-  /** What each part of the process says of itself now. */
-  readonly hellos: () => readonly Hello[];
-  /** Writes a line of the process's log. */
+  /** Current heartbeats of the process, one for each of its roles. */
+  readonly heartbeats: () => readonly FleetHeartbeat[];
+  /** Writes a line to the process's log. */
   readonly note: (message: string, fields: LogFields) => void;
-  /** Called after each question for news that nobody answered. */
-  readonly onSilence: () => void;
-  /** Called after each answer to a question for news. */
+  /** Called after each watch request that was not answered. */
+  readonly onUnanswered: () => void;
+  /** Called after each answer to a watch request. */
   readonly onView: (view: FleetView, before: FleetView) => void;
   readonly settings: NodeSettings;
 }
 
-/** See the module's comment. */
+/**
+ * Connects a process to its fleet: the other processes, the leaders of both groups, and the fleet status. Every process
+ * has one.
+ */
 export class NodeFleet {
   /** Calls to the control group's leader. */
   readonly control: NodeGroupClient;
@@ -47,24 +49,24 @@
   readonly metrics = new NodeMetrics();
   /** Connections to the other processes. */
   readonly peers: NodePeers;
-  /** What other processes have said to this one, for the control group's leader. */
-  readonly relayed = new NodeRelayedHellos();
-  /** What is known of the fleet. */
+  /** Heartbeats that other processes have sent to this one, to be forwarded to the control group's leader. */
+  readonly forwarded = new NodeForwardedHeartbeats();
+  /** Keeps this process's view of the fleet up to date. */
   readonly watch: NodeWatch;
-  /** This VM, where it holds a replica of the control group. */
+  /** This VM where it holds a replica of the control group, else empty. */
   private readonly ownHosts: readonly VmId[];
-  /** Addresses of VMs that serve control calls, to be asked first. */
+  /** Addresses of VMs that are called first, while no replica is known. */
   private seeds: readonly string[];
 
   /**
-   * @param options what it needs of its process
+   * @param options its dependencies
    */
   constructor(options: NodeFleetOptions) {
-    const {answer, clock, hellos, note, onSilence, onView, settings} = options;
+    const {answer, clock, heartbeats, note, onUnanswered, onView, settings} = options;
     this.ownHosts = answer === null ? [] : [settings.host];
     this.peers = new NodePeers(settings.peerPort, note);
     this.seeds = settings.seeds;
-    const {peers, relayed} = this;
+    const {forwarded, peers} = this;
     this.control = new NodeGroupClient({
       clock,
       group: CONTROL_GROUP,
@@ -82,29 +84,29 @@
     this.watch = new NodeWatch({
       caller: this.control,
       clock,
-      heartbeats: hellos,
+      heartbeats,
       note,
-      onSilence,
+      onSilence: onUnanswered,
       onView,
       relayed: {
-        confirm: (term) => relayed.confirm(term),
-        take: () => relayed.take(clock.monotonicMs()),
+        confirm: (term) => forwarded.confirm(term),
+        take: () => forwarded.take(clock.monotonicMs()),
       },
-      replicaHosts: () => (options.asksLeader() ? [] : this.hopHosts(settings)),
+      replicaHosts: () => (options.asksLeader() ? [] : this.replicaHosts(settings)),
     });
   }
 
   /**
-   * Takes in settings that have changed.
+   * Applies changed settings.
    *
-   * @param settings the settings as they are now; only the seeds are followed
+   * @param settings the new settings; only the seeds are applied
    */
   reload(settings: NodeSettings): void {
     this.seeds = settings.seeds;
   }
 
   /**
-   * Hosts of the seeds that hold none of some replicas.
+   * Hosts of the seeds that hold none of the given replicas.
    *
    * @param replicas the replicas
    */
@@ -113,14 +115,14 @@
     return this.seeds.map(hostOf).filter((host) => !hosts.has(host));
   }
 
-  /** Asks for no more news, and ends all connections to other processes. */
+  /** Stops watching, and closes all connections to other processes. */
   close(): void {
     this.watch.stop();
     this.peers.close();
   }
 
-  /** VMs that may answer for the control group's leader, the best for this process first. */
-  private hopHosts({name, zone}: NodeSettings): readonly VmId[] {
+  /** VMs that may answer watches in place of the leader, the best for this process first. */
+  private replicaHosts({name, zone}: NodeSettings): readonly VmId[] {
     const {controls, view} = this.watch;
     const hosts = controls.length === 0 ? this.seeds.map(hostOf) : controls.map(vmOfReplica);
     const zones = new Map(view.news.entries.map((entry) => [hostOf(entry.address), entry.zone]));
@@ -132,7 +134,7 @@
     });
   }
 
-  /** Hosts that may lead the control group, best known first. */
+  /** Hosts that may lead the control group, the likeliest first. */
   private controlHosts(): readonly VmId[] {
     const known = candidateHosts(this.seeds, this.watch.controls);
     return [...new Set([...known, ...this.ownHosts])];
--- a/packages/stallpaddle-node/src/NodeFront.ts
+++ b/packages/stallpaddle-node/src/NodeFront.ts
@@ -1,5 +1,5 @@
 /** The process on an entry VM. */
-import type {FleetView, Hello} from 'stallpaddle-fleet';
+import type {FleetHeartbeat, FleetView} from 'stallpaddle-fleet';
 
 import type {NodeSettings} from './NodeSettings';
 import type {NodeOptions, RunningNode} from './NodeTypes';
@@ -22,12 +22,12 @@
     const {clock, settings} = options;
     const mayLead = settings.dataFolder !== '';
     this.fleet = new NodeFleet({
-      answer: mayLead ? (request) => this.control.answerHere(request) : null,
+      answer: mayLead ? (request) => this.control.answerLocally(request) : null,
       asksLeader: () => mayLead,
       clock,
-      hellos: () => this.heartbeats(),
+      heartbeats: () => this.heartbeats(),
       note: (message, fields) => this.control.note(message, fields),
-      onSilence: () => this.control.onSilence(),
+      onUnanswered: () => this.control.onUnanswered(),
       onView: (view, before) => this.onView(view, before),
       settings,
     });
@@ -71,14 +71,14 @@
 
   /** Gives up leadership, drains the requests of callers, then closes the replica. */
   async stop(): Promise<void> {
-    this.control.leave();
+    this.control.stepDown();
     await this.entry.stop();
     await this.control.stop();
     this.fleet.close();
   }
 
-  private heartbeats(): readonly Hello[] {
-    return [...this.entry.heartbeats(), ...this.control.hellos()];
+  private heartbeats(): readonly FleetHeartbeat[] {
+    return [...this.entry.heartbeats(), ...this.control.heartbeats()];
   }
 
   private onView(view: FleetView, before: FleetView): void {
--- a/packages/stallpaddle-node/src/NodeKeeper.ts
+++ b/packages/stallpaddle-node/src/NodeMembershipPlanner.ts
@@ -1,5 +1,5 @@
 /**
- * Who belongs to a group: one step at a time, decided by its leader from what it has heard. Pure.
+ * Plans the members of a group, one change at a time. Pure.
  */
 import type {ReplicaId} from 'stallpaddle';
 import type {GroupMembers} from 'stallpaddle-replication';
@@ -19,18 +19,18 @@
   readonly id: ReplicaId;
   /** Whether its VM is to be emptied. */
   readonly retiring: boolean;
-  /** Time since it was last heard, in milliseconds. */
+  /** Time since its last heartbeat or acknowledged append, in milliseconds. */
   readonly silentMs: number;
 }
 
 /** One change of the members. */
 export type MemberStep =
   | {readonly kind: 'change'; readonly members: GroupMembers; readonly reason: string}
-  /** This leader must go: another replica leads first. */
+  /** This leader is to be removed, so another replica must take over leadership first. */
   | {readonly kind: 'handOver'};
 
-/** What the decision rests on. */
-export interface KeeperInput {
+/** What the leader knows of the group and its possible members. */
+export interface MembershipInput {
   readonly known: readonly KnownReplica[];
   readonly lostDisks: number;
   readonly members: GroupMembers;
@@ -42,7 +42,7 @@
 }
 
 /**
- * Number of voters that bears the loss of some disks.
+ * Number of voters that tolerates the loss of some disks.
  *
  * @param lostDisks disks that may be lost at once
  */
@@ -50,36 +50,36 @@
   return 2 * lostDisks + 1;
 }
 
-/** What the decision looks at, by replica. */
-interface KeeperView extends KeeperInput {
+/** The input with lookups by replica. */
+interface PlannerView extends MembershipInput {
   readonly isCaughtUp: (id: ReplicaId) => boolean;
-  readonly isHeard: (id: ReplicaId) => boolean;
-  /** Whether its VM has come back with another disk: it is lost for certain. */
+  readonly isReachable: (id: ReplicaId) => boolean;
+  /** Whether its VM has come back with another disk, so that it is certainly lost. */
   readonly isReplaced: (id: ReplicaId) => boolean;
   readonly isRetiring: (id: ReplicaId) => boolean;
   readonly isSilent: (id: ReplicaId) => boolean;
   readonly silentMs: (id: ReplicaId) => number;
-  /** Voters that bear the losses once nobody is on the way out. */
+  /** Number of voters while none of them is being replaced. */
   readonly wanted: number;
 }
 
-function viewOf(input: KeeperInput): KeeperView {
+function toPlannerView(input: MembershipInput): PlannerView {
   const byId = new Map(input.known.map((replica) => [replica.id, replica]));
   const silentMs = (id: ReplicaId): number => byId.get(id)?.silentMs ?? Infinity;
-  const isHeard = (id: ReplicaId): boolean => silentMs(id) < CANDIDATE_TIMEOUT_MS;
-  // Of two disks of one VM the lost one has spoken least lately.
-  const isOutlived = (id: ReplicaId): boolean =>
+  const isReachable = (id: ReplicaId): boolean => silentMs(id) < CANDIDATE_TIMEOUT_MS;
+  // Of two disks of one VM, the lost one has the older heartbeat.
+  const isSuperseded = (id: ReplicaId): boolean =>
     input.known.some(
       (other) =>
         vmOfReplica(other.id) === vmOfReplica(id) &&
-        isHeard(other.id) &&
+        isReachable(other.id) &&
         other.silentMs < silentMs(id),
     );
   return {
     ...input,
     isCaughtUp: (id) => byId.get(id)?.caughtUp === true,
-    isHeard,
-    isReplaced: (id) => silentMs(id) > REPLACED_DISK_TIMEOUT_MS && isOutlived(id),
+    isReachable,
+    isReplaced: (id) => silentMs(id) > REPLACED_DISK_TIMEOUT_MS && isSuperseded(id),
     isRetiring: (id) => byId.get(id)?.retiring === true,
     isSilent: (id) => id !== input.self && silentMs(id) > VOTER_TIMEOUT_MS,
     silentMs,
@@ -91,8 +91,8 @@
   return {kind: 'change', members, reason};
 }
 
-/** A voter whose disk is lost is in the way of a majority and helps none: each look without it is better. */
-function dropLost({isReplaced, members, self}: KeeperView): MemberStep | null {
+/** A voter whose disk is lost raises the majority and can't contribute to it, so it is removed before its successor votes. */
+function removeReplacedVoter({isReplaced, members, self}: PlannerView): MemberStep | null {
   const {learners, voters} = members;
   const lost = voters.find((id) => id !== self && isReplaced(id));
   return lost === undefined
@@ -100,16 +100,21 @@
     : change({learners, voters: without(voters, lost)}, `${lost} came back with another disk`);
 }
 
-function dropLearner({isHeard, isReplaced, isRetiring, members}: KeeperView): MemberStep | null {
+function removeLearner({
+  isReachable,
+  isReplaced,
+  isRetiring,
+  members,
+}: PlannerView): MemberStep | null {
   const {learners, voters} = members;
-  const gone = learners.find((id) => isReplaced(id) || isRetiring(id) || !isHeard(id));
+  const gone = learners.find((id) => isReplaced(id) || isRetiring(id) || !isReachable(id));
   return gone === undefined
     ? null
     : change({learners: without(learners, gone), voters}, `learner ${gone} is gone`);
 }
 
-/** One more that holds everything never makes the loss of a majority likelier. */
-function addVoter(view: KeeperView): MemberStep | null {
+/** Promotes a learner that holds the whole log; it can only make the loss of a majority less likely. */
+function promoteLearner(view: PlannerView): MemberStep | null {
   const {isCaughtUp, isRetiring, isSilent, members, wanted} = view;
   const {learners, voters} = members;
   const isLeaving = voters.some((id) => isSilent(id) || isRetiring(id));
@@ -123,16 +128,16 @@
 }
 
 /**
- * Lets one go of more voters than are wanted, so that those who stay bear all losses without it. Silence is no loss: the
- * disk of a silent voter may be one of the majority that is left when others are lost, so its successor votes first.
+ * Removes a voter when there are more than wanted, so that those that stay tolerate all losses without it. A silent voter
+ * is not lost: its disk may be needed for a majority when others are lost, so its successor is promoted first.
  */
-function dropExcess(view: KeeperView): MemberStep | null {
+function removeExcessVoter(view: PlannerView): MemberStep | null {
   const {isCaughtUp, isRetiring, isSilent, members, self, silentMs, wanted} = view;
   const {learners, voters} = members;
   if (voters.length <= wanted) {
     return null;
   }
-  // The longest silent one is the likeliest to be gone for good.
+  // The one that has been silent longest is the likeliest to be gone for good.
   const [silent] = voters.filter(isSilent).sort((a, b) => silentMs(b) - silentMs(a));
   if (silent !== undefined) {
     return change({learners, voters: without(voters, silent)}, `${silent} is silent`);
@@ -143,8 +148,8 @@
       ? {kind: 'handOver'}
       : change({learners, voters: without(voters, retiring)}, `${retiring} is to be emptied`);
   }
-  // Whoever was silent is back, or its leader went between two steps. It isn't known yet who of those that haven't
-  // answered this leader is about to go instead.
+  // A silent voter has returned, or the last leader failed between two steps. Voters that haven't answered this leader
+  // yet may be the ones to remove, so it waits until all have caught up.
   const spare = voters.every((id) => isCaughtUp(id))
     ? voters.findLast((id) => id !== self)
     : undefined;
@@ -155,15 +160,15 @@
     : change({learners: kept, voters: without(voters, spare)}, `${spare} is one too many`);
 }
 
-/** Two disks of one VM are one lost and its successor: were both members, the lost one would count among those that stay. */
-function addLearner(view: KeeperView): MemberStep | null {
-  const {isHeard, isRetiring, known, members, wanted} = view;
+/** Adds a learner. No VM gets a second member: one of its two disks is lost, and would count as one that stays. */
+function addLearner(view: PlannerView): MemberStep | null {
+  const {isReachable, isRetiring, known, members, wanted} = view;
   const {learners, voters} = members;
   const memberVms = new Set([...voters, ...learners].map(vmOfReplica));
   const successors = voters.some((id) => isRetiring(id)) ? 1 : 0;
   const missing = Math.max(0, wanted + successors - voters.length) + SPARE_LEARNERS;
   const candidate = known.find(
-    ({id}) => isHeard(id) && !isRetiring(id) && !memberVms.has(vmOfReplica(id)),
+    ({id}) => isReachable(id) && !isRetiring(id) && !memberVms.has(vmOfReplica(id)),
   );
   return candidate === undefined || learners.length >= missing
     ? null
@@ -171,17 +176,21 @@
 }
 
 /**
- * The next step, or null when the members are as they should be.
+ * Returns the next step, or null when no member has to change.
  *
- * A replica whose VM has come back with another disk is lost for certain and leaves at once. Any other voter leaves only
- * when more vote than are wanted, for the rest must bear the losses without it: its successor comes first. A leader that
- * goes between the two leaves one voter too many, which bears as much.
+ * A replica whose VM has come back with another disk is certainly lost and is removed at once. Any other voter is removed
+ * only while there are more voters than wanted, since the rest must tolerate the losses without it; its successor is
+ * promoted first. A leader that fails between the two steps leaves one voter too many, which tolerates as many losses.
  *
  * @param input what the leader knows
  */
-export function planMembers(input: KeeperInput): MemberStep | null {
-  const view = viewOf(input);
+export function planMembers(input: MembershipInput): MemberStep | null {
+  const view = toPlannerView(input);
   return (
-    dropLost(view) ?? dropLearner(view) ?? addVoter(view) ?? dropExcess(view) ?? addLearner(view)
+    removeReplacedVoter(view) ??
+    removeLearner(view) ??
+    promoteLearner(view) ??
+    removeExcessVoter(view) ??
+    addLearner(view)
   );
 }
--- a/packages/stallpaddle-node/src/NodeWatch.ts
+++ b/packages/stallpaddle-node/src/NodeWatch.ts
@@ -5,12 +5,12 @@
 
 import {delay, encodeValue} from 'stallpaddle';
 import {
+  applyWatchAnswer,
   EMPTY_VIEW,
+  type FleetHeartbeat,
   type FleetRequest,
   type FleetView,
-  type Hello,
-  type RelayedHello,
-  takeAnswer,
+  type ForwardedHeartbeat,
   UNPROVEN_TERM,
   type WatchAnswer,
 } from 'stallpaddle-fleet';
@@ -38,7 +38,7 @@
   readonly caller: Pick<NodeGroupClient, 'hosts' | 'tryAt' | 'tryOnce'>;
   readonly clock: Clock;
   /** Returns the current heartbeat of each component of the process. */
-  readonly heartbeats: () => readonly Hello[];
+  readonly heartbeats: () => readonly FleetHeartbeat[];
   /** Replica VMs to watch, by preference; empty for a process that watches the leader itself. */
   readonly replicaHosts: () => readonly VmId[];
   readonly note: (message: string, fields: LogFields) => void;
@@ -49,7 +49,7 @@
   /** Heartbeats received from other processes, which a replica forwards to the leader. */
   readonly relayed: {
     readonly confirm: (term: number) => void;
-    readonly take: () => readonly RelayedHello[];
+    readonly take: () => readonly ForwardedHeartbeat[];
   };
 }
 
@@ -304,7 +304,7 @@
 
   private take(answer: WatchAnswer, sentAt: MonotonicMs): void {
     const before = this.current;
-    this.current = takeAnswer(before, answer, sentAt);
+    this.current = applyWatchAnswer(before, answer, sentAt);
     this.options.onView(this.current, before);
   }
 }
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeJobReads.test.ts
@@ -15,7 +15,7 @@
 import type {GroupCall} from '../../NodeGroupClient';
 
 import {NodeJobReads} from '../../NodeJobReads';
-import {NodeJobsDesk} from '../../NodeJobsDesk';
+import {NodeJobsHandler} from '../../NodeJobsHandler';
 
 const JOBS = 120;
 const ITEMS = 5;
@@ -73,7 +73,7 @@
     stalenessMs,
   };
   const group = {driver} as unknown as Pick<NodeGroup<JobsState>, 'driver'>;
-  return {counts, desk: new NodeJobsDesk(systemClock, group, () => {})};
+  return {counts, desk: new NodeJobsHandler(systemClock, group, () => {})};
 }
 
 function readOf(job: string, changes: Partial<Extract<JobsRequest, {kind: 'readResults'}>> = {}) {
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeWatch.test.ts
@@ -4,22 +4,22 @@
 
 import {decodeValue, delay, systemClock} from 'stallpaddle';
 import {
+  applyWatchAnswer,
   EMPTY_VIEW,
-  type FleetNews,
+  type FleetHeartbeat,
   type FleetRequest,
+  type FleetStatus,
   type FleetView,
-  type Hello,
-  takeAnswer,
 } from 'stallpaddle-fleet';
 import {NotLeaderError} from 'stallpaddle-replication';
 import {tryLocal} from 'stallpaddle-rpc';
 import {afterEach, describe, expect, test} from 'vitest';
 
 import {FOLLOWER_WATCH_HOLD_MS, FORWARD_MAX_AGE_MS, WATCH_MARGIN_MS} from '../../NodeConstants';
-import {NodeFollowerDesk} from '../../NodeFollowerDesk';
-import {NodeNewsBoard} from '../../NodeNewsBoard';
-import {NodeRelayedHellos} from '../../NodeRelayedHellos';
+import {NodeFollowerHandler} from '../../NodeFollowerHandler';
+import {NodeForwardedHeartbeats} from '../../NodeForwardedHeartbeats';
 import {NodeReplicaSelector, orderReplicaHosts} from '../../NodeReplicaSelector';
+import {NodeStatusPublisher} from '../../NodeStatusPublisher';
 import {NodeWatch} from '../../NodeWatch';
 
 const undo: (() => void)[] = [];
@@ -60,10 +60,10 @@
 }
 
 interface ProcessOptions {
-  readonly hellos?: readonly Hello[];
+  readonly hellos?: readonly FleetHeartbeat[];
   /** Replicas to watch, by preference; none for a process that watches the leader. */
   readonly replicaHosts?: readonly VmId[];
-  readonly relayed?: NodeRelayedHellos;
+  readonly relayed?: NodeForwardedHeartbeats;
 }
 
 function processOf(
@@ -99,12 +99,12 @@
 /** A leader, and followers that forward its fleet status. */
 function fleetOf(replicas: readonly VmId[]) {
   const network = new Network();
-  const received: {readonly ageMs: number; readonly hello: Hello}[] = [];
-  const board = new NodeNewsBoard(systemClock, () => ({ageMs: 0, config: null}));
+  const received: {readonly ageMs: number; readonly hello: FleetHeartbeat}[] = [];
+  const board = new NodeStatusPublisher(systemClock, () => ({ageMs: 0, config: null}));
   let fleet = 0;
-  const publish = (changes: Partial<FleetNews>): void => {
+  const publish = (changes: Partial<FleetStatus>): void => {
     fleet++;
-    board.put({fleet, news: {...EMPTY_VIEW.news, ...changes}, term: 1});
+    board.publish({fleet, news: {...EMPTY_VIEW.news, ...changes}, term: 1});
   };
   network.serve('leader', (request) => {
     received.push(...request.hellos.map((hello) => ({ageMs: 0, hello})), ...request.relayed);
@@ -112,11 +112,11 @@
   });
   publish({controls: ['first']});
   for (const host of replicas) {
-    const relayed = new NodeRelayedHellos();
+    const relayed = new NodeForwardedHeartbeats();
     const {hooks, watch} = processOf(network, {relayed});
-    const desk = new NodeFollowerDesk(systemClock, watch, relayed);
+    const desk = new NodeFollowerHandler(systemClock, watch, relayed);
     hooks.onView = (view, before) => desk.onView(view, before);
-    hooks.onSilence = () => desk.onSilence();
+    hooks.onSilence = () => desk.onUnanswered();
     network.serve(host, (request) => desk.answer(request));
     void watch.run();
   }
@@ -130,7 +130,7 @@
   }
 }
 
-function entry(name: string): Hello {
+function entry(name: string): FleetHeartbeat {
   return {callerAddress: `${name}:1`, kind: 'entry', name, ready: true, zone: 'z'};
 }
 
@@ -188,7 +188,7 @@
     // This follower is reachable, but its own requests are lost.
     const lost = new Network();
     const {watch: cutOff} = processOf(lost);
-    const desk = new NodeFollowerDesk(systemClock, cutOff, new NodeRelayedHellos());
+    const desk = new NodeFollowerHandler(systemClock, cutOff, new NodeForwardedHeartbeats());
     network.serve('cut', (request) => desk.answer(request));
     await delay(50);
     const {watch} = processOf(network, {replicaHosts: ['cut']});
@@ -252,9 +252,9 @@
 
 describe('NodeStatusPublisher', () => {
   test('holds a request for its whole time, and reports how long', async () => {
-    const board = new NodeNewsBoard(systemClock, () => ({ageMs: 5, config: null}));
-    board.put({fleet: 1, news: EMPTY_VIEW.news, term: 1});
-    const view = takeAnswer(
+    const board = new NodeStatusPublisher(systemClock, () => ({ageMs: 5, config: null}));
+    board.publish({fleet: 1, news: EMPTY_VIEW.news, term: 1});
+    const view = applyWatchAnswer(
       EMPTY_VIEW,
       await board.answer({config: null, fleet: 0, term: -1}, 0),
       0,
@@ -268,8 +268,8 @@
   });
 
   test('holds a request of a process with a newer fleet status', async () => {
-    const board = new NodeNewsBoard(systemClock, () => ({ageMs: 0, config: null}));
-    board.put({fleet: 1, news: EMPTY_VIEW.news, term: 1});
+    const board = new NodeStatusPublisher(systemClock, () => ({ageMs: 0, config: null}));
+    board.publish({fleet: 1, news: EMPTY_VIEW.news, term: 1});
     const startedAt = performance.now();
     await board.answer({config: null, fleet: 5, term: 1}, 60);
     await board.answer({config: null, fleet: 0, term: 2}, 60);
@@ -278,13 +278,13 @@
 
   test('rejects held requests once the fleet status may not be sent any more', async () => {
     let maySend = true;
-    const board = new NodeNewsBoard(systemClock, () => {
+    const board = new NodeStatusPublisher(systemClock, () => {
       if (!maySend) {
         throw new NotLeaderError(null);
       }
       return {ageMs: 0, config: null};
     });
-    board.put({fleet: 1, news: EMPTY_VIEW.news, term: 1});
+    board.publish({fleet: 1, news: EMPTY_VIEW.news, term: 1});
     const held = board.answer({config: null, fleet: 1, term: 1}, 2_000);
     maySend = false;
     board.wakeAll();
@@ -334,11 +334,11 @@
 
 describe('NodeForwardedHeartbeats', () => {
   test('forwards all recent heartbeats to each leader, each heartbeat once', () => {
-    const relayed = new NodeRelayedHellos();
+    const relayed = new NodeForwardedHeartbeats();
     const names = (now: number) =>
       relayed.take(now).map(({ageMs, hello}) => [hello.kind === 'entry' && hello.name, ageMs]);
-    relayed.note([entry('a')], 0);
-    relayed.note([entry('b')], 100);
+    relayed.record([entry('a')], 0);
+    relayed.record([entry('b')], 100);
     expect(names(200)).toEqual([
       ['a', 200],
       ['b', 100],
@@ -350,7 +350,7 @@
     ]);
     relayed.confirm(1);
     expect(names(400)).toEqual([]);
-    relayed.note([entry('b')], 450);
+    relayed.record([entry('b')], 450);
     expect(names(500)).toEqual([['b', 50]]);
     relayed.confirm(1);
     relayed.take(600);
--- a/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
+++ b/packages/stallpaddle-relay/src/RelayCrashEvidence.ts
@@ -3,7 +3,7 @@
  */
 import type {EngineView} from 'stallpaddle-fleet';
 
-import {HELD_LEVEL} from 'stallpaddle-fleet';
+import {QUARANTINE_LEVEL} from 'stallpaddle-fleet';
 
 import type {RelayContext, RelayRequest} from './RelayTypes';
 
@@ -72,7 +72,7 @@
    * past its start is not quarantined, whatever others with the same digest did: its stream would be aborted.
    */
   quarantineMs(): number | undefined {
-    if (this.level < HELD_LEVEL) {
+    if (this.level < QUARANTINE_LEVEL) {
       return undefined;
     }
     if (this.isCleared) {
--- a/packages/stallpaddle-relay/src/RelaySuspects.ts
+++ b/packages/stallpaddle-relay/src/RelaySuspects.ts
@@ -6,9 +6,9 @@
 import {errorMessage} from 'stallpaddle';
 import {
   type EngineView,
-  FIRST_HOLD_MS,
-  HELD_LEVEL,
+  FIRST_QUARANTINE_MS,
   type NoteEngineEnd,
+  QUARANTINE_LEVEL,
   type ReleaseRequest,
   type SuspectView,
 } from 'stallpaddle-fleet';
@@ -96,7 +96,7 @@
   }
 
   /**
-   * Suspicion level of a request; it is quarantined from {@link HELD_LEVEL} on.
+   * Suspicion level of a request; it is quarantined from {@link QUARANTINE_LEVEL} on.
    *
    * @param digest the request's digest
    */
@@ -110,7 +110,7 @@
    * @param digest the request's digest
    */
   holdMs(digest: string): number {
-    return this.reported(digest)?.holdMs || FIRST_HOLD_MS;
+    return this.reported(digest)?.holdMs || FIRST_QUARANTINE_MS;
   }
 
   /**
@@ -128,7 +128,7 @@
     }
     const before = this.levelOf(digest);
     const level = known >= before ? before + 1 : before;
-    const held = level >= HELD_LEVEL;
+    const held = level >= QUARANTINE_LEVEL;
     decide(id, {digest, engine: engine.id, held, known, level, startedAtMs: engine.startedAtMs});
     const local: LocalLevel = {level, until: Infinity};
     this.localLevels.set(digest, local);
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
@@ -3,7 +3,7 @@
  * them.
  */
 import {delay, VERDICT_HEADER} from 'stallpaddle';
-import {HELD_LEVEL} from 'stallpaddle-fleet';
+import {QUARANTINE_LEVEL} from 'stallpaddle-fleet';
 import {PLAIN, plainRelay, type StreamEngine, SuspectBoard} from 'stallpaddle-testing';
 import {afterEach, describe, expect, test} from 'vitest';
 
@@ -101,7 +101,7 @@
     await Promise.all(relays.map(({port}) => sendRequest(port, undefined, {}, FATAL)));
     await delay(CHECK_MS);
     const [suspect] = board.suspects.values();
-    expect(suspect!.level).toBeLessThan(HELD_LEVEL);
+    expect(suspect!.level).toBeLessThan(QUARANTINE_LEVEL);
   });
 
   test('is quarantined at the VM that detected it even if it can’t be recorded', async () => {
@@ -194,7 +194,7 @@
     expect(board.suspects.size).toBe(0);
     await suspect(0);
     await suspect(1);
-    expect(others.levelOf(digest)).toBe(HELD_LEVEL);
+    expect(others.levelOf(digest)).toBe(QUARANTINE_LEVEL);
     engines.forEach((engine) => (engine.manners = []));
     await engines.find(({seen}) => seen.length > 0)!.stop();
     expect(await pending).toMatchObject({isComplete: true, status: 200});
