--- a/packages/stallpaddle-gateway/src/GatewayChat.ts
+++ b/packages/stallpaddle-gateway/src/GatewayChat.ts
@@ -12,8 +12,8 @@
 import type {GatewayOnline, OnlineRequest} from './GatewayOnline';
 
 import {callerSignal, isRepeatable, parseBody, readRequestBody, writeChunk} from './GatewayHttp';
+import {GatewayIdempotency} from './GatewayIdempotency';
 import {recordMs} from './GatewayMetrics';
-import {GatewayOnce} from './GatewayOnce';
 
 /** Path of chat completions, here and at engines. */
 export const CHAT_PATH = '/v1/chat/completions';
@@ -36,7 +36,7 @@
 
 /** Answers chat completions. */
 export class GatewayChat {
-  private readonly once: GatewayOnce;
+  private readonly once: GatewayIdempotency;
 
   /**
    * @param context the VM
@@ -46,7 +46,7 @@
     private readonly context: GatewayContext,
     private readonly online: GatewayOnline,
   ) {
-    this.once = new GatewayOnce(context);
+    this.once = new GatewayIdempotency(context);
   }
 
   /**
--- a/packages/stallpaddle-gateway/src/GatewayOnce.ts
+++ b/packages/stallpaddle-gateway/src/GatewayIdempotency.ts
@@ -20,7 +20,7 @@
 }
 
 /** Keeps non-repeatable requests from running twice. */
-export class GatewayOnce {
+export class GatewayIdempotency {
   /**
    * @param context the VM
    */
--- a/packages/stallpaddle-gateway/src/GatewayServices.ts
+++ b/packages/stallpaddle-gateway/src/GatewayServices.ts
@@ -14,7 +14,7 @@
 import type {GatewayOnline, WholeAnswer} from './GatewayOnline';
 
 import {callerSignal, isRepeatable, readRequestBody, writeChunk} from './GatewayHttp';
-import {GatewayOnce} from './GatewayOnce';
+import {GatewayIdempotency} from './GatewayIdempotency';
 
 /** Path prefix of plain services. */
 export const SERVICES_PREFIX = '/services/';
@@ -33,7 +33,7 @@
 
 /** Answers calls to plain services. */
 export class GatewayServices {
-  private readonly once: GatewayOnce;
+  private readonly once: GatewayIdempotency;
   private turn = 0;
 
   /**
@@ -44,7 +44,7 @@
     private readonly context: GatewayContext,
     private readonly online: GatewayOnline,
   ) {
-    this.once = new GatewayOnce(context);
+    this.once = new GatewayIdempotency(context);
   }
 
   /**
