--- a/packages/stallpaddle-gateway/src/GatewayChat.ts
+++ b/packages/stallpaddle-gateway/src/GatewayChat.ts
@@ -9,7 +9,7 @@
 
 import type {CustomerCaller} from './GatewayAuth';
 import type {GatewayContext} from './GatewayContext';
-import type {GatewayOnline, OnlineRequest} from './GatewayOnline';
+import type {GatewayOnlineForwarder, OnlineRequest} from './GatewayOnlineForwarder';
 
 import {callerSignal, isRepeatable, parseBody, readRequestBody, writeChunk} from './GatewayHttp';
 import {GatewayIdempotency} from './GatewayIdempotency';
@@ -44,7 +44,7 @@
    */
   constructor(
     private readonly context: GatewayContext,
-    private readonly online: GatewayOnline,
+    private readonly online: GatewayOnlineForwarder,
   ) {
     this.once = new GatewayIdempotency(context);
   }
--- a/packages/stallpaddle-gateway/src/GatewayIdempotency.ts
+++ b/packages/stallpaddle-gateway/src/GatewayIdempotency.ts
@@ -9,7 +9,7 @@
 
 import type {CustomerCaller} from './GatewayAuth';
 import type {GatewayContext} from './GatewayContext';
-import type {WholeAnswer} from './GatewayOnline';
+import type {WholeAnswer} from './GatewayOnlineForwarder';
 
 import {sha256} from './GatewayAuth';
 import {idempotencyKey} from './GatewayHttp';
--- a/packages/stallpaddle-gateway/src/GatewayOnline.ts
+++ b/packages/stallpaddle-gateway/src/GatewayOnlineForwarder.ts
@@ -62,7 +62,7 @@
 }
 
 /** Online requests of one VM. */
-export class GatewayOnline {
+export class GatewayOnlineForwarder {
   private budget: RetryBudget = FULL_RETRY_BUDGET;
   private readonly queue: GatewayQueue;
   private readonly share = new LimitShare();
--- a/packages/stallpaddle-gateway/src/GatewayServer.ts
+++ b/packages/stallpaddle-gateway/src/GatewayServer.ts
@@ -17,7 +17,7 @@
 import {CHAT_PATH, GatewayChat} from './GatewayChat';
 import {GatewayFiles} from './GatewayFiles';
 import {sendJson, sendRefusal, toRefusal} from './GatewayHttp';
-import {GatewayOnline} from './GatewayOnline';
+import {GatewayOnlineForwarder} from './GatewayOnlineForwarder';
 import {GatewayServices, SERVICES_PREFIX} from './GatewayServices';
 
 const MAX_HEADER_BYTES = 16_384;
@@ -57,7 +57,7 @@
   private readonly batches: GatewayBatches;
   private readonly chat: GatewayChat;
   private readonly files: GatewayFiles;
-  private readonly online: GatewayOnline;
+  private readonly online: GatewayOnlineForwarder;
   private open = 0;
   private readonly server: Server;
   private readonly services: GatewayServices;
@@ -67,7 +67,7 @@
    */
   constructor(private readonly context: GatewayContext) {
     this.auth = new GatewayAuth(context);
-    this.online = new GatewayOnline(context);
+    this.online = new GatewayOnlineForwarder(context);
     this.chat = new GatewayChat(context, this.online);
     this.services = new GatewayServices(context, this.online);
     this.files = new GatewayFiles(context);
--- a/packages/stallpaddle-gateway/src/GatewayServices.ts
+++ b/packages/stallpaddle-gateway/src/GatewayServices.ts
@@ -11,7 +11,7 @@
 
 import type {CustomerCaller} from './GatewayAuth';
 import type {GatewayContext} from './GatewayContext';
-import type {GatewayOnline, WholeAnswer} from './GatewayOnline';
+import type {GatewayOnlineForwarder, WholeAnswer} from './GatewayOnlineForwarder';
 
 import {callerSignal, isRepeatable, readRequestBody, writeChunk} from './GatewayHttp';
 import {GatewayIdempotency} from './GatewayIdempotency';
@@ -42,7 +42,7 @@
    */
   constructor(
     private readonly context: GatewayContext,
-    private readonly online: GatewayOnline,
+    private readonly online: GatewayOnlineForwarder,
   ) {
     this.once = new GatewayIdempotency(context);
   }
--- a/packages/stallpaddle-gateway/src/__tests__/unit/GatewayOnline.test.ts
+++ b/packages/stallpaddle-gateway/src/__tests__/unit/GatewayOnlineForwarder.test.ts
@@ -10,7 +10,7 @@
  * Online requests over failing engines, beside what a naive gateway may promise: own answers only, at
  * most one run where it must not repeat, and `notRun` only when no engine saw the request.
  */
-import {GatewayOnline} from '../../GatewayOnline';
+import {GatewayOnlineForwarder} from '../../GatewayOnlineForwarder';
 import {contextOf, ENGINES} from './GatewayFixtures';
 
 const FATES = ['answers', 'breaksOff', 'busy', 'fails', 'refuses', 'resets'] as const;
@@ -67,7 +67,7 @@
   };
 }
 
-describe('GatewayOnline', () => {
+describe('GatewayOnlineForwarder', () => {
   test(
     'gives own answers, repeats only what may repeat, and says notRun only when nothing ran',
     async () => {
@@ -77,7 +77,7 @@
         fc.array(request, {maxLength: 12, minLength: 1}),
         async (fates, requests) => {
           const engines = new FakeEngines(fates);
-          const online = new GatewayOnline(contextOf(engines.adapter));
+          const online = new GatewayOnlineForwarder(contextOf(engines.adapter));
           const {signal} = new AbortController();
           await Promise.all(
             requests.map(async ({repeatable}, number) => {
@@ -108,7 +108,7 @@
 
   test('brings a request whose runs end unknown to two engines at most: it may have ended both', async () => {
     const engines = new FakeEngines(['resets']);
-    const online = new GatewayOnline(contextOf(engines.adapter));
+    const online = new GatewayOnlineForwarder(contextOf(engines.adapter));
     const {signal} = new AbortController();
     await expect(online.sendWhole(requestOf('r', true), signal)).rejects.toThrow(RefusalError);
     expect(engines.runs.get('r')).toBe(2);
@@ -116,7 +116,7 @@
 
   test('stops retrying when its budget is used up, so that a brown-out is not fed', async () => {
     const engines = new FakeEngines(['resets']);
-    const online = new GatewayOnline(contextOf(engines.adapter));
+    const online = new GatewayOnlineForwarder(contextOf(engines.adapter));
     const {signal} = new AbortController();
     for (let number = 0; number < 50; number++) {
       await online.sendWhole(requestOf(`r${number}`, true), signal).catch(() => {});
