--- a/packages/stallpaddle-gateway/src/GatewayOnlineForwarder.ts
+++ b/packages/stallpaddle-gateway/src/GatewayOnlineForwarder.ts
@@ -28,7 +28,7 @@
 }
 
 /** An engine's answer, counted until it has ended. */
-export interface OnlineAnswer extends BackendAnswer {
+export interface OnlineResponse extends BackendAnswer {
   readonly attemptId: string;
   readonly engine: EngineId;
   /**
@@ -107,7 +107,7 @@
    * @param signal ends it when the caller has gone
    * @throws {RefusalError} when no engine answers
    */
-  send(req: OnlineRequest, signal: AbortSignal): Promise<OnlineAnswer> {
+  send(req: OnlineRequest, signal: AbortSignal): Promise<OnlineResponse> {
     return this.sendAnd(req, signal, (answer) => Promise.resolve(answer));
   }
 
@@ -135,7 +135,7 @@
   private async sendAnd<Result>(
     req: OnlineRequest,
     signal: AbortSignal,
-    take: (answer: OnlineAnswer) => Promise<Result>,
+    take: (answer: OnlineResponse) => Promise<Result>,
   ): Promise<Result> {
     const deadlineAt = this.context.clock.monotonicMs() + this.context.limits.requestMs;
     const excluded: EngineId[] = [];
@@ -222,7 +222,7 @@
     engine: EngineId,
     deadlineAt: number,
     signal: AbortSignal,
-  ): Promise<OnlineAnswer> {
+  ): Promise<OnlineResponse> {
     const {adapterOf, clock, lanes, onRouting, routing} = this.context;
     const adapter = adapterOf(engine);
     const slots = routing().engines.get(engine)?.setup.slots;
