--- a/packages/stallpaddle-gateway/src/GatewayIdempotency.ts
+++ b/packages/stallpaddle-gateway/src/GatewayIdempotency.ts
@@ -9,12 +9,12 @@
 
 import type {CustomerCaller} from './GatewayAuth';
 import type {GatewayContext} from './GatewayContext';
-import type {WholeAnswer} from './GatewayOnlineForwarder';
+import type {BufferedResponse} from './GatewayOnlineForwarder';
 
 import {sha256} from './GatewayAuth';
 import {idempotencyKey} from './GatewayHttp';
 
-function sendStored(res: ServerResponse, {body, contentType, status}: WholeAnswer): void {
+function sendStored(res: ServerResponse, {body, contentType, status}: BufferedResponse): void {
   res.writeHead(status, {'content-length': body.length, 'content-type': contentType});
   res.end(body);
 }
@@ -40,7 +40,7 @@
     req: IncomingMessage,
     content: Uint8Array,
     res: ServerResponse,
-    send: () => Promise<WholeAnswer>,
+    send: () => Promise<BufferedResponse>,
   ): Promise<void> {
     const key = idempotencyKey(req);
     if (key === null) {
@@ -87,7 +87,7 @@
     }
   }
 
-  private async storedAnswer(port: LedgerPort, call: CallRecord): Promise<WholeAnswer> {
+  private async storedAnswer(port: LedgerPort, call: CallRecord): Promise<BufferedResponse> {
     if (call.kind === 'started') {
       throw new RefusalError(
         'conflict',
@@ -104,9 +104,9 @@
     port: LedgerPort,
     {customer}: CustomerCaller,
     key: string,
-    send: () => Promise<WholeAnswer>,
-  ): Promise<WholeAnswer> {
-    let stored: WholeAnswer;
+    send: () => Promise<BufferedResponse>,
+  ): Promise<BufferedResponse> {
+    let stored: BufferedResponse;
     try {
       stored = await send();
     } catch (err) {
--- a/packages/stallpaddle-gateway/src/GatewayOnlineForwarder.ts
+++ b/packages/stallpaddle-gateway/src/GatewayOnlineForwarder.ts
@@ -41,7 +41,7 @@
 }
 
 /** An answer that has arrived whole. */
-export interface WholeAnswer {
+export interface BufferedResponse {
   readonly body: Uint8Array;
   readonly contentType: string;
   readonly status: number;
@@ -119,7 +119,7 @@
    * @param signal ends it when the caller has gone
    * @throws {RefusalError} when no engine answers
    */
-  sendWhole(req: OnlineRequest, signal: AbortSignal): Promise<WholeAnswer> {
+  sendWhole(req: OnlineRequest, signal: AbortSignal): Promise<BufferedResponse> {
     return this.sendAnd(req, signal, async (answer) => {
       try {
         const body = await readBody(answer.body, MAX_ANSWER_BYTES);
--- a/packages/stallpaddle-gateway/src/GatewayServices.ts
+++ b/packages/stallpaddle-gateway/src/GatewayServices.ts
@@ -11,7 +11,7 @@
 
 import type {CustomerCaller} from './GatewayAuth';
 import type {GatewayContext} from './GatewayContext';
-import type {GatewayOnlineForwarder, WholeAnswer} from './GatewayOnlineForwarder';
+import type {BufferedResponse, GatewayOnlineForwarder} from './GatewayOnlineForwarder';
 
 import {callerSignal, isRepeatable, readRequestBody, writeChunk} from './GatewayHttp';
 import {GatewayIdempotency} from './GatewayIdempotency';
@@ -22,7 +22,7 @@
 const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS']);
 const MAX_ANSWER_BYTES = 33_554_432;
 
-async function readWhole(answer: BackendAnswer): Promise<WholeAnswer> {
+async function readWhole(answer: BackendAnswer): Promise<BufferedResponse> {
   try {
     const body = await readBody(answer.body, MAX_ANSWER_BYTES);
     return {body, contentType: answer.contentType, status: answer.status};
