--- a/packages/stallpaddle-cli/src/CliBatch.ts
+++ b/packages/stallpaddle-cli/src/CliBatch.ts
@@ -6,7 +6,7 @@
 import {readFile, writeFile} from 'node:fs/promises';
 import path from 'node:path';
 import {delay, refuse} from 'stallpaddle';
-import {KEY_HEADER, REPEATABLE_HEADER} from 'stallpaddle-gateway';
+import {IDEMPOTENCY_KEY_HEADER, REPEATABLE_HEADER} from 'stallpaddle-gateway';
 
 import type {CliTarget} from './CliClient';
 import type {BatchAnswer} from './CliSchemas';
@@ -73,7 +73,7 @@
     }),
   );
   const headers = {
-    [KEY_HEADER]: options.key ?? randomBytes(16).toString('hex'),
+    [IDEMPOTENCY_KEY_HEADER]: options.key ?? randomBytes(16).toString('hex'),
     [REPEATABLE_HEADER]: String(options.repeatable),
   };
   let batch = await callJson(
--- a/packages/stallpaddle-gateway/src/GatewayHttp.ts
+++ b/packages/stallpaddle-gateway/src/GatewayHttp.ts
@@ -10,7 +10,7 @@
 /** Header by which a caller marks a request as not repeatable: `false`. */
 export const REPEATABLE_HEADER = 'x-stallpaddle-repeatable';
 /** Header that names a request for resends. */
-export const KEY_HEADER = 'idempotency-key';
+export const IDEMPOTENCY_KEY_HEADER = 'idempotency-key';
 
 const MAX_KEY_CHARACTERS = 256;
 const MS_PER_S = 1000;
@@ -98,12 +98,15 @@
  * @param req the request
  */
 export function idempotencyKey(req: IncomingMessage): string | null {
-  const value = req.headers[KEY_HEADER];
+  const value = req.headers[IDEMPOTENCY_KEY_HEADER];
   if (value === undefined) {
     return null;
   }
   if (typeof value !== 'string' || value.length === 0 || value.length > MAX_KEY_CHARACTERS) {
-    throw refuse('badRequest', `${KEY_HEADER} must have 1 to ${MAX_KEY_CHARACTERS} characters`);
+    throw refuse(
+      'badRequest',
+      `${IDEMPOTENCY_KEY_HEADER} must have 1 to ${MAX_KEY_CHARACTERS} characters`,
+    );
   }
   return value;
 }
--- a/packages/stallpaddle-gateway/src/index.ts
+++ b/packages/stallpaddle-gateway/src/index.ts
@@ -1,6 +1,6 @@
 /** HTTP towards callers and operators. */
 export {sha256} from './GatewayAuth';
 export type {GatewayContext} from './GatewayContext';
-export {KEY_HEADER, REPEATABLE_HEADER} from './GatewayHttp';
+export {IDEMPOTENCY_KEY_HEADER, REPEATABLE_HEADER} from './GatewayHttp';
 export {createLatencyHistogram, GatewayMetrics, recordMs} from './GatewayMetrics';
 export {GatewayServer} from './GatewayServer';
