--- a/packages/stallpaddle-gateway/src/GatewayFiles.ts
+++ b/packages/stallpaddle-gateway/src/GatewayFiles.ts
@@ -15,7 +15,7 @@
 import type {GatewayContext} from './GatewayContext';
 
 import {sendJson, writeChunk} from './GatewayHttp';
-import {LineChunker} from './GatewayLines';
+import {GatewayLineChunker} from './GatewayLineChunker';
 
 /** Ending of the names of files that hold a job's results. */
 const OUTPUT_SUFFIX = '-output';
@@ -289,7 +289,7 @@
     stream: Readable & {readonly truncated?: boolean},
   ): Promise<{readonly bytes: number; readonly content: string; readonly size: number}> {
     const hash = createHash('sha256');
-    const chunker = new LineChunker(this.context.config());
+    const chunker = new GatewayLineChunker(this.context.config());
     let bytes = 0;
     let size = 0;
     const save = async (): Promise<void> => {
--- a/packages/stallpaddle-gateway/src/GatewayLines.ts
+++ b/packages/stallpaddle-gateway/src/GatewayLineChunker.ts
@@ -14,7 +14,7 @@
 const NEWLINE = 0x0a;
 
 /** Reads an upload piece by piece. */
-export class LineChunker {
+export class GatewayLineChunker {
   private readonly chunks: UploadedChunk[] = [];
   private readonly customIds = new Set<string>();
   private gathered: string[] = [];
