--- a/packages/stallpaddle-batch/src/BatchDispatcher.ts
+++ b/packages/stallpaddle-batch/src/BatchDispatcher.ts
@@ -14,7 +14,7 @@
 import type {HeldChunk, HeldItem} from './BatchHeld';
 
 import {FILL_INTERVAL_MS, IDLE_LEASE_MS, READY_FACTOR, REPORT_INTERVAL_MS} from './BatchConstants';
-import {BatchLedger} from './BatchLedger';
+import {BatchLedgerClient} from './BatchLedgerClient';
 import {type ItemOutcome, runItem} from './BatchRunner';
 
 /** What the dispatcher sees and uses. */
@@ -44,8 +44,8 @@
 
 /** Batch work of one VM; see the module's comment. */
 export class BatchDispatcher {
-  private readonly idleUntil = new Map<BatchLedger, number>();
-  private readonly ledgers: readonly BatchLedger[];
+  private readonly idleUntil = new Map<BatchLedgerClient, number>();
+  private readonly ledgers: readonly BatchLedgerClient[];
   private nextStream = 0;
   private ready: HeldItem[] = [];
   private readonly running = new Map<EngineId, Map<string, RunningStream>>();
@@ -57,7 +57,7 @@
    */
   constructor(private readonly options: BatchDispatcherOptions) {
     const {clock, ledger, logger, vm} = options;
-    this.ledgers = ledger.all.map((port) => new BatchLedger(vm, port, clock, logger));
+    this.ledgers = ledger.all.map((port) => new BatchLedgerClient(vm, port, clock, logger));
   }
 
   /** Items whose ends the ledger has taken in from this VM. */
@@ -252,7 +252,7 @@
   }
 
   /** Ends what belongs to chunks that are no longer this VM's: cancelled jobs, expired leases. */
-  private dropRevoked(ledger: BatchLedger): void {
+  private dropRevoked(ledger: BatchLedgerClient): void {
     const isGone = (held: HeldItem): boolean => !this.stillHeld(held.chunk);
     this.ready = this.ready.filter((held) => !isGone(held));
     for (const streams of this.running.values()) {
--- a/packages/stallpaddle-batch/src/BatchLedger.ts
+++ b/packages/stallpaddle-batch/src/BatchLedgerClient.ts
@@ -13,7 +13,7 @@
 import {parseItem} from './BatchItems';
 
 /** One shard as this VM deals with it. */
-export class BatchLedger {
+export class BatchLedgerClient {
   private readonly held = new Map<number, HeldChunk>();
   private leasing = false;
   private reporting = false;
--- a/packages/stallpaddle-batch/src/__tests__/unit/BatchLedger.test.ts
+++ b/packages/stallpaddle-batch/src/__tests__/unit/BatchLedgerClient.test.ts
@@ -6,7 +6,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {BATCH_LEASE_MS} from '../../BatchConstants';
-import {BatchLedger} from '../../BatchLedger';
+import {BatchLedgerClient} from '../../BatchLedgerClient';
 
 const TOKEN = 7;
 const CHUNK: LeasedChunk = {
@@ -27,7 +27,7 @@
   readonly commands: LedgerCommand[] = [];
   steadyMs = 50;
   wallMs = 1_790_000_000_000;
-  readonly ledger: BatchLedger;
+  readonly ledger: BatchLedgerClient;
 
   constructor() {
     const port = {
@@ -42,7 +42,7 @@
       readBlob: () => Promise.resolve(Buffer.from('{}')),
     } as unknown as LedgerPort;
     const clock = {monotonicMs: () => this.steadyMs, wallMs: () => this.wallMs};
-    this.ledger = new BatchLedger('vm', port, clock, LOGGER);
+    this.ledger = new BatchLedgerClient('vm', port, clock, LOGGER);
   }
 
   get renewals(): number {
