--- a/packages/stallpaddle-batch/src/BatchHeld.ts
+++ b/packages/stallpaddle-batch/src/BatchChunkLease.ts
@@ -14,14 +14,14 @@
 
 /** An item that waits here or runs at an engine. */
 export interface HeldItem {
-  readonly chunk: HeldChunk;
+  readonly chunk: BatchChunkLease;
   readonly item: number;
   readonly losses: number;
   readonly parsed: BatchItem;
 }
 
 /** A chunk under this VM's lease. */
-export class HeldChunk {
+export class BatchChunkLease {
   private ended: ItemReport[] = [];
   private open: number;
 
--- a/packages/stallpaddle-batch/src/BatchDispatcher.ts
+++ b/packages/stallpaddle-batch/src/BatchDispatcher.ts
@@ -11,7 +11,7 @@
 import {resolveModel} from 'stallpaddle-control';
 import {batchAllowance, streamsToCancel} from 'stallpaddle-routing';
 
-import type {HeldChunk, HeldItem} from './BatchHeld';
+import type {BatchChunkLease, HeldItem} from './BatchChunkLease';
 
 import {FILL_INTERVAL_MS, IDLE_LEASE_MS, READY_FACTOR, REPORT_INTERVAL_MS} from './BatchConstants';
 import {BatchLedgerClient} from './BatchLedgerClient';
@@ -209,7 +209,7 @@
     }
   }
 
-  private stillHeld(chunk: HeldChunk): boolean {
+  private stillHeld(chunk: BatchChunkLease): boolean {
     return this.ledgers.some((ledger) => ledger.holds(chunk));
   }
 
--- a/packages/stallpaddle-batch/src/BatchLedgerClient.ts
+++ b/packages/stallpaddle-batch/src/BatchLedgerClient.ts
@@ -6,15 +6,15 @@
 
 import {errorMessage} from 'stallpaddle';
 
-import type {HeldItem} from './BatchHeld';
+import type {HeldItem} from './BatchChunkLease';
 
+import {BatchChunkLease} from './BatchChunkLease';
 import {BATCH_LEASE_MS} from './BatchConstants';
-import {HeldChunk} from './BatchHeld';
 import {parseItem} from './BatchItems';
 
 /** One shard as this VM deals with it. */
 export class BatchLedgerClient {
-  private readonly held = new Map<number, HeldChunk>();
+  private readonly held = new Map<number, BatchChunkLease>();
   private leasing = false;
   private reporting = false;
   private renewedAt: MonotonicMs = -Infinity;
@@ -67,7 +67,7 @@
       if (answer.kind !== 'leased') {
         return [];
       }
-      const chunks = answer.chunks.map((leased) => new HeldChunk(this.port, leased));
+      const chunks = answer.chunks.map((leased) => new BatchChunkLease(this.port, leased));
       chunks.forEach((chunk) => this.held.set(chunk.token, chunk));
       const items = await Promise.all(chunks.map((chunk) => this.readItems(chunk)));
       return items.flat();
@@ -84,7 +84,7 @@
    *
    * @param chunk the chunk
    */
-  holds(chunk: HeldChunk): boolean {
+  holds(chunk: BatchChunkLease): boolean {
     return this.held.has(chunk.token);
   }
 
@@ -135,7 +135,7 @@
     }
   }
 
-  private async readItems(chunk: HeldChunk): Promise<readonly HeldItem[]> {
+  private async readItems(chunk: BatchChunkLease): Promise<readonly HeldItem[]> {
     const lines = Buffer.from(await this.port.readBlob(chunk.leased.input))
       .toString()
       .split('\n');
--- a/packages/stallpaddle-batch/src/BatchRunner.ts
+++ b/packages/stallpaddle-batch/src/BatchRunner.ts
@@ -8,7 +8,7 @@
 import {drawId, errorMessage, startDeadline} from 'stallpaddle';
 import {BackendError, readBody} from 'stallpaddle-engine';
 
-import type {HeldItem} from './BatchHeld';
+import type {HeldItem} from './BatchChunkLease';
 
 import {ITEM_TIMEOUT_MS, MAX_ANSWER_BYTES} from './BatchConstants';
 import {errorLine, outputLine} from './BatchItems';
