--- a/packages/stallpaddle-batch/src/BatchChunkLease.ts
+++ b/packages/stallpaddle-batch/src/BatchChunkLease.ts
@@ -13,7 +13,7 @@
 import type {BatchItem} from './BatchItems';
 
 /** An item that waits here or runs at an engine. */
-export interface HeldItem {
+export interface LeasedItem {
   readonly chunk: BatchChunkLease;
   readonly item: number;
   readonly losses: number;
--- a/packages/stallpaddle-batch/src/BatchDispatcher.ts
+++ b/packages/stallpaddle-batch/src/BatchDispatcher.ts
@@ -11,7 +11,7 @@
 import {resolveModel} from 'stallpaddle-control';
 import {batchAllowance, streamsToCancel} from 'stallpaddle-routing';
 
-import type {BatchChunkLease, HeldItem} from './BatchChunkLease';
+import type {BatchChunkLease, LeasedItem} from './BatchChunkLease';
 
 import {FILL_INTERVAL_MS, IDLE_LEASE_MS, READY_FACTOR, REPORT_INTERVAL_MS} from './BatchConstants';
 import {BatchLedgerClient} from './BatchLedgerClient';
@@ -39,7 +39,7 @@
 interface RunningStream extends BatchStream {
   readonly alone: boolean;
   readonly cancel: () => void;
-  readonly held: HeldItem;
+  readonly held: LeasedItem;
 }
 
 /** Batch work of one VM; see the module's comment. */
@@ -47,7 +47,7 @@
   private readonly idleUntil = new Map<BatchLedgerClient, number>();
   private readonly ledgers: readonly BatchLedgerClient[];
   private nextStream = 0;
-  private ready: HeldItem[] = [];
+  private ready: LeasedItem[] = [];
   private readonly running = new Map<EngineId, Map<string, RunningStream>>();
   private stopping = false;
   private timers: readonly NodeJS.Timeout[] = [];
@@ -163,7 +163,7 @@
     engine: EngineId,
     weights: readonly string[],
     engineIsIdle: boolean,
-  ): HeldItem | undefined {
+  ): LeasedItem | undefined {
     const config = this.options.config();
     const index = this.ready.findIndex((held) => {
       const model = resolveModel(config, held.parsed.body.model);
@@ -174,7 +174,7 @@
   }
 
   private async run(
-    held: HeldItem,
+    held: LeasedItem,
     engine: EngineId,
     adapter: EngineAdapter,
     slots: number,
@@ -201,7 +201,7 @@
     this.fill();
   }
 
-  private settle(held: HeldItem, outcome: ItemOutcome): void {
+  private settle(held: LeasedItem, outcome: ItemOutcome): void {
     if (outcome.kind === 'report') {
       held.chunk.note(outcome.report);
     } else if (this.stillHeld(held.chunk) && !this.stopping) {
@@ -253,7 +253,7 @@
 
   /** Ends what belongs to chunks that are no longer this VM's: cancelled jobs, expired leases. */
   private dropRevoked(ledger: BatchLedgerClient): void {
-    const isGone = (held: HeldItem): boolean => !this.stillHeld(held.chunk);
+    const isGone = (held: LeasedItem): boolean => !this.stillHeld(held.chunk);
     this.ready = this.ready.filter((held) => !isGone(held));
     for (const streams of this.running.values()) {
       for (const stream of streams.values()) {
--- a/packages/stallpaddle-batch/src/BatchLedgerClient.ts
+++ b/packages/stallpaddle-batch/src/BatchLedgerClient.ts
@@ -6,7 +6,7 @@
 
 import {errorMessage} from 'stallpaddle';
 
-import type {HeldItem} from './BatchChunkLease';
+import type {LeasedItem} from './BatchChunkLease';
 
 import {BatchChunkLease} from './BatchChunkLease';
 import {BATCH_LEASE_MS} from './BatchConstants';
@@ -50,7 +50,7 @@
    * @param maxItems how many items there is room for
    * @returns items to run, or none when another lease call is under way or nothing waits
    */
-  async lease(models: readonly string[], maxItems: number): Promise<readonly HeldItem[]> {
+  async lease(models: readonly string[], maxItems: number): Promise<readonly LeasedItem[]> {
     if (this.leasing || models.length === 0) {
       return [];
     }
@@ -135,7 +135,7 @@
     }
   }
 
-  private async readItems(chunk: BatchChunkLease): Promise<readonly HeldItem[]> {
+  private async readItems(chunk: BatchChunkLease): Promise<readonly LeasedItem[]> {
     const lines = Buffer.from(await this.port.readBlob(chunk.leased.input))
       .toString()
       .split('\n');
--- a/packages/stallpaddle-batch/src/BatchRunner.ts
+++ b/packages/stallpaddle-batch/src/BatchRunner.ts
@@ -8,7 +8,7 @@
 import {drawId, errorMessage, startDeadline} from 'stallpaddle';
 import {BackendError, readBody} from 'stallpaddle-engine';
 
-import type {HeldItem} from './BatchChunkLease';
+import type {LeasedItem} from './BatchChunkLease';
 
 import {ITEM_TIMEOUT_MS, MAX_ANSWER_BYTES} from './BatchConstants';
 import {errorLine, outputLine} from './BatchItems';
@@ -27,12 +27,12 @@
   readonly weights: string;
 }
 
-function lost(held: HeldItem, message: string): ItemOutcome {
+function lost(held: LeasedItem, message: string): ItemOutcome {
   const line = errorLine(held.parsed.customId, 'engineLost', message);
   return {failed: true, kind: 'report', report: {item: held.item, kind: 'lost', line}};
 }
 
-function outcomeOfError(held: HeldItem, err: unknown, signal: AbortSignal): ItemOutcome {
+function outcomeOfError(held: LeasedItem, err: unknown, signal: AbortSignal): ItemOutcome {
   const notRun = err instanceof BackendError && err.verdict === 'notRun';
   if (notRun) {
     const report: ItemReport = {item: held.item, kind: 'returned', line: ''};
@@ -46,7 +46,7 @@
   return lost(held, errorMessage(err));
 }
 
-async function send(held: HeldItem, place: ItemPlace, signal: AbortSignal): Promise<ItemOutcome> {
+async function send(held: LeasedItem, place: ItemPlace, signal: AbortSignal): Promise<ItemOutcome> {
   const attemptId = drawId('item');
   const {customId} = held.parsed;
   const body = {...held.parsed.body, model: place.weights, stream: false};
@@ -73,7 +73,7 @@
   return {failed: false, kind: 'report', report: {item: held.item, kind, line}};
 }
 
-async function mayStart(held: HeldItem): Promise<boolean> {
+async function mayStart(held: LeasedItem): Promise<boolean> {
   if (held.chunk.leased.repeatable) {
     return true;
   }
@@ -93,7 +93,7 @@
  * @param signal cancels it
  */
 export async function runItem(
-  held: HeldItem,
+  held: LeasedItem,
   place: ItemPlace,
   signal: AbortSignal,
 ): Promise<ItemOutcome> {
