--- a/packages/stallpaddle-batch/src/BatchRunner.ts
+++ b/packages/stallpaddle-batch/src/BatchRunner.ts
@@ -19,7 +19,7 @@
   | {readonly failed: boolean; readonly kind: 'again'};
 
 /** Where an item runs. */
-export interface ItemPlace {
+export interface ItemTarget {
   readonly adapter: EngineAdapter;
   readonly engine: EngineId;
   readonly lanes: EngineLanes;
@@ -46,7 +46,11 @@
   return lost(held, errorMessage(err));
 }
 
-async function send(held: LeasedItem, place: ItemPlace, signal: AbortSignal): Promise<ItemOutcome> {
+async function send(
+  held: LeasedItem,
+  place: ItemTarget,
+  signal: AbortSignal,
+): Promise<ItemOutcome> {
   const attemptId = drawId('item');
   const {customId} = held.parsed;
   const body = {...held.parsed.body, model: place.weights, stream: false};
@@ -94,7 +98,7 @@
  */
 export async function runItem(
   held: LeasedItem,
-  place: ItemPlace,
+  place: ItemTarget,
   signal: AbortSignal,
 ): Promise<ItemOutcome> {
   try {
