--- a/packages/stallpaddle-batch/src/BatchConstants.ts
+++ b/packages/stallpaddle-batch/src/BatchConstants.ts
@@ -21,4 +21,4 @@
 export const ITEM_TIMEOUT_MS = 120_000;
 
 /** Most bytes of one answer. */
-export const MAX_ANSWER_BYTES = 8_388_608;
+export const MAX_RESPONSE_BYTES = 8_388_608;
--- a/packages/stallpaddle-batch/src/BatchRunner.ts
+++ b/packages/stallpaddle-batch/src/BatchRunner.ts
@@ -10,7 +10,7 @@
 
 import type {LeasedItem} from './BatchChunkLease';
 
-import {ITEM_TIMEOUT_MS, MAX_ANSWER_BYTES} from './BatchConstants';
+import {ITEM_TIMEOUT_MS, MAX_RESPONSE_BYTES} from './BatchConstants';
 import {errorLine, outputLine} from './BatchItems';
 
 /** What became of an item: an end for the ledger, or back to the waiting ones. */
@@ -67,7 +67,7 @@
     },
     signal,
   );
-  const text = (await readBody(answer.body, MAX_ANSWER_BYTES)).toString();
+  const text = (await readBody(answer.body, MAX_RESPONSE_BYTES)).toString();
   if (answer.status >= 500) {
     return lost(held, `the engine answered with ${answer.status}`);
   }
