--- a/packages/stallpaddle-batch/src/BatchConstants.ts
+++ b/packages/stallpaddle-batch/src/BatchConstants.ts
@@ -12,7 +12,7 @@
 export const REPORT_INTERVAL_MS = 50;
 
 /** Time before a shard that had nothing is asked again, in milliseconds. */
-export const IDLE_LEASE_MS = 250;
+export const IDLE_SHARD_RETRY_MS = 250;
 
 /** Items kept ready beyond what the engines have room for, as a multiple of that room. */
 export const READY_FACTOR = 1;
--- a/packages/stallpaddle-batch/src/BatchDispatcher.ts
+++ b/packages/stallpaddle-batch/src/BatchDispatcher.ts
@@ -13,7 +13,12 @@
 
 import type {BatchChunkLease, LeasedItem} from './BatchChunkLease';
 
-import {FILL_INTERVAL_MS, IDLE_LEASE_MS, READY_FACTOR, REPORT_INTERVAL_MS} from './BatchConstants';
+import {
+  FILL_INTERVAL_MS,
+  IDLE_SHARD_RETRY_MS,
+  READY_FACTOR,
+  REPORT_INTERVAL_MS,
+} from './BatchConstants';
 import {BatchLedgerClient} from './BatchLedgerClient';
 import {type ItemOutcome, runItem} from './BatchRunner';
 
@@ -230,7 +235,7 @@
     const asked = this.ledgers.filter((ledger) => (this.idleUntil.get(ledger) ?? 0) <= now);
     for (const ledger of asked) {
       // Set before the answer so that a shard is asked once at a time.
-      this.idleUntil.set(ledger, now + IDLE_LEASE_MS);
+      this.idleUntil.set(ledger, now + IDLE_SHARD_RETRY_MS);
       const items = await ledger.lease(models, Math.ceil(wanted / asked.length));
       if (items.length > 0) {
         this.idleUntil.set(ledger, 0);
