--- a/packages/stallpaddle-batch/src/BatchConstants.ts
+++ b/packages/stallpaddle-batch/src/BatchConstants.ts
@@ -15,7 +15,7 @@
 export const IDLE_SHARD_RETRY_MS = 250;
 
 /** Items kept ready beyond what the engines have room for, as a multiple of that room. */
-export const READY_FACTOR = 1;
+export const PREFETCH_FACTOR = 1;
 
 /** Longest time for one item at an engine, in milliseconds. */
 export const ITEM_TIMEOUT_MS = 120_000;
--- a/packages/stallpaddle-batch/src/BatchDispatcher.ts
+++ b/packages/stallpaddle-batch/src/BatchDispatcher.ts
@@ -16,7 +16,7 @@
 import {
   FILL_INTERVAL_MS,
   IDLE_SHARD_RETRY_MS,
-  READY_FACTOR,
+  PREFETCH_FACTOR,
   REPORT_INTERVAL_MS,
 } from './BatchConstants';
 import {BatchLedgerClient} from './BatchLedgerClient';
@@ -120,7 +120,7 @@
     for (const engine of owned) {
       room += this.fillEngine(engine);
     }
-    void this.leaseMore(owned, Math.ceil(room * (1 + READY_FACTOR)) - this.ready.length);
+    void this.leaseMore(owned, Math.ceil(room * (1 + PREFETCH_FACTOR)) - this.ready.length);
   }
 
   /** Items that nothing was sent of go back, so that their chunks end here. */
