--- a/packages/stallpaddle-batch/src/BatchItems.ts
+++ b/packages/stallpaddle-batch/src/BatchItems.ts
@@ -84,6 +84,6 @@
  *
  * @param customId the item's name
  */
-export function lostEndLine(customId: string): string {
+export function unknownOutcomeLine(customId: string): string {
   return errorLine(customId, 'mayHaveRun', 'the item may have run and its end is not known');
 }
--- a/packages/stallpaddle-gateway/src/GatewayFiles.ts
+++ b/packages/stallpaddle-gateway/src/GatewayFiles.ts
@@ -9,7 +9,7 @@
 import busboy from 'busboy';
 import {createHash} from 'node:crypto';
 import {drawId, errorMessage, RefusalError, refuse} from 'stallpaddle';
-import {lostEndLine, parseItem} from 'stallpaddle-batch';
+import {parseItem, unknownOutcomeLine} from 'stallpaddle-batch';
 
 import type {CustomerCaller} from './GatewayAuth';
 import type {GatewayContext} from './GatewayContext';
@@ -194,7 +194,7 @@
         Buffer.from(await port.readBlob(input))
           .toString()
           .split('\n')[item] ?? '';
-      lines += `${lostEndLine(parseItem(text, item + 1).customId)}\n`;
+      lines += `${unknownOutcomeLine(parseItem(text, item + 1).customId)}\n`;
     }
     return lines;
   }
