--- a/packages/stallpaddle-batch/src/BatchChunkLease.ts
+++ b/packages/stallpaddle-batch/src/BatchChunkLease.ts
@@ -1,5 +1,5 @@
 /**
- * Chunks that this VM holds, and what became of their items.
+ * Leased chunks and the outcomes of their items.
  */
 import type {CustomerId} from 'stallpaddle';
 import type {
@@ -12,7 +12,7 @@
 
 import type {BatchItem} from './BatchItems';
 
-/** An item that waits here or runs at an engine. */
+/** An item of a leased chunk that is ready to run or runs on an engine. */
 export interface LeasedItem {
   readonly chunk: BatchChunkLease;
   readonly item: number;
@@ -20,70 +20,70 @@
   readonly parsed: BatchItem;
 }
 
-/** A chunk under this VM's lease. */
+/** Tracks the open items of a leased chunk and the outcomes that are still to be reported to the ledger. */
 export class BatchChunkLease {
-  private ended: ItemReport[] = [];
-  private open: number;
+  private unreported: ItemReport[] = [];
+  private openItems: number;
 
   /**
-   * @param port shard that leased it
+   * @param port ledger shard of the chunk
    * @param leased the lease
    */
   constructor(
     readonly port: LedgerPort,
     readonly leased: LeasedChunk,
   ) {
-    this.open = leased.items.length;
+    this.openItems = leased.items.length;
   }
 
-  /** Fencing number of the lease. */
+  /** Fencing token of the lease. */
   get token(): LeaseToken {
     return this.leased.token;
   }
 
-  /** Whose job it belongs to. */
+  /** Customer that owns the job. */
   get customer(): CustomerId {
     return this.leased.customer;
   }
 
-  /** Whether there is something to tell the ledger. */
+  /** Whether there are outcomes to report to the ledger. */
   get hasReport(): boolean {
-    return this.ended.length > 0;
+    return this.unreported.length > 0;
   }
 
-  /** Whether this VM has nothing left to do for the chunk but to report. */
+  /** Whether every item has an outcome here, so that the chunk can be released. */
   get isIdle(): boolean {
-    return this.open === 0;
+    return this.openItems === 0;
   }
 
   /**
-   * Notes what became of an item here.
+   * Records the outcome of an item.
    *
-   * @param report its end, loss or return
+   * @param report the item's result, loss or return
    */
-  note(report: ItemReport): void {
-    this.ended.push(report);
-    this.open--;
+  recordOutcome(report: ItemReport): void {
+    this.unreported.push(report);
+    this.openItems--;
   }
 
   /**
-   * Takes the report to send now.
+   * Removes the unreported outcomes and returns a report of them.
    *
-   * @param release give the chunk back with whatever is open
+   * @param release whether the chunk is released, with all items that are still open
    */
   takeReport(release: boolean): ChunkReport {
-    const items = this.ended;
-    this.ended = [];
+    const items = this.unreported;
+    this.unreported = [];
     const {chunk, jobId, token} = this.leased;
     return {chunk, items, jobId, release, token};
   }
 
   /**
-   * Puts a report back that could not be delivered.
+   * Restores the outcomes of a report that could not be delivered.
    *
    * @param report from {@link takeReport}
    */
   restoreReport(report: ChunkReport): void {
-    this.ended = [...report.items, ...this.ended];
+    this.unreported = [...report.items, ...this.unreported];
   }
 }
--- a/packages/stallpaddle-batch/src/BatchConstants.ts
+++ b/packages/stallpaddle-batch/src/BatchConstants.ts
@@ -1,24 +1,24 @@
 /**
- * Times and sizes of batch work on a VM.
+ * Timing and size limits of batch work on a VM.
  */
 
-/** Life of a chunk's lease without renewal, in milliseconds. */
+/** Duration of a chunk's lease without renewal, in milliseconds. */
 export const BATCH_LEASE_MS = 4_000;
 
-/** Time between looks at the engines when nothing happens, in milliseconds. */
+/** Interval between scheduling passes if nothing else starts one, in milliseconds. */
 export const FILL_INTERVAL_MS = 100;
 
-/** Time between reports to the ledger, in milliseconds. */
+/** Interval between reports to the ledger, in milliseconds. */
 export const REPORT_INTERVAL_MS = 50;
 
-/** Time before a shard that had nothing is asked again, in milliseconds. */
+/** Pause before a shard without items to lease is asked again, in milliseconds. */
 export const IDLE_SHARD_RETRY_MS = 250;
 
-/** Items kept ready beyond what the engines have room for, as a multiple of that room. */
+/** Items leased ahead beyond the free engine slots, as a multiple of these slots. */
 export const PREFETCH_FACTOR = 1;
 
-/** Longest time for one item at an engine, in milliseconds. */
+/** Longest run of one item on an engine, in milliseconds. */
 export const ITEM_TIMEOUT_MS = 120_000;
 
-/** Most bytes of one answer. */
+/** Largest response to one item, in bytes. */
 export const MAX_RESPONSE_BYTES = 8_388_608;
--- a/packages/stallpaddle-batch/src/BatchDispatcher.ts
+++ b/packages/stallpaddle-batch/src/BatchDispatcher.ts
@@ -1,5 +1,5 @@
 /**
- * Fills the engines that this VM owns with batch work, and makes room when online work comes.
+ * Scheduling of batch items on a VM's engines.
  */
 import type {Clock, EngineId, Logger, VmId} from 'stallpaddle';
 import type {FleetConfig} from 'stallpaddle-control';
@@ -22,7 +22,7 @@
 import {BatchLedgerClient} from './BatchLedgerClient';
 import {type ItemOutcome, runItem} from './BatchRunner';
 
-/** What the dispatcher sees and uses. */
+/** Dependencies of the dispatcher. */
 export interface BatchDispatcherOptions {
   readonly adapterOf: (engine: EngineId) => EngineAdapter | undefined;
   readonly clock: Clock;
@@ -30,24 +30,24 @@
   readonly lanes: EngineLanes;
   readonly ledger: LedgerPorts;
   readonly logger: Logger;
-  /** Whether this VM may take on new work: fresh configuration, not leaving. */
+  /** Whether this VM may start new work: its configuration is up to date and it is not leaving. */
   readonly mayStart: () => boolean;
   readonly onRouting: (event: RoutingEvent) => void;
   /** Engines whose batch work this VM places. */
   readonly ownedEngines: () => readonly EngineId[];
   readonly routing: () => RoutingState;
   readonly vm: VmId;
-  /** Models with items that wait for a lease; a lease call costs a place in the log. */
+  /** Models with items that wait for a lease. Only these are requested, as each lease call costs a log entry. */
   readonly waitingModels: () => readonly string[];
 }
 
 interface RunningStream extends BatchStream {
   readonly alone: boolean;
   readonly cancel: () => void;
-  readonly held: LeasedItem;
+  readonly leasedItem: LeasedItem;
 }
 
-/** Batch work of one VM; see the module's comment. */
+/** Runs batch items on free slots of the VM's own engines and cancels them when online requests need the slots. */
 export class BatchDispatcher {
   private readonly idleUntil = new Map<BatchLedgerClient, number>();
   private readonly ledgers: readonly BatchLedgerClient[];
@@ -58,24 +58,24 @@
   private timers: readonly NodeJS.Timeout[] = [];
 
   /**
-   * @param options what the dispatcher sees and uses
+   * @param options dependencies
    */
   constructor(private readonly options: BatchDispatcherOptions) {
     const {clock, ledger, logger, vm} = options;
     this.ledgers = ledger.all.map((port) => new BatchLedgerClient(vm, port, clock, logger));
   }
 
-  /** Items whose ends the ledger has taken in from this VM. */
+  /** Number of item reports from this VM that the ledger has received. */
   get reportedItems(): number {
     return this.ledgers.reduce((sum, ledger) => sum + ledger.reportedItems, 0);
   }
 
-  /** Batch streams that run now. */
+  /** Number of running batch streams. */
   get runningStreams(): number {
     return [...this.running.values()].reduce((sum, streams) => sum + streams.size, 0);
   }
 
-  /** Starts to look for work. */
+  /** Starts the periodic scheduling passes and reports. */
   start(): void {
     this.timers = [
       setInterval(() => this.fill(), FILL_INTERVAL_MS),
@@ -83,16 +83,16 @@
     ];
   }
 
-  /** Stops new work, cancels what may be repeated, and gives all leases back. */
+  /** Stops starting items, cancels repeatable streams, waits for the others and releases all leases. */
   async stop(): Promise<void> {
     this.stopping = true;
-    this.giveBackReady();
+    this.returnReadyItems();
     for (const streams of this.running.values()) {
       streamsToCancel([...streams.values()], 0).forEach((stream) =>
         streams.get(stream.id)?.cancel(),
       );
     }
-    // Streams that must not be repeated end first; their outcome is part of the report.
+    // Waits for the streams that must not be repeated, so that the last report includes their outcomes.
     while (this.runningStreams > 0) {
       await delay(FILL_INTERVAL_MS);
     }
@@ -100,33 +100,33 @@
     await this.report(true);
   }
 
-  /** Ends at once, as a killed process would. */
+  /** Stops at once without a report, like a killed process. */
   abort(): void {
     this.stopping = true;
     this.timers.forEach((timer) => clearInterval(timer));
   }
 
-  /** Looks at each owned engine: too many streams are cancelled, room is filled. */
+  /** Runs a scheduling pass: cancels excess streams, starts items on free slots and leases more. */
   fill(): void {
     const owned = this.options.ownedEngines();
     for (const engine of this.running.keys()) {
-      this.makeRoom(engine, owned.includes(engine) ? this.allowance(engine).keep : 0);
+      this.cancelExcess(engine, owned.includes(engine) ? this.allowance(engine).keep : 0);
     }
     if (this.stopping || !this.options.mayStart()) {
-      this.giveBackReady();
+      this.returnReadyItems();
       return;
     }
-    let room = 0;
+    let freeSlots = 0;
     for (const engine of owned) {
-      room += this.fillEngine(engine);
+      freeSlots += this.fillEngine(engine);
     }
-    void this.leaseMore(owned, Math.ceil(room * (1 + PREFETCH_FACTOR)) - this.ready.length);
+    void this.leaseMore(owned, Math.ceil(freeSlots * (1 + PREFETCH_FACTOR)) - this.ready.length);
   }
 
-  /** Items that nothing was sent of go back, so that their chunks end here. */
-  private giveBackReady(): void {
+  /** Returns all items that were not sent to an engine, so that their chunks can be released. */
+  private returnReadyItems(): void {
     for (const {chunk, item} of this.ready) {
-      chunk.note({item, kind: 'returned', line: ''});
+      chunk.recordOutcome({item, kind: 'returned', line: ''});
     }
     this.ready = [];
   }
@@ -136,14 +136,14 @@
     return batchAllowance(routing(), engine, clock.monotonicMs());
   }
 
-  private makeRoom(engine: EngineId, allowance: number): void {
+  private cancelExcess(engine: EngineId, allowance: number): void {
     const streams = this.streamsOf(engine);
     for (const stream of streamsToCancel([...streams.values()], allowance)) {
       streams.get(stream.id)?.cancel();
     }
   }
 
-  /** Starts waiting items on an engine; returns how many more it had room for. */
+  /** Starts ready items on an engine; returns how many more it could run. */
   private fillEngine(engine: EngineId): number {
     const view = this.options.routing().engines.get(engine);
     const adapter = this.options.adapterOf(engine);
@@ -151,70 +151,74 @@
       return 0;
     }
     const streams = this.streamsOf(engine);
-    let room = this.allowance(engine).start - streams.size;
-    while (room > 0 && ![...streams.values()].some((stream) => stream.alone)) {
-      const held = this.takeReady(engine, view.load.weights, streams.size === 0);
-      if (held === undefined) {
-        return room;
+    let freeSlots = this.allowance(engine).start - streams.size;
+    while (freeSlots > 0 && ![...streams.values()].some((stream) => stream.alone)) {
+      const leasedItem = this.takeReady(engine, view.load.weights, streams.size === 0);
+      if (leasedItem === undefined) {
+        return freeSlots;
       }
-      void this.run(held, engine, adapter, view.setup.slots);
-      room--;
+      void this.run(leasedItem, engine, adapter, view.setup.slots);
+      freeSlots--;
     }
     return 0;
   }
 
-  /** Next waiting item for an engine. An item that engines were lost with runs alone. */
+  /** Takes the next ready item that an engine can run. An item whose earlier runs lost their engines must run alone. */
   private takeReady(
     engine: EngineId,
     weights: readonly string[],
     engineIsIdle: boolean,
   ): LeasedItem | undefined {
     const config = this.options.config();
-    const index = this.ready.findIndex((held) => {
-      const model = resolveModel(config, held.parsed.body.model);
+    const index = this.ready.findIndex((leasedItem) => {
+      const model = resolveModel(config, leasedItem.parsed.body.model);
       const fits = model?.engines.includes(engine) === true && weights.includes(model.weights);
-      return fits && (held.losses === 0 || engineIsIdle);
+      return fits && (leasedItem.losses === 0 || engineIsIdle);
     });
     return index < 0 ? undefined : this.ready.splice(index, 1)[0];
   }
 
   private async run(
-    held: LeasedItem,
+    leasedItem: LeasedItem,
     engine: EngineId,
     adapter: EngineAdapter,
     slots: number,
   ): Promise<void> {
     const {clock, lanes, onRouting} = this.options;
-    const weights = resolveModel(this.options.config(), held.parsed.body.model)!.weights;
+    const weights = resolveModel(this.options.config(), leasedItem.parsed.body.model)!.weights;
     const aborter = new AbortController();
     const stream: RunningStream = {
-      alone: held.losses > 0,
+      alone: leasedItem.losses > 0,
       cancel: () => aborter.abort(),
-      held,
       id: String(this.nextStream++),
-      repeatable: held.chunk.leased.repeatable,
+      leasedItem,
+      repeatable: leasedItem.chunk.leased.repeatable,
       startedAt: clock.monotonicMs(),
     };
     const streams = this.streamsOf(engine);
     streams.set(stream.id, stream);
     onRouting({engine, kind: 'started', work: 'batch'});
-    const outcome = await runItem(held, {adapter, engine, lanes, slots, weights}, aborter.signal);
+    const outcome = await runItem(
+      leasedItem,
+      {adapter, engine, lanes, slots, weights},
+      aborter.signal,
+    );
     streams.delete(stream.id);
     const ended = outcome.failed ? 'failed' : aborter.signal.aborted ? 'cancelled' : 'succeeded';
     onRouting({engine, kind: 'ended', outcome: ended, tokenMs: 0, work: 'batch'});
-    this.settle(held, outcome);
+    this.handleOutcome(leasedItem, outcome);
     this.fill();
   }
 
-  private settle(held: LeasedItem, outcome: ItemOutcome): void {
+  private handleOutcome(leasedItem: LeasedItem, outcome: ItemOutcome): void {
     if (outcome.kind === 'report') {
-      held.chunk.note(outcome.report);
-    } else if (this.stillHeld(held.chunk) && !this.stopping) {
-      this.ready.unshift(held);
+      leasedItem.chunk.recordOutcome(outcome.report);
+    } else if (this.isLeased(leasedItem.chunk) && !this.stopping) {
+      this.ready.unshift(leasedItem);
     }
   }
 
-  private stillHeld(chunk: BatchChunkLease): boolean {
+  private isLeased(chunk: BatchChunkLease): boolean {
     return this.ledgers.some((ledger) => ledger.holds(chunk));
   }
 
@@ -232,11 +236,11 @@
       return;
     }
     const now = this.options.clock.monotonicMs();
-    const asked = this.ledgers.filter((ledger) => (this.idleUntil.get(ledger) ?? 0) <= now);
-    for (const ledger of asked) {
-      // Set before the answer so that a shard is asked once at a time.
+    const dueLedgers = this.ledgers.filter((ledger) => (this.idleUntil.get(ledger) ?? 0) <= now);
+    for (const ledger of dueLedgers) {
+      // Set before the answer arrives, so that a shard gets one lease call at a time.
       this.idleUntil.set(ledger, now + IDLE_SHARD_RETRY_MS);
-      const items = await ledger.lease(models, Math.ceil(wanted / asked.length));
+      const items = await ledger.lease(models, Math.ceil(wanted / dueLedgers.length));
       if (items.length > 0) {
         this.idleUntil.set(ledger, 0);
         this.ready.push(...items);
@@ -256,18 +260,18 @@
     );
   }
 
-  /** Ends what belongs to chunks that are no longer this VM's: cancelled jobs, expired leases. */
+  /** Drops ready items and cancels streams whose leases were revoked: the job was cancelled or the lease expired. */
   private dropRevoked(ledger: BatchLedgerClient): void {
-    const isGone = (held: LeasedItem): boolean => !this.stillHeld(held.chunk);
-    this.ready = this.ready.filter((held) => !isGone(held));
+    const isRevoked = (leasedItem: LeasedItem): boolean => !this.isLeased(leasedItem.chunk);
+    this.ready = this.ready.filter((leasedItem) => !isRevoked(leasedItem));
     for (const streams of this.running.values()) {
       for (const stream of streams.values()) {
-        if (isGone(stream.held)) {
+        if (isRevoked(stream.leasedItem)) {
           stream.cancel();
         }
       }
     }
-    this.options.logger.info('Leases were revoked.', {held: ledger.heldCount});
+    this.options.logger.info('Leases were revoked.', {held: ledger.leaseCount});
   }
 
   private streamsOf(engine: EngineId): Map<string, RunningStream> {
--- a/packages/stallpaddle-batch/src/BatchItems.ts
+++ b/packages/stallpaddle-batch/src/BatchItems.ts
@@ -1,5 +1,5 @@
 /**
- * Input and output lines of batch files, in the form that OpenAI's batch interface uses.
+ * Input and output lines of batch files in the format of OpenAI's batch API.
  */
 import {drawId, errorMessage, refuse} from 'stallpaddle';
 import {z} from 'zod';
@@ -19,11 +19,11 @@
 }
 
 /**
- * Reads an input line.
+ * Parses an input line.
  *
  * @param text the line
  * @param line its number, from 1
- * @throws {RefusalError} `badRequest` that names the line
+ * @throws {RefusalError} `badRequest` with the number of the line
  */
 export function parseItem(text: string, line: number): BatchItem {
   let value: unknown;
@@ -42,12 +42,12 @@
 }
 
 /**
- * Line of an item that was answered.
+ * Formats the output line of an item that got a response.
  *
- * @param customId the item's name
- * @param requestId id of the attempt that answered
- * @param status HTTP status of the answer
- * @param body the answer, parsed
+ * @param customId the item's `custom_id`
+ * @param requestId id of the attempt
+ * @param status HTTP status of the response
+ * @param body the parsed response body
  */
 export function outputLine(
   customId: string,
@@ -64,11 +64,11 @@
 }
 
 /**
- * Line of an item that ended without an answer.
+ * Formats the error line of an item without a response.
  *
- * @param customId the item's name
- * @param code stable reason
- * @param message one sentence
+ * @param customId the item's `custom_id`
+ * @param code error code
+ * @param message error message
  */
 export function errorLine(customId: string, code: string, message: string): string {
   return JSON.stringify({
@@ -80,10 +80,10 @@
 }
 
 /**
- * Line of an item that may have run and whose end nobody knows.
+ * Formats the error line of an item that may have run and whose outcome is unknown.
  *
- * @param customId the item's name
+ * @param customId the item's `custom_id`
  */
 export function unknownOutcomeLine(customId: string): string {
-  return errorLine(customId, 'mayHaveRun', 'the item may have run and its end is not known');
+  return errorLine(customId, 'mayHaveRun', 'the item may have run; its outcome is unknown');
 }
--- a/packages/stallpaddle-batch/src/BatchLedgerClient.ts
+++ b/packages/stallpaddle-batch/src/BatchLedgerClient.ts
@@ -1,5 +1,5 @@
 /**
- * A VM's dealings with one ledger shard: leases, renewals and reports, grouped.
+ * Lease and report commands to a ledger shard.
  */
 import type {Clock, Logger, MonotonicMs, VmId} from 'stallpaddle';
 import type {LedgerPort} from 'stallpaddle-ledger';
@@ -12,9 +12,9 @@
 import {BATCH_LEASE_MS} from './BatchConstants';
 import {parseItem} from './BatchItems';
 
-/** One shard as this VM deals with it. */
+/** Leases chunks from one ledger shard, renews the leases and reports the outcomes of items. */
 export class BatchLedgerClient {
-  private readonly held = new Map<number, BatchChunkLease>();
+  private readonly leases = new Map<number, BatchChunkLease>();
   private leasing = false;
   private reporting = false;
   private renewedAt: MonotonicMs = -Infinity;
@@ -22,9 +22,9 @@
 
   /**
    * @param vm this VM
-   * @param port the shard
-   * @param clock times
-   * @param logger where failures go
+   * @param port the ledger shard
+   * @param clock monotonic and wall clock
+   * @param logger logs failed calls and reports
    */
   constructor(
     private readonly vm: VmId,
@@ -33,12 +33,12 @@
     private readonly logger: Logger,
   ) {}
 
-  /** Chunks held now. */
-  get heldCount(): number {
-    return this.held.size;
+  /** Number of leased chunks. */
+  get leaseCount(): number {
+    return this.leases.size;
   }
 
-  /** Items whose ends the ledger has taken in. */
+  /** Number of item reports that the ledger has received. */
   get reportedItems(): number {
     return this.reported;
   }
@@ -46,9 +46,9 @@
   /**
    * Leases chunks and reads their items.
    *
-   * @param models services that this VM can place on engines
-   * @param maxItems how many items there is room for
-   * @returns items to run, or none when another lease call is under way or nothing waits
+   * @param models models that this VM's engines can run
+   * @param maxItems largest number of items to lease
+   * @returns items to run; none if another lease call is in progress or no items wait
    */
   async lease(models: readonly string[], maxItems: number): Promise<readonly LeasedItem[]> {
     if (this.leasing || models.length === 0) {
@@ -68,7 +68,7 @@
         return [];
       }
       const chunks = answer.chunks.map((leased) => new BatchChunkLease(this.port, leased));
-      chunks.forEach((chunk) => this.held.set(chunk.token, chunk));
+      chunks.forEach((chunk) => this.leases.set(chunk.token, chunk));
       const items = await Promise.all(chunks.map((chunk) => this.readItems(chunk)));
       return items.flat();
     } catch (err) {
@@ -80,19 +80,19 @@
   }
 
   /**
-   * Whether a chunk is still this VM's.
+   * Returns whether this VM still has the lease of a chunk.
    *
    * @param chunk the chunk
    */
   holds(chunk: BatchChunkLease): boolean {
-    return this.held.has(chunk.token);
+    return this.leases.has(chunk.token);
   }
 
   /**
-   * Sends reports and due renewals in one command.
+   * Sends unreported outcomes and due renewals in one command.
    *
-   * @param release give everything back
-   * @returns tokens of chunks that are no longer this VM's
+   * @param release whether to release all leases
+   * @returns tokens of revoked leases
    */
   async report(release: boolean): Promise<readonly number[]> {
     if (this.reporting) {
@@ -100,16 +100,16 @@
     }
     const now = this.clock.monotonicMs();
     const renew = now - this.renewedAt >= BATCH_LEASE_MS / 4;
-    const chunks = [...this.held.values()].filter(
+    const chunks = [...this.leases.values()].filter(
       (chunk) => release || chunk.hasReport || chunk.isIdle,
     );
-    if (chunks.length === 0 && !(renew && this.held.size > 0)) {
+    if (chunks.length === 0 && !(renew && this.leases.size > 0)) {
       return [];
     }
     this.reporting = true;
     const reports = chunks.map((chunk) => chunk.takeReport(release || chunk.isIdle));
-    const given = new Set(reports.filter((report) => report.release).map(({token}) => token));
-    const tokens = renew ? [...this.held.keys()].filter((token) => !given.has(token)) : [];
+    const released = new Set(reports.filter((report) => report.release).map(({token}) => token));
+    const tokens = renew ? [...this.leases.keys()].filter((token) => !released.has(token)) : [];
     try {
       const answer = await this.port.command({
         leaseMs: BATCH_LEASE_MS,
@@ -121,13 +121,13 @@
       });
       this.renewedAt = renew ? now : this.renewedAt;
       this.reported += reports.reduce((sum, report) => sum + report.items.length, 0);
-      given.forEach((token) => this.held.delete(token));
+      released.forEach((token) => this.leases.delete(token));
       const revoked = answer.kind === 'reported' ? answer.revoked : [];
-      revoked.forEach((token) => this.held.delete(token));
+      revoked.forEach((token) => this.leases.delete(token));
       return revoked;
     } catch (err) {
-      // Whether it was taken in or not, sending it again does no harm.
-      this.logger.warn('A report failed and will be sent again.', {reason: errorMessage(err)});
+      // The ledger may have applied the report; sending it again does no harm.
+      this.logger.warn('A report failed and will be retried.', {reason: errorMessage(err)});
       chunks.forEach((chunk, index) => chunk.restoreReport(reports[index]!));
       return [];
     } finally {
--- a/packages/stallpaddle-batch/src/BatchRunner.ts
+++ b/packages/stallpaddle-batch/src/BatchRunner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one item at an engine and says what became of it.
+ * Running of batch items on engines.
  */
 import type {EngineId} from 'stallpaddle';
 import type {EngineAdapter, EngineLanes} from 'stallpaddle-engine';
@@ -13,12 +13,12 @@
 import {ITEM_TIMEOUT_MS, MAX_RESPONSE_BYTES} from './BatchConstants';
 import {errorLine, outputLine} from './BatchItems';
 
-/** What became of an item: an end for the ledger, or back to the waiting ones. */
+/** Outcome of a run: a report for the ledger, or `again` if the item goes back to the ready items. */
 export type ItemOutcome =
   | {readonly failed: boolean; readonly kind: 'report'; readonly report: ItemReport}
   | {readonly failed: boolean; readonly kind: 'again'};
 
-/** Where an item runs. */
+/** Engine that an item runs on. */
 export interface ItemTarget {
   readonly adapter: EngineAdapter;
   readonly engine: EngineId;
@@ -27,96 +27,105 @@
   readonly weights: string;
 }
 
-function lost(held: LeasedItem, message: string): ItemOutcome {
-  const line = errorLine(held.parsed.customId, 'engineLost', message);
-  return {failed: true, kind: 'report', report: {item: held.item, kind: 'lost', line}};
+function lost(leasedItem: LeasedItem, message: string): ItemOutcome {
+  const line = errorLine(leasedItem.parsed.customId, 'engineLost', message);
+  return {failed: true, kind: 'report', report: {item: leasedItem.item, kind: 'lost', line}};
 }
 
-function outcomeOfError(held: LeasedItem, err: unknown, signal: AbortSignal): ItemOutcome {
+function outcomeOfError(leasedItem: LeasedItem, err: unknown, signal: AbortSignal): ItemOutcome {
   const notRun = err instanceof BackendError && err.verdict === 'notRun';
   if (notRun) {
-    const report: ItemReport = {item: held.item, kind: 'returned', line: ''};
-    return held.chunk.leased.repeatable
+    const report: ItemReport = {item: leasedItem.item, kind: 'returned', line: ''};
+    return leasedItem.chunk.leased.repeatable
       ? {failed: true, kind: 'again'}
       : {failed: true, kind: 'report', report};
   }
-  if (signal.aborted && held.chunk.leased.repeatable) {
+  if (signal.aborted && leasedItem.chunk.leased.repeatable) {
     return {failed: false, kind: 'again'};
   }
-  return lost(held, errorMessage(err));
+  return lost(leasedItem, errorMessage(err));
 }
 
 async function send(
-  held: LeasedItem,
-  place: ItemTarget,
+  leasedItem: LeasedItem,
+  target: ItemTarget,
   signal: AbortSignal,
 ): Promise<ItemOutcome> {
   const attemptId = drawId('item');
-  const {customId} = held.parsed;
-  const body = {...held.parsed.body, model: place.weights, stream: false};
-  const answer = await place.adapter.generate(
+  const {customId} = leasedItem.parsed;
+  const body = {...leasedItem.parsed.body, model: target.weights, stream: false};
+  const response = await target.adapter.generate(
     {
       attemptId,
       body: Buffer.from(JSON.stringify(body)),
       contentType: 'application/json',
       method: 'POST',
-      path: held.chunk.leased.endpoint,
-      repeatable: held.chunk.leased.repeatable,
+      path: leasedItem.chunk.leased.endpoint,
+      repeatable: leasedItem.chunk.leased.repeatable,
       timeoutMs: ITEM_TIMEOUT_MS,
       work: 'batch',
     },
     signal,
   );
-  const text = (await readBody(answer.body, MAX_RESPONSE_BYTES)).toString();
-  if (answer.status >= 500) {
-    return lost(held, `the engine answered with ${answer.status}`);
+  const text = (await readBody(response.body, MAX_RESPONSE_BYTES)).toString();
+  if (response.status >= 500) {
+    return lost(leasedItem, `the engine answered with ${response.status}`);
   }
   const parsed: unknown = JSON.parse(text);
-  const line = outputLine(customId, attemptId, answer.status, parsed);
-  const kind = answer.status < 300 ? 'done' : 'failed';
-  return {failed: false, kind: 'report', report: {item: held.item, kind, line}};
+  const line = outputLine(customId, attemptId, response.status, parsed);
+  const kind = response.status < 300 ? 'done' : 'failed';
+  return {failed: false, kind: 'report', report: {item: leasedItem.item, kind, line}};
 }
 
-async function mayStart(held: LeasedItem): Promise<boolean> {
-  if (held.chunk.leased.repeatable) {
+/** Records the start of a non-repeatable item in the ledger; returns whether the item may run. */
+async function recordStart(leasedItem: LeasedItem): Promise<boolean> {
+  if (leasedItem.chunk.leased.repeatable) {
     return true;
   }
-  const answer = await held.chunk.port.command({
-    items: [held.item],
-    token: held.chunk.token,
+  const answer = await leasedItem.chunk.port.command({
+    items: [leasedItem.item],
+    token: leasedItem.chunk.token,
     type: 'startItems',
   });
-  return answer.kind === 'started' && answer.items.includes(held.item);
+  return answer.kind === 'started' && answer.items.includes(leasedItem.item);
 }
 
 /**
- * Runs an item.
+ * Runs an item on an engine and returns the outcome.
  *
- * @param held the item
- * @param place where it runs
- * @param signal cancels it
+ * @param leasedItem the item
+ * @param target engine that it runs on
+ * @param signal cancels the run
  */
 export async function runItem(
-  held: LeasedItem,
-  place: ItemTarget,
+  leasedItem: LeasedItem,
+  target: ItemTarget,
   signal: AbortSignal,
 ): Promise<ItemOutcome> {
   try {
-    if (!(await mayStart(held))) {
-      // The lease went to another VM: whatever is reported here will be dropped.
-      return {failed: false, kind: 'report', report: {item: held.item, kind: 'returned', line: ''}};
+    if (!(await recordStart(leasedItem))) {
+      // The lease has passed to another VM; the ledger drops this report.
+      return {
+        failed: false,
+        kind: 'report',
+        report: {item: leasedItem.item, kind: 'returned', line: ''},
+      };
     }
   } catch {
-    // The start may be on record, but nothing was sent.
-    return {failed: false, kind: 'report', report: {item: held.item, kind: 'returned', line: ''}};
+    // The start may have been recorded, but nothing was sent to the engine.
+    return {
+      failed: false,
+      kind: 'report',
+      report: {item: leasedItem.item, kind: 'returned', line: ''},
+    };
   }
   const deadline = startDeadline(ITEM_TIMEOUT_MS, signal);
   try {
-    return await place.lanes.run(place.engine, place.slots, 'batch', () =>
-      send(held, place, deadline.signal),
+    return await target.lanes.run(target.engine, target.slots, 'batch', () =>
+      send(leasedItem, target, deadline.signal),
     );
   } catch (err) {
-    return outcomeOfError(held, err, signal);
+    return outcomeOfError(leasedItem, err, signal);
   } finally {
     deadline.dispose();
   }
--- a/packages/stallpaddle-batch/src/__tests__/unit/BatchLedgerClient.test.ts
+++ b/packages/stallpaddle-batch/src/__tests__/unit/BatchLedgerClient.test.ts
@@ -1,8 +1,8 @@
-import type {LeasedChunk, LedgerAnswer, LedgerCommand, LedgerPort} from 'stallpaddle-ledger';
-
 /**
- * Renewals of a VM's leases, at a shard that grants one chunk and notes what it is told.
+ * Lease renewals follow the monotonic clock: a jump of the wall clock must not stop or multiply them.
  */
+import type {LeasedChunk, LedgerAnswer, LedgerCommand, LedgerPort} from 'stallpaddle-ledger';
+
 import {describe, expect, test} from 'vitest';
 
 import {BATCH_LEASE_MS} from '../../BatchConstants';
@@ -22,10 +22,10 @@
 };
 const LOGGER = {debug: () => {}, error: () => {}, info: () => {}, warn: () => {}};
 
-/** A VM with its two clocks, both driven here. */
+/** A ledger client whose monotonic and wall clocks are set by the test. */
 class VmUnderTest {
   readonly commands: LedgerCommand[] = [];
-  steadyMs = 50;
+  monotonicMs = 50;
   wallMs = 1_790_000_000_000;
   readonly ledger: BatchLedgerClient;
 
@@ -41,7 +41,7 @@
       },
       readBlob: () => Promise.resolve(Buffer.from('{}')),
     } as unknown as LedgerPort;
-    const clock = {monotonicMs: () => this.steadyMs, wallMs: () => this.wallMs};
+    const clock = {monotonicMs: () => this.monotonicMs, wallMs: () => this.wallMs};
     this.ledger = new BatchLedgerClient('vm', port, clock, LOGGER);
   }
 
@@ -51,18 +51,18 @@
     ).length;
   }
 
-  /** Lets time pass with a look each 50 ms, as the dispatcher does. */
+  /** Advances both clocks and reports every 50 ms, as the dispatcher does. */
   async run(ms: number): Promise<void> {
-    for (let passed = 0; passed < ms; passed += 50) {
-      this.steadyMs += 50;
+    for (let elapsed = 0; elapsed < ms; elapsed += 50) {
+      this.monotonicMs += 50;
       this.wallMs += 50;
       await this.ledger.report(false);
     }
   }
 }
 
-describe('renewals', () => {
-  test('go on when the time of day jumps back', async () => {
+describe('lease renewals', () => {
+  test('continue when the wall clock jumps back', async () => {
     const vm = new VmUnderTest();
     await vm.ledger.lease(['m'], 1);
     await vm.run(BATCH_LEASE_MS);
@@ -73,7 +73,7 @@
     expect(vm.renewals - before).toBe(4);
   });
 
-  test('come no more often when the time of day jumps ahead', async () => {
+  test('are not sent more often when the wall clock jumps ahead', async () => {
     const vm = new VmUnderTest();
     await vm.ledger.lease(['m'], 1);
     await vm.run(50);
--- a/packages/stallpaddle-batch/src/index.ts
+++ b/packages/stallpaddle-batch/src/index.ts
@@ -1,3 +1,3 @@
-/** Batch work on a VM: fills engines, makes room for online work, reports to the ledger. */
+/** Batch work of a VM: runs leased items on free engine slots and reports their outcomes to the ledger. */
 export {BatchDispatcher, type BatchDispatcherOptions} from './BatchDispatcher';
 export {type BatchItem, errorLine, outputLine, parseItem, unknownOutcomeLine} from './BatchItems';
