--- a/packages/stallpaddle-gateway/src/GatewayAdmin.ts
+++ b/packages/stallpaddle-gateway/src/GatewayAdmin.ts
@@ -1,5 +1,5 @@
 /**
- * Operators' interface: intents, plans, audit trail, status.
+ * Operators' interface: plans, audit trail, status, jobs and files of all customers.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {ControlAnswer, PlanRecord} from 'stallpaddle-control';
@@ -16,13 +16,13 @@
 import {batchObject} from './GatewayBatches';
 import {idempotencyKey, parseBody, readRequestBody, sendJson} from './GatewayHttp';
 
-const DEFAULT_AUDIT_LINES = 200;
-const MAX_AUDIT_LINES = 5000;
+const DEFAULT_AUDIT_ENTRIES = 200;
+const MAX_AUDIT_ENTRIES = 5000;
 
 function planOf(answer: ControlAnswer): PlanRecord {
   switch (answer.kind) {
     case 'ok':
-      throw refuse('internal', 'the control group gave an answer of another kind');
+      throw refuse('internal', 'unexpected kind of answer from the control group');
     case 'plan':
       return answer.plan;
     case 'refused':
@@ -30,12 +30,12 @@
   }
 }
 
-/** Answers operators. */
+/** Handles operators' requests. */
 export class GatewayAdmin {
   /**
-   * @param context the VM
-   * @param batches jobs
-   * @param files results
+   * @param context state and services of the VM
+   * @param batches converts and cancels jobs
+   * @param files sends file contents
    */
   constructor(
     private readonly context: GatewayContext,
@@ -44,10 +44,10 @@
   ) {}
 
   /**
-   * Plans an intent; nothing else happens.
+   * Plans an intent without applying it.
    *
-   * @param operator who states it
-   * @param req the request; a resend with the same key gets the same plan
+   * @param operator operator who requests the plan
+   * @param req the request; a resend with the same idempotency key returns the same plan
    * @param res the response
    */
   async plan(operator: string, req: IncomingMessage, res: ServerResponse): Promise<void> {
@@ -69,9 +69,9 @@
   }
 
   /**
-   * Confirms a plan: accepted at once, in force on each VM within seconds.
+   * Confirms a plan. The response does not wait until the VMs have applied it.
    *
-   * @param operator who confirms
+   * @param operator operator who confirms
    * @param planId the plan
    * @param res the response
    */
@@ -83,7 +83,7 @@
   }
 
   /**
-   * Shows a plan and on which VMs it is in force.
+   * Sends a plan and the VMs on which it is in force.
    *
    * @param planId the plan
    * @param res the response
@@ -97,23 +97,23 @@
   }
 
   /**
-   * Sends lines of the audit trail.
+   * Sends entries of the audit trail.
    *
    * @param query `after` and `limit`
    * @param res the response
    */
   async audit(query: URLSearchParams, res: ServerResponse): Promise<void> {
     const after = Number(query.get('after') ?? 0);
-    const limit = Number(query.get('limit') ?? DEFAULT_AUDIT_LINES);
+    const limit = Number(query.get('limit') ?? DEFAULT_AUDIT_ENTRIES);
     if (
       !Number.isInteger(after) ||
       !Number.isInteger(limit) ||
       limit < 1 ||
-      limit > MAX_AUDIT_LINES
+      limit > MAX_AUDIT_ENTRIES
     ) {
       throw refuse(
         'badRequest',
-        `after and limit must be whole numbers, limit at most ${MAX_AUDIT_LINES}`,
+        `after and limit must be integers, limit from 1 to ${MAX_AUDIT_ENTRIES}`,
       );
     }
     const {entries} = await this.context.control.query({after, limit, type: 'audit'});
@@ -147,7 +147,7 @@
   /**
    * Cancels any customer's job.
    *
-   * @param operator who cancels
+   * @param operator operator who cancels
    * @param jobId the job
    * @param res the response
    */
@@ -165,9 +165,9 @@
   }
 
   /**
-   * Sends any customer's file.
+   * Sends the output or errors file of any customer's job.
    *
-   * @param fileId the file, or a job's results
+   * @param fileId the file
    * @param res the response
    */
   async fileContent(fileId: string, res: ServerResponse): Promise<void> {
@@ -189,8 +189,8 @@
     const now = this.context.clock.monotonicMs();
     const vms = liveVms(this.context.membership(), now);
     const revision = plan.state.kind === 'confirmed' ? plan.state.revision : null;
-    const inForceOn = vms.filter((facts) => revision !== null && facts.revision >= revision);
-    const waitingFor = vms.filter((facts) => revision !== null && facts.revision < revision);
+    const inForceOn = vms.filter((vm) => revision !== null && vm.revision >= revision);
+    const waitingFor = vms.filter((vm) => revision !== null && vm.revision < revision);
     sendJson(res, 200, {
       ...plan,
       inForce: {
--- a/packages/stallpaddle-gateway/src/GatewayAuth.ts
+++ b/packages/stallpaddle-gateway/src/GatewayAuth.ts
@@ -1,5 +1,5 @@
 /**
- * Who sends a request: keys are kept as SHA-256 hashes only.
+ * Authentication by bearer keys, which are stored only as SHA-256 hashes.
  */
 import type {IncomingMessage} from 'node:http';
 import type {CustomerId} from 'stallpaddle';
@@ -10,7 +10,7 @@
 
 import type {GatewayContext} from './GatewayContext';
 
-/** A customer that sent a key. */
+/** A customer authenticated by its key. */
 export interface CustomerCaller {
   readonly customer: CustomerId;
   readonly record: CustomerConfig;
@@ -19,7 +19,7 @@
 const BEARER = 'Bearer ';
 
 /**
- * SHA-256 in hexadecimal.
+ * Returns the SHA-256 hash in hexadecimal.
  *
  * @param content text or bytes
  */
@@ -27,73 +27,73 @@
   return createHash('sha256').update(content).digest('hex');
 }
 
-function sameHash(a: string, b: string): boolean {
+function equalHashes(a: string, b: string): boolean {
   return a.length === b.length && timingSafeEqual(Buffer.from(a), Buffer.from(b));
 }
 
 function keyHashOf(req: IncomingMessage): string {
   const header = req.headers.authorization ?? '';
   if (!header.startsWith(BEARER) || header.length === BEARER.length) {
-    throw refuse('unauthorized', 'send a key as Authorization: Bearer KEY');
+    throw refuse('unauthorized', 'missing key: send Authorization: Bearer KEY');
   }
   return sha256(header.slice(BEARER.length));
 }
 
-/** Finds customers by the hash of their key; the index is built once per configuration. */
+/** Identifies customers and operators by the hash of their key; each configuration gets a new customer index. */
 export class GatewayAuth {
-  private indexed: unknown;
+  private indexedCustomers: unknown;
   private readonly byHash = new Map<string, CustomerCaller>();
 
   /**
-   * @param context the VM
+   * @param context state and services of the VM
    */
   constructor(private readonly context: GatewayContext) {}
 
   /**
-   * The customer that sent a request.
+   * Returns the customer that sent a request.
    *
    * @param req the request
-   * @throws {RefusalError} `unauthorized` without a customer's key
+   * @throws {RefusalError} `unauthorized` without a valid customer key
    */
   customerOf(req: IncomingMessage): CustomerCaller {
     const hash = keyHashOf(req);
-    this.index();
+    this.updateIndex();
     const caller = this.byHash.get(hash);
-    if (caller === undefined || !sameHash(caller.record.keyHash, hash)) {
-      throw refuse('unauthorized', "the key is no customer's");
+    if (caller === undefined || !equalHashes(caller.record.keyHash, hash)) {
+      throw refuse('unauthorized', 'the key belongs to no customer');
     }
     return caller;
   }
 
   /**
-   * The operator that sent a request.
+   * Returns the name of the operator that sent a request.
    *
    * @param req the request
-   * @throws {RefusalError} `unauthorized` without a key, `forbidden` with a customer's
+   * @throws {RefusalError} `unauthorized` without a valid key, `forbidden` with a customer's key
    */
   operatorOf(req: IncomingMessage): string {
     const hash = keyHashOf(req);
-    // Every operator is compared, so that the time tells nothing of which one matched.
-    const matches = [...this.context.operatorKeys].filter(([, known]) => sameHash(known, hash));
+    // Compares every operator, so that the response time does not reveal which one matched.
+    const matches = [...this.context.operatorKeys].filter(([, known]) => equalHashes(known, hash));
     const [match] = matches;
     if (match !== undefined) {
       return match[0];
     }
-    this.index();
+    this.updateIndex();
     throw this.byHash.has(hash)
-      ? refuse('forbidden', "this needs an operator's key")
-      : refuse('unauthorized', "the key is no operator's");
+      ? refuse('forbidden', "an operator's key is required")
+      : refuse('unauthorized', 'the key belongs to no operator');
   }
 
-  private index(): void {
+  private updateIndex(): void {
     const {customers} = this.context.config();
-    if (this.indexed === customers) {
+    if (this.indexedCustomers === customers) {
       return;
     }
     this.byHash.clear();
     for (const [customer, record] of customers) {
       this.byHash.set(record.keyHash, {customer, record});
     }
-    this.indexed = customers;
+    this.indexedCustomers = customers;
   }
 }
--- a/packages/stallpaddle-gateway/src/GatewayBatches.ts
+++ b/packages/stallpaddle-gateway/src/GatewayBatches.ts
@@ -1,5 +1,5 @@
 /**
- * Batch jobs in the form that OpenAI's batch interface uses.
+ * Batch jobs in the format of OpenAI's batch API.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {JobView, LedgerAnswer, LedgerPort} from 'stallpaddle-ledger';
@@ -35,7 +35,7 @@
 }
 
 /**
- * A job as callers see it.
+ * Converts a job to a batch object of OpenAI's API.
  *
  * @param job the job
  */
@@ -65,17 +65,17 @@
   };
 }
 
-/** Creates, shows, lists and cancels jobs. */
+/** Creates, shows, lists and cancels customers' batch jobs. */
 export class GatewayBatches {
   /**
-   * @param context the VM
+   * @param context state and services of the VM
    */
   constructor(private readonly context: GatewayContext) {}
 
   /**
-   * Accepts a job; a resend with the same key finds the first one.
+   * Creates a job. A resend with the same idempotency key returns the job that exists already.
    *
-   * @param caller who asks
+   * @param caller the customer
    * @param req the request
    * @param res the response
    */
@@ -95,10 +95,10 @@
     const repeatable = isRepeatable(req, true);
     const metadata = body.metadata ?? {};
     const now = clock.wallMs();
-    // Compared by the file's content: a client that resends may have uploaded the file again.
-    const asked = [file.content, body.endpoint, body.completion_window, metadata, repeatable];
+    // Resends are recognized by the file's content, as the client may have uploaded the file again.
+    const identity = [file.content, body.endpoint, body.completion_window, metadata, repeatable];
     const answer = await port.command({
-      content: sha256(JSON.stringify(asked)),
+      content: sha256(JSON.stringify(identity)),
       customer,
       dueAt: now + windowMs(body.completion_window),
       endpoint: body.endpoint,
@@ -114,9 +114,9 @@
   }
 
   /**
-   * Shows one job.
+   * Sends one job.
    *
-   * @param caller who asks
+   * @param caller the customer
    * @param jobId the job
    * @param res the response
    */
@@ -126,9 +126,9 @@
   }
 
   /**
-   * Lists a customer's jobs, newest first.
+   * Sends a customer's jobs, newest first.
    *
-   * @param caller who asks
+   * @param caller the customer
    * @param res the response
    */
   async list({customer}: CustomerCaller, res: ServerResponse): Promise<void> {
@@ -141,8 +141,8 @@
   /**
    * Cancels a job.
    *
-   * @param customer whose it must be; null for an operator
-   * @param port shard that holds it
+   * @param customer customer that must own the job; null for an operator
+   * @param port ledger shard of the job
    * @param jobId the job
    * @param res the response
    */
--- a/packages/stallpaddle-gateway/src/GatewayChat.ts
+++ b/packages/stallpaddle-gateway/src/GatewayChat.ts
@@ -1,5 +1,5 @@
 /**
- * Chat completions, whole and streamed.
+ * Chat completions, buffered and streamed.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
@@ -15,10 +15,10 @@
 import {GatewayIdempotency} from './GatewayIdempotency';
 import {recordMs} from './GatewayMetrics';
 
-/** Path of chat completions, here and at engines. */
+/** Path of chat completions, at the gateway and at engines. */
 export const CHAT_PATH = '/v1/chat/completions';
 
-/** Characters of the prompt that decide which engine's cache may hold its prefix. */
+/** Leading characters of the first message that select engines likely to have the prompt's prefix cached. */
 const AFFINITY_CHARACTERS = 256;
 
 const chatSchema = z.looseObject({
@@ -34,29 +34,29 @@
   return `${customer}\u0000${chat.model}\u0000${head}`;
 }
 
-/** Answers chat completions. */
+/** Validates chat completion requests and forwards them to engines. */
 export class GatewayChat {
-  private readonly once: GatewayIdempotency;
+  private readonly idempotency: GatewayIdempotency;
 
   /**
-   * @param context the VM
-   * @param online carries requests to engines
+   * @param context state and services of the VM
+   * @param online forwards requests to engines
    */
   constructor(
     private readonly context: GatewayContext,
     private readonly online: GatewayOnlineForwarder,
   ) {
-    this.once = new GatewayIdempotency(context);
+    this.idempotency = new GatewayIdempotency(context);
   }
 
   /**
-   * Answers one request.
+   * Forwards one request and sends the response.
    *
-   * @param caller who asks
+   * @param caller the customer
    * @param req the request
    * @param res the response
    */
-  async answer(caller: CustomerCaller, req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async handle(caller: CustomerCaller, req: IncomingMessage, res: ServerResponse): Promise<void> {
     const startedAt = this.context.clock.monotonicMs();
     const {limits} = this.context;
     const body = await readRequestBody(req, limits.bodyBytes, limits.sendMs);
@@ -77,57 +77,59 @@
     };
     const signal = callerSignal(res);
     if (!repeatable) {
-      await this.once.answer(caller, req, body, res, () => this.online.sendWhole(request, signal));
+      await this.idempotency.handle(caller, req, body, res, () =>
+        this.online.sendBuffered(request, signal),
+      );
       return;
     }
     await (chat.stream === true
-      ? this.answerStreamed(request, signal, res, startedAt)
-      : this.answerWhole(request, signal, res, startedAt));
+      ? this.sendStreamed(request, signal, res, startedAt)
+      : this.sendBuffered(request, signal, res, startedAt));
   }
 
-  private async answerWhole(
+  private async sendBuffered(
     request: OnlineRequest,
     signal: AbortSignal,
     res: ServerResponse,
     startedAt: number,
   ): Promise<void> {
-    const {body, contentType, status} = await this.online.sendWhole(request, signal);
+    const {body, contentType, status} = await this.online.sendBuffered(request, signal);
     recordMs(this.context.metrics.firstByte, this.context.clock.monotonicMs() - startedAt);
     res.writeHead(status, {'content-length': body.length, 'content-type': contentType});
     res.end(body);
   }
 
-  private async answerStreamed(
+  private async sendStreamed(
     request: OnlineRequest,
     signal: AbortSignal,
     res: ServerResponse,
     startedAt: number,
   ): Promise<void> {
-    const answer = await this.online.send(request, signal);
+    const response = await this.online.send(request, signal);
     const {clock, metrics} = this.context;
     let chunks = 0;
     let firstAt = 0;
     try {
-      for await (const chunk of answer.body) {
+      for await (const chunk of response.body) {
         if (chunks === 0) {
           firstAt = clock.monotonicMs();
           recordMs(metrics.firstByte, firstAt - startedAt);
-          res.writeHead(answer.status, {
+          res.writeHead(response.status, {
             'cache-control': 'no-cache',
-            'content-type': answer.contentType,
+            'content-type': response.contentType,
           });
         }
         chunks++;
         await writeChunk(res, chunk);
       }
     } catch (err) {
-      answer.ended(signal.aborted ? 'cancelled' : 'failed', 0);
+      response.finish(signal.aborted ? 'cancelled' : 'failed', 0);
       throw err;
     }
     const tokenMs = chunks > 1 ? (clock.monotonicMs() - firstAt) / (chunks - 1) : 0;
-    answer.ended('succeeded', tokenMs);
+    response.finish('succeeded', tokenMs);
     if (chunks === 0) {
-      res.writeHead(answer.status, {'content-type': answer.contentType});
+      res.writeHead(response.status, {'content-type': response.contentType});
     }
     res.end();
   }
--- a/packages/stallpaddle-gateway/src/GatewayContext.ts
+++ b/packages/stallpaddle-gateway/src/GatewayContext.ts
@@ -1,5 +1,5 @@
 /**
- * What the gateway sees of the VM that it runs in.
+ * What the gateway uses of the VM that it runs in.
  */
 import type {Clock, EngineId, Logger, Random, RefusalError, VmId, ZoneId} from 'stallpaddle';
 import type {ControlPort, FleetConfig, PlainServer} from 'stallpaddle-control';
@@ -11,7 +11,7 @@
 
 import type {GatewayMetrics} from './GatewayMetrics';
 
-/** Everything that request handlers use. */
+/** State, settings and services that request handlers share. */
 export interface GatewayContext {
   readonly adapterOf: (engine: EngineId) => EngineAdapter | undefined;
   readonly clock: Clock;
@@ -28,10 +28,10 @@
   readonly operatorKeys: ReadonlyMap<string, string>;
   readonly plainAdapterOf: (server: PlainServer) => EngineAdapter;
   readonly random: Random;
-  /** Why no new work may be taken on, or undefined when it may. */
+  /** Reason for refusing new work, or undefined while the VM accepts it. */
   readonly refusal: () => RefusalError | undefined;
   readonly routing: () => RoutingState;
-  /** Facts for operators. */
+  /** Status of the fleet as this VM sees it, sent to operators as JSON. */
   readonly status: () => Promise<unknown>;
   readonly vm: VmId;
   readonly zone: ZoneId;
--- a/packages/stallpaddle-gateway/src/GatewayFiles.ts
+++ b/packages/stallpaddle-gateway/src/GatewayFiles.ts
@@ -1,5 +1,5 @@
 /**
- * Batch files: read in as a stream, checked line by line, accepted only as a whole.
+ * Batch files: uploads, listings and downloads.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Readable} from 'node:stream';
@@ -17,14 +17,14 @@
 import {sendJson, writeChunk} from './GatewayHttp';
 import {GatewayLineChunker} from './GatewayLineChunker';
 
-/** Ending of the names of files that hold a job's results. */
+/** Suffix of the id of a job's output file. */
 const OUTPUT_SUFFIX = '-output';
-/** Ending of the names of files that hold a job's failed items. */
+/** Suffix of the id of a job's errors file. */
 const ERRORS_SUFFIX = '-errors';
 const MS_PER_S = 1000;
 const BATCH_PURPOSE = 'batch';
-/** Bytes of an upload that go into one place of the log. */
-const PART_BYTES = 1_048_576;
+/** Bytes of complete chunks of an upload that are committed as one log entry. */
+const COMMIT_BYTES = 1_048_576;
 
 interface UploadFields {
   readonly filename: string;
@@ -32,7 +32,7 @@
 }
 
 /**
- * Name of the file with a job's results.
+ * Returns the id of the file with a job's results.
  *
  * @param jobId the job
  */
@@ -41,7 +41,7 @@
 }
 
 /**
- * Name of the file with a job's failed items.
+ * Returns the id of the file with a job's failed items.
  *
  * @param jobId the job
  */
@@ -70,17 +70,20 @@
   return answer;
 }
 
-/** Uploads, lists and reads files. */
+/**
+ * Stores uploaded files, lists them and sends their contents. An upload is validated line by line as it arrives and is
+ * accepted only if it is complete.
+ */
 export class GatewayFiles {
   /**
-   * @param context the VM
+   * @param context state and services of the VM
    */
   constructor(private readonly context: GatewayContext) {}
 
   /**
-   * Takes an upload.
+   * Stores an uploaded file.
    *
-   * @param caller who sends it
+   * @param caller the customer
    * @param req multipart form with `purpose` and `file`
    * @param res the response
    */
@@ -113,9 +116,9 @@
   }
 
   /**
-   * Lists a customer's files.
+   * Sends the list of a customer's files.
    *
-   * @param caller who asks
+   * @param caller the customer
    * @param res the response
    */
   async list({customer}: CustomerCaller, res: ServerResponse): Promise<void> {
@@ -126,9 +129,9 @@
   }
 
   /**
-   * Shows one file.
+   * Sends one file's description.
    *
-   * @param caller who asks
+   * @param caller the customer
    * @param fileId the file
    * @param res the response
    */
@@ -142,10 +145,10 @@
   }
 
   /**
-   * Sends a file's content: an input, or the results or failed items of a job.
+   * Sends the content of an input file, or of a job's output or errors file.
    *
-   * @param customer whose it must be; null for an operator
-   * @param port shard that holds it
+   * @param customer customer that must own the file; null for an operator
+   * @param port ledger shard of the file
    * @param fileId the file
    * @param res the response
    */
@@ -160,8 +163,8 @@
       await this.sendBlobs(port, refs.outputs, '', res);
     } else if (fileId.endsWith(ERRORS_SUFFIX)) {
       const refs = await this.jobRefs(customer, port, fileId.slice(0, -ERRORS_SUFFIX.length));
-      const lineless = await this.linelessLines(port, refs.lineless);
-      await this.sendBlobs(port, refs.errors, lineless, res);
+      const unknownOutcomes = await this.unknownOutcomeLines(port, refs.lineless);
+      await this.sendBlobs(port, refs.errors, unknownOutcomes, res);
     } else {
       const {chunks, file} = await port.query({customer, fileId, type: 'file'});
       if (file === undefined) {
@@ -184,7 +187,8 @@
     return refs;
   }
 
-  private async linelessLines(
+  /** Formats error lines for items whose outcome is unknown; the ledger stores no lines for them. */
+  private async unknownOutcomeLines(
     port: LedgerPort,
     lineless: readonly {readonly input: BlobRef; readonly item: number}[],
   ): Promise<string> {
@@ -205,7 +209,7 @@
     tail: string,
     res: ServerResponse,
   ): Promise<void> {
-    // Read before the head goes out, so that a failure can still be told.
+    // Read before the response head is sent, so that a failure can still be reported.
     const first = refs[0] === undefined ? undefined : await port.readBlob(refs[0]);
     res.writeHead(200, {'content-type': 'application/jsonl'});
     if (first !== undefined) {
@@ -220,12 +224,12 @@
     res.end(tail);
   }
 
-  /** Reads the form; the file goes to `store` while it arrives. */
+  /** Parses the multipart form and streams its file to `store`. */
   private receive<Stored>(
     req: IncomingMessage,
     store: (stream: Readable) => Promise<Stored>,
   ): Promise<{readonly fields: UploadFields; readonly stored: Stored}> {
-    const parser = this.openForm(req);
+    const parser = this.createFormParser(req);
     return new Promise((resolve, reject) => {
       let fields: UploadFields = {filename: '', purpose: ''};
       let storing: Promise<Stored> | undefined;
@@ -242,7 +246,7 @@
         fields = {...fields, filename: filename ?? ''};
         if (storing !== undefined) {
           stream.resume();
-          fail(refuse('badRequest', 'the form must hold one file'));
+          fail(refuse('badRequest', 'the form must contain exactly one file'));
           return;
         }
         storing = store(stream);
@@ -254,16 +258,16 @@
       parser.on('error', fail);
       parser.on('close', () => {
         if (storing === undefined) {
-          fail(refuse('badRequest', 'the form holds no file', {path: 'file'}));
+          fail(refuse('badRequest', 'the form contains no file', {path: 'file'}));
         } else {
           storing.then((stored) => resolve({fields, stored}), fail);
         }
       });
-      // A caller that goes in the middle leaves the upload unsealed: it was not accepted.
+      // If the caller disconnects, the upload stays unsealed and thus is not accepted.
       req.on('close', () => {
         if (!req.complete) {
           parser.destroy();
-          fail(refuse('badRequest', 'the upload broke off'));
+          fail(refuse('badRequest', 'the upload was interrupted'));
         }
       });
       req.setTimeout(this.context.limits.sendMs, () => req.destroy());
@@ -271,7 +275,7 @@
     });
   }
 
-  private openForm(req: IncomingMessage): busboy.Busboy {
+  private createFormParser(req: IncomingMessage): busboy.Busboy {
     try {
       return busboy({
         headers: req.headers,
@@ -292,13 +296,13 @@
     const chunker = new GatewayLineChunker(this.context.config());
     let bytes = 0;
     let size = 0;
-    const save = async (): Promise<void> => {
+    const commitChunks = async (): Promise<void> => {
       const chunks = chunker.takeChunks();
       if (chunks.length > 0) {
         const {model} = chunker;
         const now = this.context.clock.wallMs();
-        const part = {chunks, customer, fileId, firstChunk: size, model, now};
-        await commit(port, {...part, type: 'appendFile'});
+        const upload = {chunks, customer, fileId, firstChunk: size, model, now};
+        await commit(port, {...upload, type: 'appendFile'});
         size += chunks.length;
       }
     };
@@ -306,9 +310,9 @@
       bytes += data.length;
       hash.update(data);
       chunker.push(data);
-      // One place in the log for many chunks: each costs a sync on a majority.
-      if (chunker.readyBytes >= PART_BYTES) {
-        await save();
+      // Commits many chunks as one log entry, as each entry costs a disk sync on a majority of replicas.
+      if (chunker.readyBytes >= COMMIT_BYTES) {
+        await commitChunks();
       }
     }
     if (stream.truncated === true) {
@@ -316,9 +320,9 @@
       throw refuse('bodyTooLarge', `the file has more than ${fileBytes} bytes`);
     }
     chunker.end();
-    await save();
+    await commitChunks();
     if (size === 0) {
-      throw refuse('badRequest', 'the file holds no items');
+      throw refuse('badRequest', 'the file contains no items');
     }
     return {bytes, content: hash.digest('hex'), size};
   }
--- a/packages/stallpaddle-gateway/src/GatewayHttp.ts
+++ b/packages/stallpaddle-gateway/src/GatewayHttp.ts
@@ -1,5 +1,5 @@
 /**
- * Reading requests and writing responses.
+ * Helpers for reading requests and writing responses.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {z} from 'zod';
@@ -7,20 +7,20 @@
 import {once} from 'node:events';
 import {errorMessage, RefusalError, refuse, VERDICT_HEADER} from 'stallpaddle';
 
-/** Header by which a caller marks a request as not repeatable: `false`. */
+/** Header with which a caller says whether a request may be repeated: `true` or `false`. */
 export const REPEATABLE_HEADER = 'x-stallpaddle-repeatable';
-/** Header that names a request for resends. */
+/** Header with a request's idempotency key. */
 export const IDEMPOTENCY_KEY_HEADER = 'idempotency-key';
 
 const MAX_KEY_CHARACTERS = 256;
 const MS_PER_S = 1000;
 
 /**
- * Reads a body whole, within bounds on size and time.
+ * Reads a whole request body, limited in size and time.
  *
  * @param req the request
- * @param maxBytes bound on its size
- * @param timeoutMs bound on the time to send it
+ * @param maxBytes largest accepted size
+ * @param timeoutMs time allowed for sending it, in milliseconds
  */
 export async function readRequestBody(
   req: IncomingMessage,
@@ -29,11 +29,17 @@
 ): Promise<Buffer> {
   const declared = Number(req.headers['content-length'] ?? 0);
   if (declared > maxBytes) {
-    throw refuse('bodyTooLarge', `the body has ${declared} bytes, at most ${maxBytes} are taken`);
+    throw refuse(
+      'bodyTooLarge',
+      `the body has ${declared} bytes, but at most ${maxBytes} are accepted`,
+    );
   }
   const chunks: Buffer[] = [];
   let bytes = 0;
-  const timer = setTimeout(() => req.destroy(new Error('too slow')), timeoutMs);
+  const timer = setTimeout(
+    () => req.destroy(new Error('the body was not sent in time')),
+    timeoutMs,
+  );
   try {
     for await (const chunk of req as AsyncIterable<Buffer>) {
       bytes += chunk.length;
@@ -43,7 +49,7 @@
       chunks.push(chunk);
     }
   } catch (err) {
-    throw err instanceof RefusalError ? err : refuse('badRequest', 'the body broke off');
+    throw err instanceof RefusalError ? err : refuse('badRequest', 'the body was interrupted');
   } finally {
     clearTimeout(timer);
   }
@@ -51,10 +57,10 @@
 }
 
 /**
- * Parses a JSON body by a schema.
+ * Parses a JSON body and validates it against a schema.
  *
  * @param body bytes of the body
- * @param schema what is expected
+ * @param schema schema of the body
  */
 export function parseBody<T>(body: Uint8Array, schema: z.ZodType<T>): T {
   let value: unknown;
@@ -73,10 +79,10 @@
 }
 
 /**
- * Whether a request may be repeated.
+ * Returns whether a request may be repeated.
  *
  * @param req the request
- * @param byDefault when the header doesn't say
+ * @param byDefault result without the header
  */
 export function isRepeatable(req: IncomingMessage, byDefault: boolean): boolean {
   const value = req.headers[REPEATABLE_HEADER];
@@ -93,7 +99,7 @@
 }
 
 /**
- * Key of a request, for resends; null when there is none.
+ * Returns the idempotency key of a request, or null without one.
  *
  * @param req the request
  */
@@ -128,10 +134,10 @@
 }
 
 /**
- * Writes a chunk and waits while the caller is slow.
+ * Writes a chunk. If the write buffer is full, waits until it has drained or the connection is closed.
  *
  * @param res the response
- * @param chunk what to write
+ * @param chunk data to write
  */
 export async function writeChunk(res: ServerResponse, chunk: Uint8Array | string): Promise<void> {
   if (!res.write(chunk) && !res.destroyed) {
@@ -140,22 +146,22 @@
 }
 
 /**
- * Makes a refusal of anything that was thrown.
+ * Converts a caught value to a refusal; any other error becomes `internal`.
  *
  * @param err the caught value
  */
 export function toRefusal(err: unknown): RefusalError {
   return err instanceof RefusalError
     ? err
-    : new RefusalError('internal', 'mayHaveRun', 'the VM failed on this request');
+    : new RefusalError('internal', 'mayHaveRun', 'internal error while handling the request');
 }
 
 /**
- * Ends a request with an error. Once a part of an answer has left, the connection is cut instead,
- * so that the caller can't take the part for the whole.
+ * Sends an error. If a part of a response has been sent already, closes the connection instead, so that the caller
+ * cannot take a truncated response for a complete one.
  *
  * @param res the response
- * @param refusal what went wrong
+ * @param refusal the error
  */
 export function sendRefusal(res: ServerResponse, refusal: RefusalError): void {
   if (res.headersSent) {
@@ -174,7 +180,7 @@
 }
 
 /**
- * Signal that fires when the caller goes before the response has ended.
+ * Returns a signal that is aborted when the caller disconnects before the response has ended.
  *
  * @param res the response
  */
--- a/packages/stallpaddle-gateway/src/GatewayIdempotency.ts
+++ b/packages/stallpaddle-gateway/src/GatewayIdempotency.ts
@@ -1,6 +1,5 @@
 /**
- * Requests that must run at most once: with a key, the start is on record before anything is sent,
- * and a resend gets the first one's answer.
+ * At-most-once execution of requests that must not be repeated.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {CallRecord, LedgerPort} from 'stallpaddle-ledger';
@@ -14,28 +13,31 @@
 import {sha256} from './GatewayAuth';
 import {idempotencyKey} from './GatewayHttp';
 
-function sendStored(res: ServerResponse, {body, contentType, status}: BufferedResponse): void {
+function sendResponse(res: ServerResponse, {body, contentType, status}: BufferedResponse): void {
   res.writeHead(status, {'content-length': body.length, 'content-type': contentType});
   res.end(body);
 }
 
-/** Keeps non-repeatable requests from running twice. */
+/**
+ * Keeps requests with an idempotency key from running twice: records each start before anything is sent to a backend
+ * server, and responds to a resend with the stored response.
+ */
 export class GatewayIdempotency {
   /**
-   * @param context the VM
+   * @param context state and services of the VM
    */
   constructor(private readonly context: GatewayContext) {}
 
   /**
-   * Answers a request that must not be repeated.
+   * Handles a non-repeatable request.
    *
-   * @param caller who asks
-   * @param req the request; its key tells a resend
-   * @param content what is compared between resends
+   * @param caller the customer
+   * @param req the request; its idempotency key identifies a resend
+   * @param content the body, which must be the same in a resend
    * @param res the response
-   * @param send sends it to a backend server; only `notRun` failures may be tried again in there
+   * @param send sends the request to a backend server; must retry only `notRun` failures
    */
-  async answer(
+  async handle(
     caller: CustomerCaller,
     req: IncomingMessage,
     content: Uint8Array,
@@ -44,20 +46,20 @@
   ): Promise<void> {
     const key = idempotencyKey(req);
     if (key === null) {
-      sendStored(res, await send());
+      sendResponse(res, await send());
       return;
     }
     const port = this.context.ledger.forCustomer(caller.customer);
     const hash = sha256(`${req.method} ${req.url}\n${Buffer.from(content).toString('base64')}`);
-    const known = await this.start(port, caller, key, hash);
-    if (known !== undefined) {
-      sendStored(res, await this.storedAnswer(port, known));
+    const existing = await this.recordStart(port, caller, key, hash);
+    if (existing !== undefined) {
+      sendResponse(res, await this.storedResponse(port, existing));
       return;
     }
-    sendStored(res, await this.runRecorded(port, caller, key, send));
+    sendResponse(res, await this.runRecorded(port, caller, key, send));
   }
 
-  private async start(
+  private async recordStart(
     port: LedgerPort,
     {customer}: CustomerCaller,
     key: string,
@@ -83,16 +85,16 @@
       case 'leased':
       case 'reported':
       case 'started':
-        throw refuse('internal', 'the ledger gave an answer of another kind');
+        throw refuse('internal', 'unexpected kind of answer from the ledger');
     }
   }
 
-  private async storedAnswer(port: LedgerPort, call: CallRecord): Promise<BufferedResponse> {
+  private async storedResponse(port: LedgerPort, call: CallRecord): Promise<BufferedResponse> {
     if (call.kind === 'started') {
       throw new RefusalError(
         'conflict',
         'mayHaveRun',
-        'the request was started before and its end is not known; it is not run again',
+        'the request was started before and its outcome is unknown; it is not run again',
         {retryAfterMs: 1000},
       );
     }
@@ -106,9 +108,9 @@
     key: string,
     send: () => Promise<BufferedResponse>,
   ): Promise<BufferedResponse> {
-    let stored: BufferedResponse;
+    let response: BufferedResponse;
     try {
-      stored = await send();
+      response = await send();
     } catch (err) {
       if (err instanceof RefusalError && err.verdict === 'notRun') {
         await port.command({customer, key, type: 'dropCall'});
@@ -116,7 +118,7 @@
       throw err;
     }
     const now = this.context.clock.wallMs();
-    await port.command({...stored, customer, key, now, type: 'endCall'});
-    return stored;
+    await port.command({...response, customer, key, now, type: 'endCall'});
+    return response;
   }
 }
--- a/packages/stallpaddle-gateway/src/GatewayLineChunker.ts
+++ b/packages/stallpaddle-gateway/src/GatewayLineChunker.ts
@@ -1,5 +1,5 @@
 /**
- * Cuts an upload into lines, checks each and gathers them into chunks.
+ * Splitting of uploaded batch files into chunks.
  */
 import type {FleetConfig} from 'stallpaddle-control';
 import type {UploadedChunk} from 'stallpaddle-ledger';
@@ -13,63 +13,67 @@
 const MAX_LINE_BYTES = 1_048_576;
 const NEWLINE = 0x0a;
 
-/** Reads an upload piece by piece. */
+/** Splits an upload into lines as it arrives, validates each line and groups them into chunks. */
 export class GatewayLineChunker {
   private readonly chunks: UploadedChunk[] = [];
   private readonly customIds = new Set<string>();
-  private gathered: string[] = [];
-  private gatheredBytes = 0;
+  private pending: string[] = [];
+  private pendingBytes = 0;
   private line = 0;
   private modelName = '';
-  private rest: Buffer = Buffer.alloc(0);
+  private remainder: Buffer = Buffer.alloc(0);
 
   /**
-   * @param config configuration that names the models
+   * @param config configuration with the available models
    */
   constructor(private readonly config: FleetConfig) {}
 
-  /** Model that all items name; empty before the first. */
+  /** Model of all items; empty before the first item. */
   get model(): string {
     return this.modelName;
   }
 
   /**
-   * Takes the next piece.
+   * Adds the next bytes of the upload.
    *
-   * @param data bytes of the upload
-   * @throws {RefusalError} that names the first bad line
+   * @param data the bytes
+   * @throws {RefusalError} with the number of the first invalid line
    */
   push(data: Buffer): void {
-    this.rest = this.rest.length === 0 ? data : Buffer.concat([this.rest, data]);
+    this.remainder = this.remainder.length === 0 ? data : Buffer.concat([this.remainder, data]);
     let from = 0;
-    for (let at = this.rest.indexOf(NEWLINE); at >= 0; at = this.rest.indexOf(NEWLINE, from)) {
-      this.take(this.rest.subarray(from, at));
+    for (
+      let at = this.remainder.indexOf(NEWLINE);
+      at >= 0;
+      at = this.remainder.indexOf(NEWLINE, from)
+    ) {
+      this.addLine(this.remainder.subarray(from, at));
       from = at + 1;
     }
-    this.rest = this.rest.subarray(from);
-    if (this.rest.length > MAX_LINE_BYTES) {
+    this.remainder = this.remainder.subarray(from);
+    if (this.remainder.length > MAX_LINE_BYTES) {
       throw this.tooLong(this.line + 1);
     }
   }
 
-  /** Takes what is left after the last newline. */
+  /** Adds the text after the last newline as a line and closes the last chunk. */
   end(): void {
-    this.take(this.rest);
-    this.rest = Buffer.alloc(0);
+    this.addLine(this.remainder);
+    this.remainder = Buffer.alloc(0);
     this.closeChunk();
   }
 
-  /** Bytes of the chunks that are complete and were not taken yet. */
+  /** Total bytes of the complete chunks that have not been taken. */
   get readyBytes(): number {
     return this.chunks.reduce((sum, {lines}) => sum + lines.length, 0);
   }
 
-  /** Chunks that are complete; each is returned once. */
+  /** Removes and returns the complete chunks. */
   takeChunks(): readonly UploadedChunk[] {
     return this.chunks.splice(0);
   }
 
-  private take(bytes: Buffer): void {
+  private addLine(bytes: Buffer): void {
     this.line++;
     if (bytes.length > MAX_LINE_BYTES) {
       throw this.tooLong(this.line);
@@ -78,15 +82,15 @@
     if (text === '') {
       return;
     }
-    this.check(text);
-    this.gathered.push(text);
-    this.gatheredBytes += bytes.length + 1;
-    if (this.gathered.length >= CHUNK_ITEMS || this.gatheredBytes >= CHUNK_BYTES) {
+    this.validate(text);
+    this.pending.push(text);
+    this.pendingBytes += bytes.length + 1;
+    if (this.pending.length >= CHUNK_ITEMS || this.pendingBytes >= CHUNK_BYTES) {
       this.closeChunk();
     }
   }
 
-  private check(text: string): void {
+  private validate(text: string): void {
     const {line} = this;
     const item = parseItem(text, line);
     const {model} = item.body;
@@ -97,22 +101,22 @@
       this.modelName = model;
     }
     if (model !== this.modelName) {
-      const message = `line ${line}: model ${model}, but the lines before name ${this.modelName}`;
+      const message = `line ${line}: model ${model} differs from ${this.modelName} of earlier lines`;
       throw refuse('badRequest', message, {line});
     }
     if (this.customIds.has(item.customId)) {
-      const message = `line ${line}: custom_id ${item.customId} stands twice`;
+      const message = `line ${line}: duplicate custom_id ${item.customId}`;
       throw refuse('badRequest', message, {line});
     }
     this.customIds.add(item.customId);
   }
 
   private closeChunk(): void {
-    if (this.gathered.length > 0) {
-      const lines = Buffer.from(`${this.gathered.join('\n')}\n`);
-      this.chunks.push({items: this.gathered.length, lines});
-      this.gathered = [];
-      this.gatheredBytes = 0;
+    if (this.pending.length > 0) {
+      const lines = Buffer.from(`${this.pending.join('\n')}\n`);
+      this.chunks.push({items: this.pending.length, lines});
+      this.pending = [];
+      this.pendingBytes = 0;
     }
   }
 
--- a/packages/stallpaddle-gateway/src/GatewayMetrics.ts
+++ b/packages/stallpaddle-gateway/src/GatewayMetrics.ts
@@ -1,22 +1,22 @@
 /**
- * Counters and latency percentiles of a VM, in the text form that metrics collectors read.
+ * Counters and latency percentiles of a VM in the Prometheus text format.
  */
 import {build, type Histogram} from 'hdr-histogram-js';
 import {Counter, Gauge, Registry} from 'prom-client';
 
-const LOWEST_US = 1;
-const HIGHEST_US = 600_000_000;
-const DIGITS = 3;
+const MIN_LATENCY_US = 1;
+const MAX_LATENCY_US = 600_000_000;
+const SIGNIFICANT_DIGITS = 3;
 const US_PER_MS = 1000;
 const US_PER_S = 1_000_000;
 const PERCENTILES = [50, 95, 99, 99.9] as const;
 
-/** Latencies in microseconds. */
+/** Creates a histogram of latencies in microseconds. */
 export function createLatencyHistogram(): Histogram {
   return build({
-    highestTrackableValue: HIGHEST_US,
-    lowestDiscernibleValue: LOWEST_US,
-    numberOfSignificantValueDigits: DIGITS,
+    highestTrackableValue: MAX_LATENCY_US,
+    lowestDiscernibleValue: MIN_LATENCY_US,
+    numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
   });
 }
 
@@ -28,10 +28,10 @@
  */
 export function recordMs(histogram: Histogram, ms: number): void {
   const us = Math.round(ms * US_PER_MS);
-  histogram.recordValue(Math.min(HIGHEST_US, Math.max(LOWEST_US, us)));
+  histogram.recordValue(Math.min(MAX_LATENCY_US, Math.max(MIN_LATENCY_US, us)));
 }
 
-/** Metrics of one VM. */
+/** Collects a VM's metrics and exports them as text. */
 export class GatewayMetrics {
   readonly firstByte = createLatencyHistogram();
   readonly queueWait = createLatencyHistogram();
@@ -83,11 +83,11 @@
   }
 
   /**
-   * Adds a number that is read when metrics are collected.
+   * Adds a gauge that is read when metrics are collected.
    *
    * @param name the metric's name
    * @param help one sentence
-   * @param read returns the present value
+   * @param read returns the current value
    */
   exposeGauge(name: string, help: string, read: () => number): void {
     new Gauge({
--- a/packages/stallpaddle-gateway/src/GatewayOnlineForwarder.ts
+++ b/packages/stallpaddle-gateway/src/GatewayOnlineForwarder.ts
@@ -1,5 +1,5 @@
 /**
- * Carries online requests to engines: limits, queue, placement, retries.
+ * Forwarding of online requests to engines: rate limits, queueing, placement and retries.
  */
 import type {EngineId, Verdict} from 'stallpaddle';
 import type {ResolvedModel} from 'stallpaddle-control';
@@ -17,7 +17,7 @@
 
 import {GatewayQueue} from './GatewayQueue';
 
-/** An online request, ready to be placed. */
+/** A validated online request that can be sent to an engine. */
 export interface OnlineRequest {
   readonly affinity: string;
   readonly body: Uint8Array;
@@ -27,62 +27,63 @@
   readonly repeatable: boolean;
 }
 
-/** An engine's answer, counted until it has ended. */
+/** An engine's response. The request counts as running on the engine until `finish` is called. */
 export interface OnlineResponse extends BackendAnswer {
   readonly attemptId: string;
   readonly engine: EngineId;
   /**
-   * Must be called once, when the body has ended or was given up.
+   * Must be called exactly once, when the body has been read or abandoned.
    *
-   * @param outcome how it ended
-   * @param tokenMs measured time between tokens, in milliseconds; 0 when unknown
+   * @param outcome result of the attempt
+   * @param tokenMs mean time between tokens, in milliseconds; 0 if unknown
    */
-  readonly ended: (outcome: EngineOutcome, tokenMs: number) => void;
+  readonly finish: (outcome: EngineOutcome, tokenMs: number) => void;
 }
 
-/** An answer that has arrived whole. */
+/** A response whose body has been read completely. */
 export interface BufferedResponse {
   readonly body: Uint8Array;
   readonly contentType: string;
   readonly status: number;
 }
 
-const MAX_ANSWER_BYTES = 33_554_432;
+const MAX_RESPONSE_BYTES = 33_554_432;
 
 /**
- * Runs of one request whose ends are unknown, at most: an engine may have ended by it, and one that ends two would most likely
- * end a third. One repetition is what a cause outside of the request needs.
+ * Most attempts of one request with an unknown outcome. A request that crashes engines must not reach a third one; one
+ * retry is enough after a failure that the request did not cause.
  */
-const MOST_UNKNOWN_ENDS = 2;
-/** Time in whose requests a customer's burst is counted, in seconds. */
+const MAX_UNKNOWN_OUTCOMES = 2;
+/** Size of a customer's burst, in seconds of its request rate. */
 const BURST_SECONDS = 2;
 
-function isUnknownEnd(err: unknown): boolean {
+function isUnknownOutcome(err: unknown): boolean {
   return err instanceof BackendError && err.verdict === 'mayHaveRun';
 }
 
-/** Online requests of one VM. */
+/** Forwards a VM's online requests to engines, enforces customers' rate limits and retries failed attempts. */
 export class GatewayOnlineForwarder {
   private budget: RetryBudget = FULL_RETRY_BUDGET;
   private readonly queue: GatewayQueue;
   private readonly share = new LimitShare();
 
   /**
-   * @param context the VM
+   * @param context state and services of the VM
    */
   constructor(private readonly context: GatewayContext) {
     this.queue = new GatewayQueue(context);
   }
 
-  /** Requests that wait here. */
+  /** Number of requests that wait for a free engine slot. */
   get waiting(): number {
     return this.queue.length;
   }
 
   /**
-   * Takes one request off a customer's limit. Each VM grants its part of the whole rate.
+   * Charges one request to a customer's rate limit. Each VM grants an equal share of the rate.
    *
    * @param caller the customer
+   * @throws {RefusalError} `rateLimited` when the customer has used up the share
    */
   admit({customer, record}: CustomerCaller): void {
     if (record.requestsPerSecond === null) {
@@ -94,91 +95,91 @@
     const limit = {burst: ratePerSecond * BURST_SECONDS, customer, ratePerSecond};
     const answer = this.share.ask(limit, vms, now);
     if (answer.kind === 'over') {
-      throw refuse('rateLimited', `customer ${customer} is over its limit`, {
+      throw refuse('rateLimited', `customer ${customer} has exceeded its rate limit`, {
         retryAfterMs: answer.retryAfterMs,
       });
     }
   }
 
   /**
-   * Sends a request to an engine and returns once the head of an answer is there.
+   * Sends a request to an engine and returns when the head of the response has arrived.
    *
    * @param req the request
-   * @param signal ends it when the caller has gone
-   * @throws {RefusalError} when no engine answers
+   * @param signal aborted when the caller disconnects
+   * @throws {RefusalError} when no engine responds
    */
   send(req: OnlineRequest, signal: AbortSignal): Promise<OnlineResponse> {
-    return this.sendAnd(req, signal, (answer) => Promise.resolve(answer));
+    return this.sendWithRetries(req, signal, (response) => Promise.resolve(response));
   }
 
   /**
-   * Sends a request to an engine and returns the whole answer. One that breaks off is asked for
-   * again where the request may be repeated: none of it has reached the caller.
+   * Sends a request to an engine and buffers the whole response. An interrupted response is retried if the request is
+   * repeatable, as none of it has reached the caller.
    *
    * @param req the request
-   * @param signal ends it when the caller has gone
-   * @throws {RefusalError} when no engine answers
+   * @param signal aborted when the caller disconnects
+   * @throws {RefusalError} when no engine responds
    */
-  sendWhole(req: OnlineRequest, signal: AbortSignal): Promise<BufferedResponse> {
-    return this.sendAnd(req, signal, async (answer) => {
+  sendBuffered(req: OnlineRequest, signal: AbortSignal): Promise<BufferedResponse> {
+    return this.sendWithRetries(req, signal, async (response) => {
       try {
-        const body = await readBody(answer.body, MAX_ANSWER_BYTES);
-        answer.ended('succeeded', 0);
-        return {body, contentType: answer.contentType, status: answer.status};
+        const body = await readBody(response.body, MAX_RESPONSE_BYTES);
+        response.finish('succeeded', 0);
+        return {body, contentType: response.contentType, status: response.status};
       } catch (err) {
-        answer.ended(signal.aborted ? 'cancelled' : 'failed', 0);
+        response.finish(signal.aborted ? 'cancelled' : 'failed', 0);
         throw err;
       }
     });
   }
 
-  private async sendAnd<Result>(
+  private async sendWithRetries<Result>(
     req: OnlineRequest,
     signal: AbortSignal,
-    take: (answer: OnlineResponse) => Promise<Result>,
+    consume: (response: OnlineResponse) => Promise<Result>,
   ): Promise<Result> {
     const deadlineAt = this.context.clock.monotonicMs() + this.context.limits.requestMs;
     const excluded: EngineId[] = [];
-    let unknownEnds = 0;
+    let unknownOutcomes = 0;
     let verdict: Verdict = 'notRun';
     this.budget = countRequest(this.budget);
     try {
       for (;;) {
         const engine = await this.place(req, excluded, deadlineAt, signal);
         try {
-          return await take(await this.attempt(req, engine, deadlineAt, signal));
+          return await consume(await this.attempt(req, engine, deadlineAt, signal));
         } catch (err) {
-          unknownEnds += isUnknownEnd(err) ? 1 : 0;
-          const failure = this.retryOrThrow(req, err, unknownEnds, signal);
+          unknownOutcomes += isUnknownOutcome(err) ? 1 : 0;
+          const failure = this.retryOrThrow(req, err, unknownOutcomes, signal);
           verdict = joinVerdicts(verdict, failure.verdict);
           excluded.push(engine);
         }
       }
     } catch (err) {
-      // The last attempt alone says nothing of those before it.
+      // An earlier attempt may have run even if the last one did not.
       throw err instanceof RefusalError ? err.after(verdict) : err;
     }
   }
 
-  /** Returns the failure when another attempt may be made; else ends the request. */
+  /** Returns the failure if the request may be retried, else throws the refusal for the caller. */
   private retryOrThrow(
     req: OnlineRequest,
     err: unknown,
-    unknownEnds: number,
+    unknownOutcomes: number,
     signal: AbortSignal,
   ): BackendError {
     if (!(err instanceof BackendError)) {
       throw err;
     }
-    const mayRepeat =
-      err.verdict === 'notRun' || (req.repeatable && unknownEnds < MOST_UNKNOWN_ENDS);
-    const next = mayRepeat && !signal.aborted ? takeRetry(this.budget) : undefined;
-    if (next === undefined) {
+    const mayRetry =
+      err.verdict === 'notRun' || (req.repeatable && unknownOutcomes < MAX_UNKNOWN_OUTCOMES);
+    const nextBudget = mayRetry && !signal.aborted ? takeRetry(this.budget) : undefined;
+    if (nextBudget === undefined) {
       const {retryAfterMs = 1000} = err;
       const code = err.verdict === 'notRun' ? 'unavailable' : 'engineFailed';
       throw new RefusalError(code, err.verdict, errorMessage(err), {retryAfterMs});
     }
-    this.budget = next;
+    this.budget = nextBudget;
     this.context.metrics.countRetry();
     return err;
   }
@@ -210,7 +211,7 @@
           await this.queue.wait(customer, record.weight, deadlineAt, signal);
           break;
         case 'noEngine':
-          throw refuse('unavailable', `no engine answers for ${req.model.service} now`, {
+          throw refuse('unavailable', `no engine is available for ${req.model.service}`, {
             retryAfterMs: placement.retryAfterMs,
           });
       }
@@ -227,19 +228,19 @@
     const adapter = adapterOf(engine);
     const slots = routing().engines.get(engine)?.setup.slots;
     if (adapter === undefined || slots === undefined) {
-      throw new BackendError('notRun', `engine ${engine} is not known here`);
+      throw new BackendError('notRun', `engine ${engine} is unknown`);
     }
     const attemptId = drawId('req');
     const timeoutMs = deadlineAt - clock.monotonicMs();
     const deadline = startDeadline(timeoutMs, signal);
     onRouting({engine, kind: 'started', work: 'online'});
-    const ended = (outcome: EngineOutcome, tokenMs: number): void => {
+    const finish = (outcome: EngineOutcome, tokenMs: number): void => {
       deadline.dispose();
       onRouting({engine, kind: 'ended', outcome, tokenMs, work: 'online'});
       this.queue.wake();
     };
     try {
-      const answer = await lanes.run(engine, slots * 2, 'online', () =>
+      const response = await lanes.run(engine, slots * 2, 'online', () =>
         adapter.generate(
           {
             attemptId,
@@ -254,14 +255,14 @@
           deadline.signal,
         ),
       );
-      if (answer.status >= 500) {
-        throw new BackendError('mayHaveRun', `the engine answered with ${answer.status}`);
+      if (response.status >= 500) {
+        throw new BackendError('mayHaveRun', `the engine responded with status ${response.status}`);
       }
-      return {...answer, attemptId, ended, engine};
+      return {...response, attemptId, engine, finish};
     } catch (err) {
       const busy =
         err instanceof BackendError && err.verdict === 'notRun' && err.retryAfterMs !== undefined;
-      ended(signal.aborted || busy ? 'cancelled' : 'failed', 0);
+      finish(signal.aborted || busy ? 'cancelled' : 'failed', 0);
       throw err;
     }
   }
--- a/packages/stallpaddle-gateway/src/GatewayQueue.ts
+++ b/packages/stallpaddle-gateway/src/GatewayQueue.ts
@@ -1,5 +1,5 @@
 /**
- * Online requests that wait for room at an engine.
+ * Queue of online requests that wait for a free engine slot.
  */
 import type {CustomerId, MonotonicMs, RefusalError} from 'stallpaddle';
 
@@ -8,18 +8,18 @@
 
 import type {GatewayContext} from './GatewayContext';
 
-/** Time after which the head of the queue looks again even if nothing ended here. */
+/** Interval at which a waiting request is woken even if no request of this VM finishes, in milliseconds. */
 const RECHECK_MS = 100;
-/** Retry-After for each request that waits, in milliseconds. */
-const RETRY_PER_WAITING_MS = 10;
-const LEAST_RETRY_MS = 500;
+/** Retry-After per waiting request, in milliseconds. */
+const RETRY_AFTER_PER_WAITER_MS = 10;
+const MIN_RETRY_AFTER_MS = 500;
 
 interface Waiter {
   readonly reject: (refusal: RefusalError) => void;
   readonly resolve: () => void;
 }
 
-/** The queue of one VM. */
+/** Holds a VM's waiting requests and wakes them one at a time to look for a free slot. */
 export class GatewayQueue {
   private nextId = 0;
   private queue = EMPTY_QUEUE;
@@ -27,23 +27,23 @@
   private readonly waiters = new Map<number, Waiter>();
 
   /**
-   * @param context the VM
+   * @param context state and services of the VM
    */
   constructor(private readonly context: GatewayContext) {}
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get length(): number {
     return this.queue.requests.length;
   }
 
   /**
-   * Waits for a turn to look for room again.
+   * Waits until the request may look for a free slot again.
    *
-   * @param customer who waits
-   * @param weight its share
-   * @param deadlineAt when waiting makes no sense any more
-   * @param signal ends the wait when the caller has gone
-   * @throws {RefusalError} `overloaded` at once when the queue is full, `deadlineExceeded` later
+   * @param customer customer of the request
+   * @param weight the customer's weight in the queue
+   * @param deadlineAt when the request is refused if it still waits
+   * @param signal aborted when the caller disconnects
+   * @throws {RefusalError} `overloaded` when the queue is full, `deadlineExceeded` after the deadline or a disconnect
    */
   wait(
     customer: CustomerId,
@@ -60,54 +60,54 @@
     }
     this.queue = joined.queue;
     if (joined.kind === 'full') {
-      this.settle(joined.victim.id)?.reject(this.overloaded());
+      this.takeWaiter(joined.victim.id)?.reject(this.overloaded());
     }
     return new Promise((resolve, reject) => {
       this.waiters.set(id, {reject, resolve});
-      signal.addEventListener('abort', () => this.giveUp(id), {once: true});
-      this.arm();
+      signal.addEventListener('abort', () => this.abandon(id), {once: true});
+      this.scheduleRecheck();
     });
   }
 
-  /** Lets the next request look for room. */
+  /** Wakes the next request to look for a free slot. */
   wake(): void {
-    this.refuseLate();
+    this.refuseExpired();
     const next = takeNext(this.queue);
     if (next !== undefined) {
       this.queue = next.queue;
-      this.settle(next.req.id)?.resolve();
+      this.takeWaiter(next.req.id)?.resolve();
     }
-    this.arm();
+    this.scheduleRecheck();
   }
 
-  private giveUp(id: number): void {
+  private abandon(id: number): void {
     this.queue = leaveQueue(this.queue, id);
-    this.settle(id)?.reject(refuse('deadlineExceeded', 'the caller has gone'));
+    this.takeWaiter(id)?.reject(refuse('deadlineExceeded', 'the caller disconnected'));
   }
 
-  private refuseLate(): void {
+  private refuseExpired(): void {
     const now = this.context.clock.monotonicMs();
-    for (const late of this.queue.requests.filter((req) => req.deadlineAt <= now)) {
-      this.queue = leaveQueue(this.queue, late.id);
-      const refusal = refuse('deadlineExceeded', 'no engine had room in time', {
-        retryAfterMs: LEAST_RETRY_MS,
+    for (const expired of this.queue.requests.filter((req) => req.deadlineAt <= now)) {
+      this.queue = leaveQueue(this.queue, expired.id);
+      const refusal = refuse('deadlineExceeded', 'no engine slot became free before the deadline', {
+        retryAfterMs: MIN_RETRY_AFTER_MS,
       });
-      this.settle(late.id)?.reject(refusal);
+      this.takeWaiter(expired.id)?.reject(refusal);
     }
   }
 
-  private settle(id: number): Waiter | undefined {
+  private takeWaiter(id: number): Waiter | undefined {
     const waiter = this.waiters.get(id);
     this.waiters.delete(id);
     return waiter;
   }
 
   private overloaded(): RefusalError {
-    const retryAfterMs = Math.max(LEAST_RETRY_MS, this.length * RETRY_PER_WAITING_MS);
-    return refuse('overloaded', 'too many requests wait here', {retryAfterMs});
+    const retryAfterMs = Math.max(MIN_RETRY_AFTER_MS, this.length * RETRY_AFTER_PER_WAITER_MS);
+    return refuse('overloaded', 'too many requests are queued', {retryAfterMs});
   }
 
-  private arm(): void {
+  private scheduleRecheck(): void {
     if (this.length > 0 && this.timer === undefined) {
       this.timer = setTimeout(() => {
         this.timer = undefined;
--- a/packages/stallpaddle-gateway/src/GatewayServer.ts
+++ b/packages/stallpaddle-gateway/src/GatewayServer.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP server towards callers and operators.
+ * HTTP server for callers and operators.
  */
 import type {Server} from 'node:http';
 import type {RefusalError} from 'stallpaddle';
@@ -22,8 +22,8 @@
 
 const MAX_HEADER_BYTES = 16_384;
 const KEEP_ALIVE_MS = 10_000;
-/** Longest time in which the rest of an unwanted body is read, in milliseconds. */
-const LINGER_MS = 2_000;
+/** Longest time for draining the rest of a refused request's body, in milliseconds. */
+const DRAIN_TIMEOUT_MS = 2_000;
 
 type Handler = (req: IncomingMessage, res: ServerResponse, url: URL) => Promise<void>;
 
@@ -35,22 +35,22 @@
 function urlOf(req: IncomingMessage): URL {
   const url = URL.parse(req.url ?? '/', 'http://vm');
   if (url === null) {
-    throw refuse('badRequest', 'the path is not a URL');
+    throw refuse('badRequest', 'the request path is not a valid URL');
   }
   return url;
 }
 
 /**
- * Reads what is left of a body that is not wanted, for a moment: closing at once would reset the
- * connection, and the caller might never see the refusal.
+ * Drains the unread rest of a request body for a limited time. Closing at once would reset the connection, and the
+ * caller might never receive the refusal.
  */
-function dropRest(req: IncomingMessage): void {
-  const timer = setTimeout(() => req.destroy(), LINGER_MS);
+function drainRequestBody(req: IncomingMessage): void {
+  const timer = setTimeout(() => req.destroy(), DRAIN_TIMEOUT_MS);
   req.on('close', () => clearTimeout(timer));
   req.resume();
 }
 
-/** The server of one VM. */
+/** Authenticates, routes and counts the HTTP requests of one VM. */
 export class GatewayServer {
   private readonly admin: GatewayAdmin;
   private readonly auth: GatewayAuth;
@@ -63,7 +63,7 @@
   private readonly services: GatewayServices;
 
   /**
-   * @param context the VM
+   * @param context state and services of the VM
    */
   constructor(private readonly context: GatewayContext) {
     this.auth = new GatewayAuth(context);
@@ -91,15 +91,15 @@
     );
   }
 
-  /** Requests that are being answered. */
+  /** Number of requests in progress. */
   get openRequests(): number {
     return this.open;
   }
 
   /**
-   * Starts to listen.
+   * Starts listening.
    *
-   * @param host IP number
+   * @param host IP address
    * @param port TCP port
    */
   async start(host: string, port: number): Promise<void> {
@@ -109,12 +109,12 @@
     });
   }
 
-  /** Closes idle connections; open requests go on. */
+  /** Closes idle connections; requests in progress continue. */
   closeIdle(): void {
     this.server.closeIdleConnections();
   }
 
-  /** Ends all connections. */
+  /** Closes all connections and the server. */
   async stop(): Promise<void> {
     this.server.closeAllConnections();
     await new Promise((resolve) => this.server.close(resolve));
@@ -138,25 +138,29 @@
       if (refusal.code === 'internal') {
         this.context.logger.error('A request failed.', {reason: errorMessage(err), route});
       }
-      this.endRefused(req, res, refusal);
+      this.respondWithRefusal(req, res, refusal);
     } finally {
       this.open--;
       this.context.metrics.countRequest(route, code);
     }
   }
 
-  private endRefused(req: IncomingMessage, res: ServerResponse, refusal: RefusalError): void {
+  private respondWithRefusal(
+    req: IncomingMessage,
+    res: ServerResponse,
+    refusal: RefusalError,
+  ): void {
     if (!req.complete) {
-      dropRest(req);
+      drainRequestBody(req);
     }
     const {code} = refusal;
-    const elsewhere = code === 'leaving' || code === 'stale';
-    if (elsewhere && !res.headersSent) {
+    const shouldRedirect = code === 'leaving' || code === 'stale';
+    if (shouldRedirect && !res.headersSent) {
       const {clock, membership, vm} = this.context;
-      const others = addressesFor(membership(), vm, this.context.zone, clock.monotonicMs());
+      const alternatives = addressesFor(membership(), vm, this.context.zone, clock.monotonicMs());
       res.setHeader(
         'x-stallpaddle-addresses',
-        others.map(({host, port}) => `${host}:${port}`).join(','),
+        alternatives.map(({host, port}) => `${host}:${port}`).join(','),
       );
     }
     sendRefusal(res, refusal);
@@ -166,7 +170,7 @@
     return this.context.refusal()?.code === 'leaving';
   }
 
-  private refuseNewWork(): void {
+  private assertAcceptsNewWork(): void {
     const refusal = this.context.refusal();
     if (refusal !== undefined) {
       throw refusal;
@@ -179,22 +183,22 @@
       case 'addresses':
       case 'healthz':
       case 'metrics':
-        return this.openRoute(method, root);
+        return this.publicRoute(method, root);
       case 'admin':
         return this.adminRoute(method, path.slice(1));
       case 'services':
-        return {handler: (req, res) => this.answerService(req, res), name: SERVICES_PREFIX};
+        return {handler: (req, res) => this.callService(req, res), name: SERVICES_PREFIX};
       case 'v1':
-        return this.callerRoute(method, path.slice(1));
+        return this.customerRoute(method, path.slice(1));
       case undefined:
       default:
         throw refuse('notFound', 'no such path');
     }
   }
 
-  private openRoute(method: string, root: 'addresses' | 'healthz' | 'metrics'): Route {
+  private publicRoute(method: string, root: 'addresses' | 'healthz' | 'metrics'): Route {
     if (method !== 'GET') {
-      throw refuse('notFound', `${root} answers GET only`);
+      throw refuse('notFound', `${root} supports GET only`);
     }
     const {metrics, refusal} = this.context;
     switch (root) {
@@ -226,23 +230,23 @@
     const {clock, membership} = this.context;
     const caller = req.socket.remoteAddress ?? '';
     const zone = url.searchParams.get('zone') ?? undefined;
-    const spread = url.searchParams.get('caller') ?? caller;
-    const addresses = addressesFor(membership(), spread, zone, clock.monotonicMs());
+    const orderKey = url.searchParams.get('caller') ?? caller;
+    const addresses = addressesFor(membership(), orderKey, zone, clock.monotonicMs());
     res.setHeader('cache-control', `max-age=${Math.floor(ADDRESSES_LIFETIME_MS / 1000)}`);
     sendJson(res, 200, {addresses, lifetimeMs: ADDRESSES_LIFETIME_MS});
   }
 
-  private async answerService(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  private async callService(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const caller = this.auth.customerOf(req);
-    this.refuseNewWork();
-    await this.services.answer(caller, req, res);
+    this.assertAcceptsNewWork();
+    await this.services.handle(caller, req, res);
   }
 
-  private callerRoute(method: string, path: readonly string[]): Route {
+  private customerRoute(method: string, path: readonly string[]): Route {
     const [collection = '', id = '', part] = path;
     const name = `${method} /v1/${collection}${id === '' ? '' : '/ID'}${part === undefined ? '' : `/${part}`}`;
     const route = (
-      takesWork: boolean,
+      startsWork: boolean,
       run: (
         caller: ReturnType<GatewayAuth['customerOf']>,
         req: IncomingMessage,
@@ -251,8 +255,8 @@
     ): Route => ({
       handler: async (req, res) => {
         const caller = this.auth.customerOf(req);
-        if (takesWork) {
-          this.refuseNewWork();
+        if (startsWork) {
+          this.assertAcceptsNewWork();
         }
         await run(caller, req, res);
       },
@@ -262,7 +266,7 @@
     switch (name) {
       case `POST /v1/chat/ID`:
         if (`/v1/chat/${id}` === CHAT_PATH) {
-          return route(true, (caller, req, res) => this.chat.answer(caller, req, res));
+          return route(true, (caller, req, res) => this.chat.handle(caller, req, res));
         }
         break;
       case 'GET /v1/batches':
--- a/packages/stallpaddle-gateway/src/GatewayServices.ts
+++ b/packages/stallpaddle-gateway/src/GatewayServices.ts
@@ -20,41 +20,41 @@
 export const SERVICES_PREFIX = '/services/';
 
 const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS']);
-const MAX_ANSWER_BYTES = 33_554_432;
+const MAX_RESPONSE_BYTES = 33_554_432;
 
-async function readWhole(answer: BackendAnswer): Promise<BufferedResponse> {
+async function bufferResponse(response: BackendAnswer): Promise<BufferedResponse> {
   try {
-    const body = await readBody(answer.body, MAX_ANSWER_BYTES);
-    return {body, contentType: answer.contentType, status: answer.status};
+    const body = await readBody(response.body, MAX_RESPONSE_BYTES);
+    return {body, contentType: response.contentType, status: response.status};
   } catch (err) {
     throw new RefusalError('engineFailed', 'mayHaveRun', errorMessage(err));
   }
 }
 
-/** Answers calls to plain services. */
+/** Forwards calls of plain services to their backend servers. */
 export class GatewayServices {
-  private readonly once: GatewayIdempotency;
-  private turn = 0;
+  private readonly idempotency: GatewayIdempotency;
+  private nextServer = 0;
 
   /**
-   * @param context the VM
-   * @param online holds the customers' limits
+   * @param context state and services of the VM
+   * @param online enforces the customers' rate limits
    */
   constructor(
     private readonly context: GatewayContext,
     private readonly online: GatewayOnlineForwarder,
   ) {
-    this.once = new GatewayIdempotency(context);
+    this.idempotency = new GatewayIdempotency(context);
   }
 
   /**
-   * Answers one call.
+   * Forwards one call and sends the response.
    *
-   * @param caller who asks
+   * @param caller the customer
    * @param req the request
    * @param res the response
    */
-  async answer(caller: CustomerCaller, req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async handle(caller: CustomerCaller, req: IncomingMessage, res: ServerResponse): Promise<void> {
     const {limits} = this.context;
     const [name = '', ...rest] = (req.url ?? '').slice(SERVICES_PREFIX.length).split('/');
     const service = this.context.config().services.get(name);
@@ -62,8 +62,8 @@
       throw refuse('notFound', `no plain service ${name}`);
     }
     const body = await readRequestBody(req, limits.bodyBytes, limits.sendMs);
-    const byDefault = service.repeatable || SAFE_METHODS.has(req.method ?? '');
-    const repeatable = isRepeatable(req, byDefault);
+    const repeatableByDefault = service.repeatable || SAFE_METHODS.has(req.method ?? '');
+    const repeatable = isRepeatable(req, repeatableByDefault);
     this.online.admit(caller);
     const deadline = startDeadline(limits.requestMs, callerSignal(res));
     res.on('close', deadline.dispose);
@@ -72,18 +72,20 @@
     const send = (): Promise<BackendAnswer> =>
       this.send(service.servers, req, path, body, repeatable, signal);
     if (!repeatable) {
-      await this.once.answer(caller, req, body, res, async () => readWhole(await send()));
+      await this.idempotency.handle(caller, req, body, res, async () =>
+        bufferResponse(await send()),
+      );
       return;
     }
-    const answer = await send();
-    res.writeHead(answer.status, {'content-type': answer.contentType});
-    for await (const chunk of answer.body) {
+    const response = await send();
+    res.writeHead(response.status, {'content-type': response.contentType});
+    for await (const chunk of response.body) {
       await writeChunk(res, chunk);
     }
     res.end();
   }
 
-  /** Tries the servers in turn; goes on to the next one only when nothing can have run twice. */
+  /** Tries the servers in round-robin order. Only a call that is repeatable or did not run goes to another server. */
   private async send(
     servers: readonly PlainServer[],
     req: IncomingMessage,
@@ -92,7 +94,7 @@
     repeatable: boolean,
     signal: AbortSignal,
   ): Promise<BackendAnswer> {
-    const first = this.turn++;
+    const first = this.nextServer++;
     let verdict: Verdict = 'notRun';
     for (let attempt = 0; ; attempt++) {
       const server = servers[(first + attempt) % servers.length]!;
@@ -113,8 +115,8 @@
       } catch (err) {
         const failure = err instanceof BackendError ? err.verdict : 'mayHaveRun';
         verdict = joinVerdicts(verdict, failure);
-        const mayGoOn = failure === 'notRun' || repeatable;
-        if (!mayGoOn || attempt + 1 >= servers.length || signal.aborted) {
+        const mayRetry = failure === 'notRun' || repeatable;
+        if (!mayRetry || attempt + 1 >= servers.length || signal.aborted) {
           const code = verdict === 'notRun' ? 'unavailable' : 'engineFailed';
           throw new RefusalError(code, verdict, errorMessage(err), {retryAfterMs: 1000});
         }
--- a/packages/stallpaddle-gateway/src/__tests__/unit/GatewayFixtures.ts
+++ b/packages/stallpaddle-gateway/src/__tests__/unit/GatewayFixtures.ts
@@ -1,3 +1,6 @@
+/**
+ * Fixtures of the gateway's tests.
+ */
 import type {EngineAdapter} from 'stallpaddle-engine';
 import type {RoutingState} from 'stallpaddle-routing';
 
@@ -8,23 +11,20 @@
 import {EMPTY_ROUTING, stepRouting} from 'stallpaddle-routing';
 import {parseSettings} from 'stallpaddle-settings';
 
-/**
- * Fixtures of the gateway's tests.
- */
 import type {GatewayContext} from '../../GatewayContext';
 
 import {GatewayMetrics} from '../../GatewayMetrics';
 
-/** Engines that the fixtures know. */
+/** Engines of the context. */
 export const ENGINES = ['e1', 'e2', 'e3'] as const;
 
 /**
- * A VM's context in which all engines are one adapter and times stand still.
+ * Creates a gateway context in which all engines share one adapter and the clocks stand still.
  *
- * @param adapter stands for every engine
- * @param changes what is different
+ * @param adapter adapter of every engine
+ * @param changes replaced members
  */
-export function contextOf(
+export function createContext(
   adapter: EngineAdapter,
   changes: Partial<GatewayContext> = {},
 ): GatewayContext {
@@ -55,7 +55,7 @@
   const unused = (): never => {
     throw new Error('not used here');
   };
-  const facts = {
+  const ownState = {
     callers: address,
     epoch: 1,
     hasDisk: true,
@@ -74,7 +74,7 @@
     ledger: {all: [], forCustomer: unused},
     limits: settings.limits,
     logger: silentLogger,
-    membership: () => startMembership(facts, 0),
+    membership: () => startMembership(ownState, 0),
     metrics: new GatewayMetrics(),
     onRouting: (event) => {
       routing = stepRouting(routing, event, 0);
--- a/packages/stallpaddle-gateway/src/__tests__/unit/GatewayOnlineForwarder.test.ts
+++ b/packages/stallpaddle-gateway/src/__tests__/unit/GatewayOnlineForwarder.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Online requests over failing engines: a caller gets only its own response, a request that is not repeatable runs at
+ * most once, and `notRun` is reported only if no engine saw the request.
+ */
 import type {BackendAnswer, BackendRequest, EngineAdapter} from 'stallpaddle-engine';
 
 import fc from 'fast-check';
@@ -6,53 +10,49 @@
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-/**
- * Online requests over failing engines, beside what a naive gateway may promise: own answers only, at
- * most one run where it must not repeat, and `notRun` only when no engine saw the request.
- */
 import {GatewayOnlineForwarder} from '../../GatewayOnlineForwarder';
-import {contextOf, ENGINES} from './GatewayFixtures';
+import {createContext, ENGINES} from './GatewayFixtures';
 
-const FATES = ['answers', 'breaksOff', 'busy', 'fails', 'refuses', 'resets'] as const;
+const BEHAVIORS = ['answers', 'breaksOff', 'busy', 'fails', 'refuses', 'resets'] as const;
 
-type Fate = (typeof FATES)[number];
+type Behavior = (typeof BEHAVIORS)[number];
 
-/** Engines whose fates are given; they note every request that reaches them. */
+/** Engines that behave as scripted and count the runs of each request. */
 class FakeEngines {
   readonly runs = new Map<string, number>();
-  private turn = 0;
+  private calls = 0;
 
-  constructor(private readonly fates: readonly Fate[]) {}
+  constructor(private readonly behaviors: readonly Behavior[]) {}
 
   readonly adapter: EngineAdapter = {
     generate: async (req) => this.generate(req),
     order: async () => ({kind: 'accepted'}),
     status: async () => {
-      throw new Error('not asked here');
+      throw new Error('unexpected call');
     },
   };
 
   private async generate(req: BackendRequest): Promise<BackendAnswer> {
-    const fate = this.fates[this.turn++ % this.fates.length]!;
+    const behavior = this.behaviors[this.calls++ % this.behaviors.length]!;
     const text = Buffer.from(req.body).toString();
-    if (fate === 'refuses') {
+    if (behavior === 'refuses') {
       throw new BackendError('notRun', 'no connection');
     }
-    if (fate === 'busy') {
+    if (behavior === 'busy') {
       throw new BackendError('notRun', 'busy', 10);
     }
     this.runs.set(text, (this.runs.get(text) ?? 0) + 1);
-    if (fate === 'resets') {
+    if (behavior === 'resets') {
       throw new BackendError('mayHaveRun', 'the connection was reset');
     }
-    const breaks = fate === 'breaksOff';
+    const isInterrupted = behavior === 'breaksOff';
     async function* body(): AsyncGenerator<Uint8Array> {
-      yield Buffer.from(`answer to ${text}`.slice(0, breaks ? 5 : undefined));
-      if (breaks) {
-        throw new BackendError('mayHaveRun', 'the answer broke off');
+      yield Buffer.from(`answer to ${text}`.slice(0, isInterrupted ? 5 : undefined));
+      if (isInterrupted) {
+        throw new BackendError('mayHaveRun', 'the response was interrupted');
       }
     }
-    return {body: body(), contentType: 't', status: fate === 'fails' ? 500 : 200};
+    return {body: body(), contentType: 't', status: behavior === 'fails' ? 500 : 200};
   }
 }
 
@@ -69,22 +69,22 @@
 
 describe('GatewayOnlineForwarder', () => {
   test(
-    'gives own answers, repeats only what may repeat, and says notRun only when nothing ran',
+    'returns own responses, repeats only repeatable requests, and reports notRun only if nothing ran',
     async () => {
       const request = fc.record({repeatable: fc.boolean()});
       const property = fc.asyncProperty(
-        fc.array(fc.constantFrom(...FATES), {maxLength: 20, minLength: 1}),
+        fc.array(fc.constantFrom(...BEHAVIORS), {maxLength: 20, minLength: 1}),
         fc.array(request, {maxLength: 12, minLength: 1}),
-        async (fates, requests) => {
-          const engines = new FakeEngines(fates);
-          const online = new GatewayOnlineForwarder(contextOf(engines.adapter));
+        async (behaviors, requests) => {
+          const engines = new FakeEngines(behaviors);
+          const online = new GatewayOnlineForwarder(createContext(engines.adapter));
           const {signal} = new AbortController();
           await Promise.all(
             requests.map(async ({repeatable}, number) => {
               const text = `request ${number}`;
               try {
-                const answer = await online.sendWhole(requestOf(text, repeatable), signal);
-                expect(Buffer.from(answer.body).toString()).toBe(`answer to ${text}`);
+                const response = await online.sendBuffered(requestOf(text, repeatable), signal);
+                expect(Buffer.from(response.body).toString()).toBe(`answer to ${text}`);
                 expect(engines.runs.get(text)).toBeGreaterThanOrEqual(1);
               } catch (err) {
                 expect(err).toBeInstanceOf(RefusalError);
@@ -106,20 +106,20 @@
     fuzzTimeoutMs(),
   );
 
-  test('brings a request whose runs end unknown to two engines at most: it may have ended both', async () => {
+  test('sends a request to at most two engines if their outcomes are unknown: it may have crashed them', async () => {
     const engines = new FakeEngines(['resets']);
-    const online = new GatewayOnlineForwarder(contextOf(engines.adapter));
+    const online = new GatewayOnlineForwarder(createContext(engines.adapter));
     const {signal} = new AbortController();
-    await expect(online.sendWhole(requestOf('r', true), signal)).rejects.toThrow(RefusalError);
+    await expect(online.sendBuffered(requestOf('r', true), signal)).rejects.toThrow(RefusalError);
     expect(engines.runs.get('r')).toBe(2);
   });
 
-  test('stops retrying when its budget is used up, so that a brown-out is not fed', async () => {
+  test('stops retrying when the retry budget is used up, so that retries do not add to an overload', async () => {
     const engines = new FakeEngines(['resets']);
-    const online = new GatewayOnlineForwarder(contextOf(engines.adapter));
+    const online = new GatewayOnlineForwarder(createContext(engines.adapter));
     const {signal} = new AbortController();
     for (let number = 0; number < 50; number++) {
-      await online.sendWhole(requestOf(`r${number}`, true), signal).catch(() => {});
+      await online.sendBuffered(requestOf(`r${number}`, true), signal).catch(() => {});
     }
     const runs = [...engines.runs.values()].reduce((sum, count) => sum + count, 0);
     expect(runs).toBeLessThanOrEqual(50 + 15);
--- a/packages/stallpaddle-gateway/src/__tests__/unit/GatewayServer.test.ts
+++ b/packages/stallpaddle-gateway/src/__tests__/unit/GatewayServer.test.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP edge under whatever callers send: always an answer, never a 500, never a crash.
+ * Arbitrary input of callers: the server always responds, never with status 500, and does not crash.
  */
 import type {EngineAdapter} from 'stallpaddle-engine';
 
@@ -12,7 +12,7 @@
 import {afterAll, beforeAll, describe, expect, test} from 'vitest';
 
 import {GatewayServer} from '../../GatewayServer';
-import {contextOf} from './GatewayFixtures';
+import {createContext} from './GatewayFixtures';
 
 const HOST = '127.3.1.1';
 const PORT = 8100;
@@ -24,19 +24,19 @@
 const noEngine: EngineAdapter = {
   generate: () => Promise.reject(refuse('unavailable', 'no engine here')),
   order: () => Promise.resolve({kind: 'accepted'}),
-  status: () => Promise.reject(new Error('not asked here')),
+  status: () => Promise.reject(new Error('unexpected call')),
 };
 
-/** Sends bytes as they are and returns the first line of the answer. */
+/** Sends a raw request and returns the status line of the response. */
 function sendRaw(text: string): Promise<string> {
   return new Promise((resolve, reject) => {
     const socket = connect(PORT, HOST);
-    let answer = '';
+    let response = '';
     socket.on('data', (data) => {
-      answer += data.toString();
+      response += data.toString();
     });
     socket.on('error', reject);
-    socket.on('close', () => resolve(answer.split('\r\n', 1)[0] ?? ''));
+    socket.on('close', () => resolve(response.split('\r\n', 1)[0] ?? ''));
     socket.end(text);
   });
 }
@@ -48,7 +48,7 @@
     Promise.reject(refuse('unavailable', 'no group here', {retryAfterMs: 1}));
   const port = {command: unavailable, query: unavailable, readBlob: unavailable};
   const server = new GatewayServer(
-    contextOf(noEngine, {
+    createContext(noEngine, {
       config: () => config,
       control: port,
       ledger: {all: [port], forCustomer: () => port},
@@ -60,7 +60,7 @@
   afterAll(() => server.stop());
 
   test(
-    'answers anything, and never with a 500',
+    'responds to any request, and never with status 500',
     async () => {
       const word = fc.constantFrom(
         '',
@@ -129,7 +129,7 @@
     fuzzTimeoutMs(),
   );
 
-  test('outlives bytes that are no HTTP', async () => {
+  test('survives input that is not HTTP', async () => {
     await sendRaw('\u0000\u0001 nonsense\r\n\r\n').catch(() => '');
     await sendRaw(`GET /healthz HTTP/1.1\r\n${'a: b\r\n'.repeat(10_000)}`).catch(() => '');
     const line = await sendRaw('GET /healthz HTTP/1.1\r\nhost: vm\r\nconnection: close\r\n\r\n');
--- a/packages/stallpaddle-gateway/src/index.ts
+++ b/packages/stallpaddle-gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** HTTP towards callers and operators. */
+/** HTTP interface for callers and operators. */
 export {sha256} from './GatewayAuth';
 export type {GatewayContext} from './GatewayContext';
 export {IDEMPOTENCY_KEY_HEADER, REPEATABLE_HEADER} from './GatewayHttp';
