--- a/packages/stallpaddle-batch/src/BatchRunner.ts
+++ b/packages/stallpaddle-batch/src/BatchRunner.ts
@@ -104,7 +104,7 @@
 ): Promise<ItemOutcome> {
   try {
     if (!(await recordStart(leasedItem))) {
-      // The lease has passed to another VM; the ledger drops this report.
+      // The lease is no longer valid; the ledger drops this report.
       return {
         failed: false,
         kind: 'report',
--- a/packages/stallpaddle-gateway/src/GatewayContext.ts
+++ b/packages/stallpaddle-gateway/src/GatewayContext.ts
@@ -1,5 +1,5 @@
 /**
- * What the gateway uses of the VM that it runs in.
+ * Interface between the gateway and the VM that it runs in.
  */
 import type {Clock, EngineId, Logger, Random, RefusalError, VmId, ZoneId} from 'stallpaddle';
 import type {ControlPort, FleetConfig, PlainServer} from 'stallpaddle-control';
