--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcReplicaWorld.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcReplicaCluster.ts
@@ -64,7 +64,7 @@
 }
 
 /** See the module's comment. */
-export class RpcReplicaWorld {
+export class RpcReplicaCluster {
   /** Texts whose commands were acknowledged. */
   readonly acknowledged: string[] = [];
   /** One-way cuts, as `from>to`. */
@@ -89,8 +89,8 @@
   }
 
   /** Founds a group of five voters. */
-  static async found(seed: number): Promise<RpcReplicaWorld> {
-    const world = new RpcReplicaWorld(seed);
+  static async found(seed: number): Promise<RpcReplicaCluster> {
+    const world = new RpcReplicaCluster(seed);
     const ids = Array.from({length: VOTERS}, () => world.addMachine());
     const members: GroupMembers = {learners: [], voters: ids};
     for (const id of ids) {
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcReplicas.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcReplicas.test.ts
@@ -9,7 +9,7 @@
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {afterEach, describe, expect, test, vi} from 'vitest';
 
-import {RpcReplicaWorld} from './RpcReplicaWorld';
+import {RpcReplicaCluster} from './RpcReplicaCluster';
 
 /** Some ten seconds of them. */
 const HISTORIES = 40;
@@ -76,7 +76,7 @@
 
 type Step = typeof step extends fc.Arbitrary<infer Value> ? Value : never;
 
-async function take(world: RpcReplicaWorld, taken: Step): Promise<void> {
+async function take(world: RpcReplicaCluster, taken: Step): Promise<void> {
   switch (taken.kind) {
     case 'cut':
       world.cuts.add(`${world.pick(taken.from)}>${world.pick(taken.to)}`);
@@ -125,7 +125,7 @@
   test('a leader that cannot read bulk data makes way for one that can', async () => {
     // It went on leading, and every read of the job failed for ever, though all others held it whole.
     ownTime();
-    const world = await RpcReplicaWorld.found(1);
+    const world = await RpcReplicaCluster.found(1);
     world.propose(3, 100);
     await world.run(200);
     const damaged = world.leaderId!;
@@ -140,7 +140,7 @@
 
   test('replicas none of which can read bulk data do not hand leadership round', async () => {
     ownTime();
-    const world = await RpcReplicaWorld.found(1);
+    const world = await RpcReplicaCluster.found(1);
     world.propose(3, 100);
     await world.run(400);
     world.ids.forEach((id) => world.damage(id));
@@ -166,7 +166,7 @@
         fc.integer({max: 2, min: 0}),
         async (seed, steps, lostDisks) => {
           ownTime();
-          const world = await RpcReplicaWorld.found(seed);
+          const world = await RpcReplicaCluster.found(seed);
           try {
             for (const taken of steps) {
               await take(world, taken);
