--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcReplicaCluster.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcReplicaCluster.ts
@@ -59,7 +59,7 @@
 }
 
 /** A broken promise. */
-export class WorldError extends Error {
+export class ClusterError extends Error {
   override readonly name = 'WorldError';
 }
 
@@ -184,7 +184,7 @@
     }
     for (const end = this.now + SETTLE_MS; !this.isWhole();) {
       if (this.now > end) {
-        throw new WorldError(`the group does not become whole: ${this.describe()}`);
+        throw new ClusterError(`the group does not become whole: ${this.describe()}`);
       }
       await this.run(50);
     }
@@ -192,7 +192,7 @@
     const items = new Map(leader.localState.items.map((item) => [item.text, item]));
     const missing = this.acknowledged.filter((text) => !items.has(text));
     if (missing.length > 0) {
-      throw new WorldError(`acknowledged ${missing.join()} is not there`);
+      throw new ClusterError(`acknowledged ${missing.join()} is not there`);
     }
     for (const id of this.ids) {
       await this.checkReplica(id, leader.localState);
@@ -249,7 +249,7 @@
     for (const giveUpAt = this.now + SETTLE_MS; !ended;) {
       await this.tick();
       if (this.now > giveUpAt) {
-        throw new WorldError('nothing ends');
+        throw new ClusterError('nothing ends');
       }
     }
     return work;
@@ -260,16 +260,16 @@
     const who = driver.leads ? `leader ${id}` : id;
     const {blobEnd, items} = driver.localState;
     if (blobEnd !== expected.blobEnd || items.length !== expected.items.length) {
-      throw new WorldError(`${who} holds ${items.length} items up to ${blobEnd}`);
+      throw new ClusterError(`${who} holds ${items.length} items up to ${blobEnd}`);
     }
     for (const [at, {ref, text}] of items.entries()) {
       if (expected.items[at]!.text !== text) {
-        throw new WorldError(`${who} holds ${text} at ${at}`);
+        throw new ClusterError(`${who} holds ${text} at ${at}`);
       }
       const read = await this.until(driver.readBlob(ref!).catch((err: unknown) => String(err)));
       if (typeof read === 'string' || !bulkOf(text).equals(read)) {
         const known = this.acknowledged.includes(text) ? 'acknowledged' : 'unanswered';
-        throw new WorldError(`${who} can't read ${known} ${text.slice(0, 9)}: ${String(read)}`);
+        throw new ClusterError(`${who} can't read ${known} ${text.slice(0, 9)}: ${String(read)}`);
       }
     }
   }
@@ -356,7 +356,7 @@
       // What it waits for fails once its time has come.
       for (let turns = 0; !ended; turns++) {
         if (turns > 10_000) {
-          throw new WorldError(`${id} does not end`);
+          throw new ClusterError(`${id} does not end`);
         }
         this.waiting.splice(0).forEach(({wake}) => wake());
         await new Promise((resolve) => setImmediate(resolve));
