--- a/packages/stallpaddle-replication/src/ReplicaBlobs.ts
+++ b/packages/stallpaddle-replication/src/ReplicaBlobs.ts
@@ -123,7 +123,7 @@
 
   private async truncate(end: number): Promise<void> {
     if (this.blobs.end !== end) {
-      await this.blobs.cutTo(end);
+      await this.blobs.truncateTo(end);
     }
   }
 
--- a/packages/stallpaddle-storage/src/StorageBlobs.ts
+++ b/packages/stallpaddle-storage/src/StorageBlobs.ts
@@ -93,7 +93,7 @@
     const blobs = new StorageBlobs(disk, end);
     // Before the cut: on a file that is too short it would add zeros.
     await blobs.checkLength();
-    await blobs.cutTo(end);
+    await blobs.truncateTo(end);
     return blobs;
   }
 
@@ -195,7 +195,7 @@
    *
    * @param end new end of the data, in bytes
    */
-  async cutTo(end: number): Promise<void> {
+  async truncateTo(end: number): Promise<void> {
     this.cutting = this.cutAlone(end).finally(() => {
       this.cutting = undefined;
     });
--- a/packages/stallpaddle-storage/src/__tests__/unit/StorageBlobs.test.ts
+++ b/packages/stallpaddle-storage/src/__tests__/unit/StorageBlobs.test.ts
@@ -71,7 +71,7 @@
     const [first] = await write(blobs, ['one']);
     const {end} = blobs;
     await blobs.appendRaw(end, Buffer.from('half of a transfer'));
-    await blobs.cutTo(end);
+    await blobs.truncateTo(end);
     // A snapshot that refers to the first record may be saved now.
     await blobs.sync();
     disk.restart();
@@ -135,7 +135,7 @@
     await blobs.appendRaw(end, Buffer.from('half of a transfer'));
     const slow = gate();
     disk.pause = () => slow.opened;
-    const cut = blobs.cutTo(end);
+    const cut = blobs.truncateTo(end);
     await delay(1);
     const read = blobs.read(first!);
     const sync = blobs.sync();
@@ -179,7 +179,7 @@
     const [ref] = await write(blobs, ['kept']);
     const {end} = blobs;
     await blobs.appendRaw(end, Buffer.from('half of something'));
-    await blobs.cutTo(end);
+    await blobs.truncateTo(end);
     const [next] = await write(blobs, ['next']);
     expect(next!.offset).toBe(end);
     expect(Buffer.from(await blobs.read(ref!)).toString()).toBe('kept');
