--- a/packages/stallpaddle-storage/src/StorageBlobs.ts
+++ b/packages/stallpaddle-storage/src/StorageBlobs.ts
@@ -245,7 +245,7 @@
     for (const start of starts) {
       await this.use(start, (file) => file.sync());
     }
-    await this.disk.syncNames();
+    await this.disk.syncDirectory();
   }
 
   /** Uses a segment's file. A file knows its end from when it was opened, so a cut waits for all uses, and they for it. */
@@ -309,6 +309,6 @@
         await this.disk.truncate(name, content);
       }
     }
-    await this.disk.syncNames();
+    await this.disk.syncDirectory();
   }
 }
--- a/packages/stallpaddle-storage/src/StorageDisk.ts
+++ b/packages/stallpaddle-storage/src/StorageDisk.ts
@@ -36,7 +36,7 @@
   readonly remove: (name: string) => Promise<void>;
   readonly rename: (from: string, to: string) => Promise<void>;
   /** Makes names that were added, renamed or removed last. */
-  readonly syncNames: () => Promise<void>;
+  readonly syncDirectory: () => Promise<void>;
   readonly truncate: (name: string, length: number) => Promise<void>;
 }
 
@@ -104,7 +104,7 @@
     },
     remove: (name) => rm(at(name), {force: true}),
     rename: (from, to) => rename(at(from), at(to)),
-    syncNames: () => syncFolder(folder),
+    syncDirectory: () => syncFolder(folder),
     truncate: (name, length) => truncate(at(name), length),
   };
 }
@@ -127,5 +127,5 @@
     await file.close();
   }
   await disk.rename(temporary, name);
-  await disk.syncNames();
+  await disk.syncDirectory();
 }
--- a/packages/stallpaddle-storage/src/StorageLog.ts
+++ b/packages/stallpaddle-storage/src/StorageLog.ts
@@ -78,7 +78,7 @@
     for (const old of generations.slice(0, -1)) {
       await disk.remove(fileName(old));
     }
-    await disk.syncNames();
+    await disk.syncDirectory();
     return {
       log: new StorageLog(disk, generation, file, records.length, validBytes),
       payloads: records.map(({payload}) => payload),
@@ -114,7 +114,7 @@
     await file.append(record);
     await file.sync();
     await this.disk.rename(temporary, name);
-    await this.disk.syncNames();
+    await this.disk.syncDirectory();
     await this.file.close();
     await this.disk.remove(fileName(this.generation));
     this.generation = next;
--- a/packages/stallpaddle-testing/src/FakeDisk.ts
+++ b/packages/stallpaddle-testing/src/FakeDisk.ts
@@ -117,7 +117,7 @@
     });
   }
 
-  async syncNames(): Promise<void> {
+  async syncDirectory(): Promise<void> {
     const covered = this.pendingNames.length;
     await this.hold();
     this.operate();
