--- a/packages/stallpaddle-storage/src/StorageRecord.ts
+++ b/packages/stallpaddle-storage/src/StorageRecord.ts
@@ -15,7 +15,7 @@
 const CHECKED_BYTES = 16;
 
 /** A payload and where its record lies. */
-export interface RecordAt {
+export interface DecodedRecord {
   readonly end: number;
   readonly payload: Uint8Array;
   readonly sequence: number;
@@ -24,7 +24,7 @@
 
 /** What a file holds up to its last whole record. */
 export interface RecordScan {
-  readonly records: readonly RecordAt[];
+  readonly records: readonly DecodedRecord[];
   /** Where the next record goes; bytes after it are a torn write. */
   readonly validBytes: number;
 }
@@ -62,7 +62,7 @@
  * @param bytes a file's content
  * @param start offset in bytes
  */
-export function decodeRecord(bytes: Uint8Array, start: number): RecordAt | undefined {
+export function decodeRecord(bytes: Uint8Array, start: number): DecodedRecord | undefined {
   if (start + RECORD_HEADER_BYTES > bytes.length) {
     return undefined;
   }
@@ -105,7 +105,7 @@
  * @param bytes its content
  */
 export function scanRecords(file: string, bytes: Uint8Array): RecordScan {
-  const records: RecordAt[] = [];
+  const records: DecodedRecord[] = [];
   let at = 0;
   while (at < bytes.length) {
     const record = decodeRecord(bytes, at);
--- a/packages/stallpaddle-storage/src/index.ts
+++ b/packages/stallpaddle-storage/src/index.ts
@@ -8,7 +8,7 @@
   decodeRecord,
   encodeRecord,
   RECORD_HEADER_BYTES,
-  type RecordAt,
+  type DecodedRecord,
   type RecordScan,
   scanRecords,
 } from './StorageRecord';
