--- a/packages/stallpaddle-rpc/src/RpcOutbox.ts
+++ b/packages/stallpaddle-rpc/src/RpcOutbox.ts
@@ -9,7 +9,7 @@
 
 import type {DeliverRequestSchema} from './gen/stallpaddle/v1/peer_pb';
 
-import {PART_BYTES, RpcSplit} from './RpcParts';
+import {PART_BYTES, RpcSplit} from './RpcChunks';
 
 /** Pause before a stream of replication messages that broke off is opened again, in milliseconds. */
 const OUTBOX_REOPEN_MS = 50;
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcParts.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcChunks.test.ts
@@ -5,7 +5,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {type MessagePart, MessagePartSchema} from '../../gen/stallpaddle/v1/peer_pb';
-import {PART_BYTES, RpcJoin, RpcSplit} from '../../RpcParts';
+import {PART_BYTES, RpcJoin, RpcSplit} from '../../RpcChunks';
 
 /** Parts of a message whose bytes all have one value. */
 function partsOf(value: number, parts: number): readonly MessagePart[] {
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcLease.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcLease.test.ts
@@ -25,7 +25,7 @@
 
 import {DeliverRequestSchema} from '../../gen/stallpaddle/v1/peer_pb';
 import {type Deliveries, RpcOutbox} from '../../RpcOutbox';
-import {messagesOf, RpcJoin} from '../../RpcParts';
+import {messagesOf, RpcJoin} from '../../RpcChunks';
 
 /** Times of the groups of a fleet, in milliseconds. */
 const TIMING = {electionTimeoutMs: 500, heartbeatMs: 125, leaseDriftFraction: 0.2};
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
@@ -12,7 +12,7 @@
 
 import {DeliverRequestSchema} from '../../gen/stallpaddle/v1/peer_pb';
 import {type Deliveries, OUTBOX_BYTES, RpcOutbox} from '../../RpcOutbox';
-import {messagesOf, PART_BYTES, RpcJoin} from '../../RpcParts';
+import {messagesOf, PART_BYTES, RpcJoin} from '../../RpcChunks';
 
 function messageWith(body: MessageBody): Message {
   return {body, from: 'a/1', group: 'g', term: 1, to: 'b/1'};
