--- a/packages/stallpaddle-rpc/src/RpcChunks.ts
+++ b/packages/stallpaddle-rpc/src/RpcChunks.ts
@@ -22,7 +22,7 @@
 let latestMessage = 0;
 
 /** A message under way in parts. */
-export class RpcSplit {
+export class RpcSplitter {
   private readonly message = ++latestMessage;
   private offset = 0;
 
--- a/packages/stallpaddle-rpc/src/RpcOutbox.ts
+++ b/packages/stallpaddle-rpc/src/RpcOutbox.ts
@@ -9,7 +9,7 @@
 
 import type {DeliverRequestSchema} from './gen/stallpaddle/v1/peer_pb';
 
-import {PART_BYTES, RpcSplit} from './RpcChunks';
+import {PART_BYTES, RpcSplitter} from './RpcChunks';
 
 /** Pause before a stream of replication messages that broke off is opened again, in milliseconds. */
 const OUTBOX_REOPEN_MS = 50;
@@ -40,7 +40,7 @@
   private closed = false;
   private messages: Uint8Array[] = [];
   private open = false;
-  private split: RpcSplit | undefined;
+  private split: RpcSplitter | undefined;
   /** Whether the delivery taken last held urgent messages alone. */
   private tookUrgent = false;
   /** Number of the stream in use: what an earlier one still asks for is nothing to it. */
@@ -161,11 +161,11 @@
     const large = this.split === undefined ? this.messages.shift() : undefined;
     if (large !== undefined) {
       this.bytes -= large.length;
-      this.split = new RpcSplit(large);
+      this.split = new RpcSplitter(large);
     }
   }
 
-  private takePart(split: RpcSplit): Delivery['part'] {
+  private takePart(split: RpcSplitter): Delivery['part'] {
     const part = split.next();
     this.split = split.ended ? undefined : split;
     return part;
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcChunks.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcChunks.test.ts
@@ -5,11 +5,11 @@
 import {describe, expect, test} from 'vitest';
 
 import {type MessagePart, MessagePartSchema} from '../../gen/stallpaddle/v1/peer_pb';
-import {PART_BYTES, RpcJoin, RpcSplit} from '../../RpcChunks';
+import {PART_BYTES, RpcJoin, RpcSplitter} from '../../RpcChunks';
 
 /** Parts of a message whose bytes all have one value. */
 function partsOf(value: number, parts: number): readonly MessagePart[] {
-  const split = new RpcSplit(Buffer.alloc(parts * PART_BYTES, value));
+  const split = new RpcSplitter(Buffer.alloc(parts * PART_BYTES, value));
   const all: MessagePart[] = [];
   while (!split.ended) {
     all.push(create(MessagePartSchema, split.next()));
