--- a/packages/stallpaddle-node/src/NodeService.ts
+++ b/packages/stallpaddle-node/src/NodeService.ts
@@ -17,7 +17,7 @@
   type InstallStep,
   messagesOf,
   PeerService,
-  RpcJoin,
+  RpcReassembler,
   RpcQueue,
   SnapshotReceiver,
   type SnapshotTarget,
@@ -89,11 +89,11 @@
     expectGroup(group);
     return {outcome: encodeOutcome(await tryLocal(() => options.answer(decodeValue(encoded))))};
   };
-  const receive = (delivery: DeliverRequest, join: RpcJoin): void =>
+  const receive = (delivery: DeliverRequest, join: RpcReassembler): void =>
     messagesOf(delivery, join).forEach((bytes) =>
       options.replica()?.receive(decodeValue<Message>(bytes)),
     );
-  const answerAny = async (content: ConverseRequest['content'], join: RpcJoin) => {
+  const answerAny = async (content: ConverseRequest['content'], join: RpcReassembler) => {
     switch (content.case) {
       case 'call':
         return answer(content.value);
@@ -107,7 +107,7 @@
   router.service(PeerService, {
     call: answer,
     converse: (requests) => {
-      const join = new RpcJoin();
+      const join = new RpcReassembler();
       return converse(requests, (content) => answerAny(content, join), options.onFailure);
     },
     install: async ({group, step, term}) => {
--- a/packages/stallpaddle-rpc/src/RpcChunks.ts
+++ b/packages/stallpaddle-rpc/src/RpcChunks.ts
@@ -54,7 +54,7 @@
 const NOTHING: Begun = {bytes: 0, parts: []};
 
 /** Puts the messages of one stream together again. */
-export class RpcJoin {
+export class RpcReassembler {
   private readonly begun = new Map<number, Begun>();
 
   /**
@@ -92,7 +92,10 @@
  * @param delivery the delivery
  * @param join what came before it on the same stream
  */
-export function messagesOf({encoded, part}: DeliverRequest, join: RpcJoin): readonly Uint8Array[] {
+export function messagesOf(
+  {encoded, part}: DeliverRequest,
+  join: RpcReassembler,
+): readonly Uint8Array[] {
   const joined = part === undefined ? undefined : join.take(part);
   return joined === undefined ? encoded : [...encoded, joined];
 }
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcChunks.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcChunks.test.ts
@@ -5,7 +5,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {type MessagePart, MessagePartSchema} from '../../gen/stallpaddle/v1/peer_pb';
-import {PART_BYTES, RpcJoin, RpcSplitter} from '../../RpcChunks';
+import {PART_BYTES, RpcReassembler, RpcSplitter} from '../../RpcChunks';
 
 /** Parts of a message whose bytes all have one value. */
 function partsOf(value: number, parts: number): readonly MessagePart[] {
@@ -19,7 +19,7 @@
 
 /** Length and values of each message that parts make. */
 function joinAll(parts: readonly MessagePart[]): readonly (readonly number[])[] {
-  const join = new RpcJoin();
+  const join = new RpcReassembler();
   const whole = parts.flatMap((part) => join.take(part) ?? []);
   return whole.map((bytes) => [bytes.length, ...new Set(bytes)]);
 }
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcLease.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcLease.test.ts
@@ -25,7 +25,7 @@
 
 import {DeliverRequestSchema} from '../../gen/stallpaddle/v1/peer_pb';
 import {type Deliveries, RpcOutbox} from '../../RpcOutbox';
-import {messagesOf, RpcJoin} from '../../RpcChunks';
+import {messagesOf, RpcReassembler} from '../../RpcChunks';
 
 /** Times of the groups of a fleet, in milliseconds. */
 const TIMING = {electionTimeoutMs: 500, heartbeatMs: 125, leaseDriftFraction: 0.2};
@@ -118,7 +118,7 @@
 
   /** One delivery at a time, as between processes. */
   private async carry(to: ReplicaId, {next}: Deliveries): Promise<void> {
-    const join = new RpcJoin();
+    const join = new RpcReassembler();
     for (let delivery = await next(); delivery !== undefined; delivery = await next()) {
       const request = create(DeliverRequestSchema, delivery);
       const bytes = toBinary(DeliverRequestSchema, request).length;
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
@@ -12,7 +12,7 @@
 
 import {DeliverRequestSchema} from '../../gen/stallpaddle/v1/peer_pb';
 import {type Deliveries, OUTBOX_BYTES, RpcOutbox} from '../../RpcOutbox';
-import {messagesOf, PART_BYTES, RpcJoin} from '../../RpcChunks';
+import {messagesOf, PART_BYTES, RpcReassembler} from '../../RpcChunks';
 
 function messageWith(body: MessageBody): Message {
   return {body, from: 'a/1', group: 'g', term: 1, to: 'b/1'};
@@ -48,7 +48,7 @@
 
 function received(
   delivery: MessageInitShape<typeof DeliverRequestSchema>,
-  join: RpcJoin,
+  join: RpcReassembler,
 ): readonly Message[] {
   const request = create(DeliverRequestSchema, delivery);
   return messagesOf(request, join).map((bytes) => decodeValue<Message>(bytes));
@@ -77,7 +77,7 @@
 
   test('lets an urgent message pass between two parts of a large one', async () => {
     const {deliveries, outbox} = await openOutbox();
-    const join = new RpcJoin();
+    const join = new RpcReassembler();
     outbox.add(messageOf(3 * PART_BYTES, 1));
     outbox.add(messageOf(10, 2));
     const first = (await deliveries.next())!;
@@ -113,7 +113,7 @@
 
   test('drops the rest of a large message of which a part was lost', async () => {
     const {deliveries, outbox} = await openOutbox();
-    const join = new RpcJoin();
+    const join = new RpcReassembler();
     outbox.add(messageOf(3 * PART_BYTES, 1));
     outbox.add(messageOf(3 * PART_BYTES, 2));
     received((await deliveries.next())!, join);
@@ -147,7 +147,7 @@
     while (opened.length < 2) {
       await delay(5);
     }
-    const join = new RpcJoin();
+    const join = new RpcReassembler();
     expect(received((await opened[1]!.next())!, join).map(sentAtOf)).toEqual([2]);
     outbox.close();
   });
@@ -158,7 +158,7 @@
     for (const sentAt of [1, 2]) {
       groups.forEach((group) => outbox.add({...aliveOf(sentAt), group}));
     }
-    const got = received((await deliveries.next())!, new RpcJoin());
+    const got = received((await deliveries.next())!, new RpcReassembler());
     expect(got.map(({group}) => group)).toEqual(groups);
     expect(new Set(got.map(sentAtOf))).toEqual(new Set([2]));
     outbox.close();
@@ -172,7 +172,7 @@
     });
     const property = fc.asyncProperty(fc.array(step, {maxLength: 12}), async (steps) => {
       const {deliveries, outbox} = await openOutbox();
-      const join = new RpcJoin();
+      const join = new RpcReassembler();
       const ordinary: number[] = [];
       const take = async (isLost: boolean): Promise<void> => {
         const delivery = (await deliveries.next())!;
--- a/packages/stallpaddle-vm/src/VmService.ts
+++ b/packages/stallpaddle-vm/src/VmService.ts
@@ -11,7 +11,7 @@
   type InstallStep,
   messagesOf,
   PeerService,
-  RpcJoin,
+  RpcReassembler,
   SnapshotReceiver,
 } from 'stallpaddle-rpc';
 
@@ -48,7 +48,7 @@
       outcome: encodeOutcome(await callLocal(groups, group, encoded, query)),
     }),
     deliver: async (requests) => {
-      const join = new RpcJoin();
+      const join = new RpcReassembler();
       for await (const request of requests) {
         messagesOf(request, join).forEach((bytes) => groups?.receive(decodeValue(bytes)));
       }
