--- a/packages/stallpaddle-rpc/src/RpcChunks.ts
+++ b/packages/stallpaddle-rpc/src/RpcChunks.ts
@@ -10,7 +10,7 @@
  * Most bytes of one part. Links of busy VMs were seen to carry 1.6 KB a millisecond, so an urgent message waits 80 ms
  * at most, since it goes alone; each part costs a round trip.
  */
-export const PART_BYTES = 131_072;
+export const MAX_CHUNK_BYTES = 131_072;
 
 /** Largest message that is put together from parts, in bytes: above any command that callers may send. */
 const MOST_BYTES = 67_108_864;
@@ -39,7 +39,7 @@
   /** Takes the next part. */
   next(): MessageInitShape<typeof MessagePartSchema> {
     const {bytes, message, offset} = this;
-    const end = Math.min(bytes.length, offset + PART_BYTES);
+    const end = Math.min(bytes.length, offset + MAX_CHUNK_BYTES);
     this.offset = end;
     return {bytes: bytes.subarray(offset, end), last: end === bytes.length, message, offset};
   }
--- a/packages/stallpaddle-rpc/src/RpcOutbox.ts
+++ b/packages/stallpaddle-rpc/src/RpcOutbox.ts
@@ -9,7 +9,7 @@
 
 import type {DeliverRequestSchema} from './gen/stallpaddle/v1/peer_pb';
 
-import {PART_BYTES, RpcSplitter} from './RpcChunks';
+import {MAX_CHUNK_BYTES, RpcSplitter} from './RpcChunks';
 
 /** Pause before a stream of replication messages that broke off is opened again, in milliseconds. */
 const OUTBOX_REOPEN_MS = 50;
@@ -149,7 +149,10 @@
   private takeWhole(): readonly Uint8Array[] {
     let bytes = 0;
     let count = 0;
-    while (count < this.messages.length && bytes + this.messages[count]!.length <= PART_BYTES) {
+    while (
+      count < this.messages.length &&
+      bytes + this.messages[count]!.length <= MAX_CHUNK_BYTES
+    ) {
       bytes += this.messages[count]!.length;
       count++;
     }
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcChunks.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcChunks.test.ts
@@ -5,11 +5,11 @@
 import {describe, expect, test} from 'vitest';
 
 import {type MessagePart, MessagePartSchema} from '../../gen/stallpaddle/v1/peer_pb';
-import {PART_BYTES, RpcReassembler, RpcSplitter} from '../../RpcChunks';
+import {MAX_CHUNK_BYTES, RpcReassembler, RpcSplitter} from '../../RpcChunks';
 
 /** Parts of a message whose bytes all have one value. */
 function partsOf(value: number, parts: number): readonly MessagePart[] {
-  const split = new RpcSplitter(Buffer.alloc(parts * PART_BYTES, value));
+  const split = new RpcSplitter(Buffer.alloc(parts * MAX_CHUNK_BYTES, value));
   const all: MessagePart[] = [];
   while (!split.ended) {
     all.push(create(MessagePartSchema, split.next()));
@@ -28,20 +28,20 @@
   test('puts a message together again', () => {
     const parts = partsOf(1, 3);
     expect(parts.map(({last}) => last)).toEqual([false, false, true]);
-    expect(joinAll(parts)).toEqual([[3 * PART_BYTES, 1]]);
+    expect(joinAll(parts)).toEqual([[3 * MAX_CHUNK_BYTES, 1]]);
   });
 
   test('joins no parts of two messages', () => {
     const [a, b] = [partsOf(1, 2), partsOf(2, 2)];
     expect(joinAll([a[0]!, b[1]!])).toEqual([]);
-    expect(joinAll([a[0]!, ...b])).toEqual([[2 * PART_BYTES, 2]]);
+    expect(joinAll([a[0]!, ...b])).toEqual([[2 * MAX_CHUNK_BYTES, 2]]);
   });
 
   test('puts messages together whose parts come by turns, as from two outboxes on one stream', () => {
     const [a, b] = [partsOf(1, 2), partsOf(2, 2)];
     expect(joinAll([a[0]!, b[0]!, b[1]!, a[1]!])).toEqual([
-      [2 * PART_BYTES, 2],
-      [2 * PART_BYTES, 1],
+      [2 * MAX_CHUNK_BYTES, 2],
+      [2 * MAX_CHUNK_BYTES, 1],
     ]);
   });
 
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
@@ -12,7 +12,7 @@
 
 import {DeliverRequestSchema} from '../../gen/stallpaddle/v1/peer_pb';
 import {type Deliveries, OUTBOX_BYTES, RpcOutbox} from '../../RpcOutbox';
-import {messagesOf, PART_BYTES, RpcReassembler} from '../../RpcChunks';
+import {messagesOf, MAX_CHUNK_BYTES, RpcReassembler} from '../../RpcChunks';
 
 function messageWith(body: MessageBody): Message {
   return {body, from: 'a/1', group: 'g', term: 1, to: 'b/1'};
@@ -78,7 +78,7 @@
   test('lets an urgent message pass between two parts of a large one', async () => {
     const {deliveries, outbox} = await openOutbox();
     const join = new RpcReassembler();
-    outbox.add(messageOf(3 * PART_BYTES, 1));
+    outbox.add(messageOf(3 * MAX_CHUNK_BYTES, 1));
     outbox.add(messageOf(10, 2));
     const first = (await deliveries.next())!;
     expect(received(first, join)).toEqual([]);
@@ -99,7 +99,7 @@
     // process came on top. A trace of each word on such links showed up to 218 ms from its sending to its answer.
     const {deliveries, outbox} = await openOutbox();
     const bytesPerMs = 1_600;
-    outbox.add(messageOf(4 * PART_BYTES, 1));
+    outbox.add(messageOf(4 * MAX_CHUNK_BYTES, 1));
     const waits: number[] = [];
     for (let taken = 0; taken < 3; taken++) {
       let bytesAhead = bytesOf((await deliveries.next())!);
@@ -107,15 +107,15 @@
       bytesAhead += bytesOf((await deliveries.next())!);
       waits.push(bytesAhead / bytesPerMs);
     }
-    expect(Math.max(...waits)).toBeLessThan(PART_BYTES / bytesPerMs + 1);
+    expect(Math.max(...waits)).toBeLessThan(MAX_CHUNK_BYTES / bytesPerMs + 1);
     outbox.close();
   });
 
   test('drops the rest of a large message of which a part was lost', async () => {
     const {deliveries, outbox} = await openOutbox();
     const join = new RpcReassembler();
-    outbox.add(messageOf(3 * PART_BYTES, 1));
-    outbox.add(messageOf(3 * PART_BYTES, 2));
+    outbox.add(messageOf(3 * MAX_CHUNK_BYTES, 1));
+    outbox.add(messageOf(3 * MAX_CHUNK_BYTES, 2));
     received((await deliveries.next())!, join);
     await deliveries.next();
     deliveries.lost();
@@ -136,7 +136,7 @@
         breaks.push(() => reject(new Error('the stream broke')));
       });
     });
-    outbox.add(messageOf(2 * PART_BYTES, 1));
+    outbox.add(messageOf(2 * MAX_CHUNK_BYTES, 1));
     await opened[0]!.next();
     // The stream has taken a part and waits for nothing; it breaks, and asks once more all the same.
     breaks[0]!();
@@ -166,7 +166,7 @@
 
   test('brings whole messages in order, or none of them, whatever is lost', async () => {
     const step = fc.record({
-      bytes: fc.integer({max: 2 * PART_BYTES + 5, min: 0}),
+      bytes: fc.integer({max: 2 * MAX_CHUNK_BYTES + 5, min: 0}),
       isUrgent: fc.boolean(),
       loses: fc.array(fc.boolean(), {maxLength: 3}),
     });
