--- a/packages/stallpaddle-node/src/NodeService.ts
+++ b/packages/stallpaddle-node/src/NodeService.ts
@@ -15,7 +15,7 @@
   type DeliverRequest,
   encodeOutcome,
   type InstallStep,
-  messagesOf,
+  completeMessages,
   PeerService,
   RpcReassembler,
   RpcQueue,
@@ -90,7 +90,7 @@
     return {outcome: encodeOutcome(await tryLocal(() => options.answer(decodeValue(encoded))))};
   };
   const receive = (delivery: DeliverRequest, join: RpcReassembler): void =>
-    messagesOf(delivery, join).forEach((bytes) =>
+    completeMessages(delivery, join).forEach((bytes) =>
       options.replica()?.receive(decodeValue<Message>(bytes)),
     );
   const answerAny = async (content: ConverseRequest['content'], join: RpcReassembler) => {
--- a/packages/stallpaddle-rpc/src/RpcChunks.ts
+++ b/packages/stallpaddle-rpc/src/RpcChunks.ts
@@ -92,7 +92,7 @@
  * @param delivery the delivery
  * @param join what came before it on the same stream
  */
-export function messagesOf(
+export function completeMessages(
   {encoded, part}: DeliverRequest,
   join: RpcReassembler,
 ): readonly Uint8Array[] {
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcLease.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcLease.test.ts
@@ -25,7 +25,7 @@
 
 import {DeliverRequestSchema} from '../../gen/stallpaddle/v1/peer_pb';
 import {type Deliveries, RpcOutbox} from '../../RpcOutbox';
-import {messagesOf, RpcReassembler} from '../../RpcChunks';
+import {completeMessages, RpcReassembler} from '../../RpcChunks';
 
 /** Times of the groups of a fleet, in milliseconds. */
 const TIMING = {electionTimeoutMs: 500, heartbeatMs: 125, leaseDriftFraction: 0.2};
@@ -123,7 +123,7 @@
       const request = create(DeliverRequestSchema, delivery);
       const bytes = toBinary(DeliverRequestSchema, request).length;
       await this.pass(bytes / BYTES_PER_MS + WAY_MS);
-      for (const encoded of messagesOf(request, join)) {
+      for (const encoded of completeMessages(request, join)) {
         this.handle(to, {kind: 'message', message: decodeValue<Message>(encoded)});
       }
       await this.pass(WAY_MS);
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
@@ -12,7 +12,7 @@
 
 import {DeliverRequestSchema} from '../../gen/stallpaddle/v1/peer_pb';
 import {type Deliveries, OUTBOX_BYTES, RpcOutbox} from '../../RpcOutbox';
-import {messagesOf, MAX_CHUNK_BYTES, RpcReassembler} from '../../RpcChunks';
+import {completeMessages, MAX_CHUNK_BYTES, RpcReassembler} from '../../RpcChunks';
 
 function messageWith(body: MessageBody): Message {
   return {body, from: 'a/1', group: 'g', term: 1, to: 'b/1'};
@@ -51,7 +51,7 @@
   join: RpcReassembler,
 ): readonly Message[] {
   const request = create(DeliverRequestSchema, delivery);
-  return messagesOf(request, join).map((bytes) => decodeValue<Message>(bytes));
+  return completeMessages(request, join).map((bytes) => decodeValue<Message>(bytes));
 }
 
 /** Bytes that a link carries for a delivery. */
--- a/packages/stallpaddle-rpc/src/index.ts
+++ b/packages/stallpaddle-rpc/src/index.ts
@@ -10,7 +10,7 @@
 export {RpcChannel, UNANSWERED} from './RpcChannel';
 export {openConnection, type PeerClient, type PeerConnection, RpcClients} from './RpcClients';
 export {type Carrier, type Deliveries, type Delivery, RpcOutbox} from './RpcOutbox';
-export {messagesOf, RpcReassembler} from './RpcChunks';
+export {completeMessages, RpcReassembler} from './RpcChunks';
 export {RpcQueue} from './RpcQueue';
 export {type RpcServer, startRpcServer} from './RpcServer';
 export {
--- a/packages/stallpaddle-vm/src/VmService.ts
+++ b/packages/stallpaddle-vm/src/VmService.ts
@@ -9,7 +9,7 @@
 import {
   encodeOutcome,
   type InstallStep,
-  messagesOf,
+  completeMessages,
   PeerService,
   RpcReassembler,
   SnapshotReceiver,
@@ -50,7 +50,7 @@
     deliver: async (requests) => {
       const join = new RpcReassembler();
       for await (const request of requests) {
-        messagesOf(request, join).forEach((bytes) => groups?.receive(decodeValue(bytes)));
+        completeMessages(request, join).forEach((bytes) => groups?.receive(decodeValue(bytes)));
       }
       return {};
     },
