--- a/packages/stallpaddle-rpc/src/RpcOutbox.ts
+++ b/packages/stallpaddle-rpc/src/RpcOutbox.ts
@@ -18,7 +18,7 @@
  * Most bytes of messages that wait for one VM; the oldest are dropped, as a network would. Messages may have a
  * megabyte each, so counting them bounds nothing.
  */
-export const OUTBOX_BYTES = 2_097_152;
+export const MAX_OUTBOX_BYTES = 2_097_152;
 
 /** Messages that go together, and perhaps a part of a large one. */
 export type Delivery = MessageInitShape<typeof DeliverRequestSchema>;
@@ -87,7 +87,7 @@
   private addOrdinary(encoded: Uint8Array): void {
     this.messages.push(encoded);
     this.bytes += encoded.length;
-    while (this.bytes > OUTBOX_BYTES && this.messages.length > 1) {
+    while (this.bytes > MAX_OUTBOX_BYTES && this.messages.length > 1) {
       this.bytes -= this.messages.shift()!.length;
     }
   }
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
@@ -11,7 +11,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {DeliverRequestSchema} from '../../gen/stallpaddle/v1/peer_pb';
-import {type Deliveries, OUTBOX_BYTES, RpcOutbox} from '../../RpcOutbox';
+import {type Deliveries, MAX_OUTBOX_BYTES, RpcOutbox} from '../../RpcOutbox';
 import {completeMessages, MAX_CHUNK_BYTES, RpcReassembler} from '../../RpcChunks';
 
 function messageWith(body: MessageBody): Message {
@@ -68,7 +68,7 @@
     const outbox = new RpcOutbox(() => new Promise(() => {}));
     for (let sent = 0; sent < 100; sent++) {
       outbox.add(messageOf(1_000_000));
-      expect(outbox.waitingBytes).toBeLessThanOrEqual(OUTBOX_BYTES);
+      expect(outbox.waitingBytes).toBeLessThanOrEqual(MAX_OUTBOX_BYTES);
     }
     outbox.add(messageOf(5_000_000));
     expect(outbox.waitingBytes).toBeGreaterThan(5_000_000);
