--- a/packages/stallpaddle-rpc/src/RpcOutbox.ts
+++ b/packages/stallpaddle-rpc/src/RpcOutbox.ts
@@ -32,7 +32,7 @@
 }
 
 /** Carries deliveries until it fails or they end; takes the next one only when it can carry it. */
-export type Carrier = (deliveries: Deliveries) => Promise<unknown> | undefined;
+export type DeliverySender = (deliveries: Deliveries) => Promise<unknown> | undefined;
 
 /** See the module's comment. */
 export class RpcOutbox {
@@ -52,7 +52,7 @@
   /**
    * @param carry brings the messages to the VM
    */
-  constructor(private readonly carry: Carrier) {}
+  constructor(private readonly carry: DeliverySender) {}
 
   /** Bytes of messages that wait. */
   get waitingBytes(): number {
