--- a/packages/stallpaddle-node/src/NodePeers.ts
+++ b/packages/stallpaddle-node/src/NodePeers.ts
@@ -6,7 +6,7 @@
 
 import {vmOfReplica} from 'stallpaddle';
 import {
-  type Deliveries,
+  type DeliverySource,
   type Delivery,
   openConnection,
   type PeerClient,
@@ -123,7 +123,7 @@
   }
 
   /** One delivery at a time: what comes meanwhile goes with the next. */
-  private async carry(to: ReplicaId, {lost, next}: Deliveries): Promise<void> {
+  private async carry(to: ReplicaId, {lost, next}: DeliverySource): Promise<void> {
     for (let delivery = await next(); delivery !== undefined; delivery = await next()) {
       const startedAt = performance.now();
       const channel = this.channelIn(this.messageChannels, vmOfReplica(to));
--- a/packages/stallpaddle-rpc/src/RpcOutbox.ts
+++ b/packages/stallpaddle-rpc/src/RpcOutbox.ts
@@ -24,7 +24,7 @@
 export type Delivery = MessageInitShape<typeof DeliverRequestSchema>;
 
 /** Messages for one VM, as a carrier takes them. */
-export interface Deliveries {
+export interface DeliverySource {
   /** Tells that the delivery taken last was lost: the rest of a message of which it held a part is useless. */
   readonly lost: () => void;
   /** Waits for the next delivery; undefined once the outbox is closed. */
@@ -32,7 +32,7 @@
 }
 
 /** Carries deliveries until it fails or they end; takes the next one only when it can carry it. */
-export type DeliverySender = (deliveries: Deliveries) => Promise<unknown> | undefined;
+export type DeliverySender = (deliveries: DeliverySource) => Promise<unknown> | undefined;
 
 /** See the module's comment. */
 export class RpcOutbox {
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcLease.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcLease.test.ts
@@ -24,7 +24,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {DeliverRequestSchema} from '../../gen/stallpaddle/v1/peer_pb';
-import {type Deliveries, RpcOutbox} from '../../RpcOutbox';
+import {type DeliverySource, RpcOutbox} from '../../RpcOutbox';
 import {completeMessages, RpcReassembler} from '../../RpcChunks';
 
 /** Times of the groups of a fleet, in milliseconds. */
@@ -117,7 +117,7 @@
   }
 
   /** One delivery at a time, as between processes. */
-  private async carry(to: ReplicaId, {next}: Deliveries): Promise<void> {
+  private async carry(to: ReplicaId, {next}: DeliverySource): Promise<void> {
     const join = new RpcReassembler();
     for (let delivery = await next(); delivery !== undefined; delivery = await next()) {
       const request = create(DeliverRequestSchema, delivery);
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
@@ -11,7 +11,7 @@
 import {describe, expect, test} from 'vitest';
 
 import {DeliverRequestSchema} from '../../gen/stallpaddle/v1/peer_pb';
-import {type Deliveries, MAX_OUTBOX_BYTES, RpcOutbox} from '../../RpcOutbox';
+import {type DeliverySource, MAX_OUTBOX_BYTES, RpcOutbox} from '../../RpcOutbox';
 import {completeMessages, MAX_CHUNK_BYTES, RpcReassembler} from '../../RpcChunks';
 
 function messageWith(body: MessageBody): Message {
@@ -34,8 +34,8 @@
 }
 
 /** An outbox whose deliveries the test takes itself. */
-async function openOutbox(): Promise<{deliveries: Deliveries; outbox: RpcOutbox}> {
-  const taken: {deliveries?: Deliveries} = {};
+async function openOutbox(): Promise<{deliveries: DeliverySource; outbox: RpcOutbox}> {
+  const taken: {deliveries?: DeliverySource} = {};
   const outbox = new RpcOutbox((deliveries) => {
     taken.deliveries = deliveries;
     return new Promise(() => {});
@@ -128,7 +128,7 @@
   });
 
   test('a question that a broken stream left open takes nothing from the next stream', async () => {
-    const opened: Deliveries[] = [];
+    const opened: DeliverySource[] = [];
     const breaks: (() => void)[] = [];
     const outbox = new RpcOutbox((deliveries) => {
       opened.push(deliveries);
--- a/packages/stallpaddle-rpc/src/index.ts
+++ b/packages/stallpaddle-rpc/src/index.ts
@@ -9,7 +9,7 @@
 /** Calls between VMs: generated service, server and clients. */
 export {RpcChannel, UNANSWERED} from './RpcChannel';
 export {openConnection, type PeerClient, type PeerConnection, RpcClients} from './RpcClients';
-export {type DeliverySender, type Deliveries, type Delivery, RpcOutbox} from './RpcOutbox';
+export {type DeliverySender, type DeliverySource, type Delivery, RpcOutbox} from './RpcOutbox';
 export {completeMessages, RpcReassembler} from './RpcChunks';
 export {RpcQueue} from './RpcQueue';
 export {type RpcServer, startRpcServer} from './RpcServer';
--- a/packages/stallpaddle-vm/src/VmPeers.ts
+++ b/packages/stallpaddle-vm/src/VmPeers.ts
@@ -7,10 +7,10 @@
 import {type VmId, vmOfReplica} from 'stallpaddle';
 import {type Address, type MembershipState} from 'stallpaddle-membership';
 import {isUrgent, type Message} from 'stallpaddle-replication';
-import {type Deliveries, type Delivery, RpcClients, RpcOutbox} from 'stallpaddle-rpc';
+import {type DeliverySource, type Delivery, RpcClients, RpcOutbox} from 'stallpaddle-rpc';
 
 /** The library takes the next delivery once it has room for it. */
-async function* streamOf({next}: Deliveries): AsyncGenerator<Delivery> {
+async function* streamOf({next}: DeliverySource): AsyncGenerator<Delivery> {
   for (let delivery = await next(); delivery !== undefined; delivery = await next()) {
     yield delivery;
   }
@@ -85,7 +85,7 @@
   private carry(
     clients: RpcClients,
     vm: VmId,
-    deliveries: Deliveries,
+    deliveries: DeliverySource,
   ): Promise<unknown> | undefined {
     const address = this.addressOf(vm);
     return address === undefined
