--- a/packages/stallpaddle-node/src/NodeService.ts
+++ b/packages/stallpaddle-node/src/NodeService.ts
@@ -22,7 +22,7 @@
   SnapshotReceiver,
   type SnapshotTarget,
   tryLocal,
-  UNANSWERED,
+  ONE_WAY_CALL_ID,
 } from 'stallpaddle-rpc';
 
 /** What a process answers to the others. */
@@ -53,7 +53,7 @@
       for await (const {content, id} of requests) {
         answer(content).then(
           (answered) => {
-            if (id !== UNANSWERED) {
+            if (id !== ONE_WAY_CALL_ID) {
               answers.add({answer: answered, id});
             }
           },
--- a/packages/stallpaddle-rpc/src/RpcChannel.ts
+++ b/packages/stallpaddle-rpc/src/RpcChannel.ts
@@ -27,7 +27,7 @@
 const MOST_WAITS = 8;
 
 /** Number of a call that is not answered. */
-export const UNANSWERED = 0;
+export const ONE_WAY_CALL_ID = 0;
 
 interface Waiting {
   /** Called with the answer, or with undefined when there is none. */
@@ -88,7 +88,7 @@
   post(call: TryRequest): void {
     if (!this.closed) {
       const stream = this.stream ?? this.open();
-      stream.queue.add({content: {case: 'call', value: {...call}}, id: UNANSWERED});
+      stream.queue.add({content: {case: 'call', value: {...call}}, id: ONE_WAY_CALL_ID});
     }
   }
 
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcChannel.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcChannel.test.ts
@@ -8,7 +8,7 @@
 import {afterEach, describe, expect, test} from 'vitest';
 
 import {type CallRequest, PeerService} from '../../gen/stallpaddle/v1/peer_pb';
-import {RpcChannel, UNANSWERED} from '../../RpcChannel';
+import {RpcChannel, ONE_WAY_CALL_ID} from '../../RpcChannel';
 import {openConnection} from '../../RpcClients';
 import {type RpcServer, startRpcServer} from '../../RpcServer';
 import {encodeOutcome} from '../../RpcTry';
@@ -84,7 +84,7 @@
         converse: async function* (requests) {
           for await (const {content, id} of requests) {
             seen.push(decodeValue<number>((content.value as CallRequest).encoded));
-            if (id !== UNANSWERED) {
+            if (id !== ONE_WAY_CALL_ID) {
               yield {answer: {outcome: encodeOutcome({kind: 'answered', result: id})}, id};
             }
           }
--- a/packages/stallpaddle-rpc/src/index.ts
+++ b/packages/stallpaddle-rpc/src/index.ts
@@ -7,7 +7,7 @@
   PeerService,
 } from './gen/stallpaddle/v1/peer_pb';
 /** Calls between VMs: generated service, server and clients. */
-export {RpcChannel, UNANSWERED} from './RpcChannel';
+export {RpcChannel, ONE_WAY_CALL_ID} from './RpcChannel';
 export {openConnection, type PeerClient, type PeerConnection, RpcClients} from './RpcClients';
 export {type DeliverySender, type DeliverySource, type Delivery, RpcOutbox} from './RpcOutbox';
 export {completeMessages, RpcReassembler} from './RpcChunks';
