--- a/packages/stallpaddle-rpc/src/RpcChannel.ts
+++ b/packages/stallpaddle-rpc/src/RpcChannel.ts
@@ -13,7 +13,7 @@
 import type {Delivery} from './RpcOutbox';
 
 import {RpcQueue} from './RpcQueue';
-import {outcomeOf, type TryOutcome, type TryRequest} from './RpcTry';
+import {decodeOutcome, type TryOutcome, type TryRequest} from './RpcTry';
 
 type Request = MessageInitShape<typeof ConverseRequestSchema>;
 type Content = Request['content'];
@@ -77,7 +77,9 @@
    */
   async call(call: TryRequest, timeoutMs: number): Promise<TryOutcome> {
     const answer = await this.send({case: 'call', value: {...call}}, timeoutMs);
-    return answer === null ? {kind: 'unknown'} : outcomeOf(answer?.outcome ?? {case: undefined});
+    return answer === null
+      ? {kind: 'unknown'}
+      : decodeOutcome(answer?.outcome ?? {case: undefined});
   }
 
   /**
--- a/packages/stallpaddle-rpc/src/RpcTry.ts
+++ b/packages/stallpaddle-rpc/src/RpcTry.ts
@@ -48,7 +48,7 @@
  *
  * @param outcome what the answer holds
  */
-export function outcomeOf(outcome: CallResponse['outcome']): TryOutcome {
+export function decodeOutcome(outcome: CallResponse['outcome']): TryOutcome {
   switch (outcome.case) {
     case 'encoded':
       return {kind: 'answered', result: decodeValue(outcome.value)};
@@ -97,7 +97,7 @@
   }
   try {
     const {outcome} = await client.call(request, {timeoutMs});
-    return outcomeOf(outcome);
+    return decodeOutcome(outcome);
   } catch {
     // Refused, reset, silent for too long: nobody can tell whether the call arrived.
     return {kind: 'unknown'};
