--- a/packages/stallpaddle-rpc/src/RpcChannel.ts
+++ b/packages/stallpaddle-rpc/src/RpcChannel.ts
@@ -205,7 +205,7 @@
   /** Whether the other process may only be slow to start: its VM has taken the connection. */
   private isOpening({connection, heardAt, openedAt}: OpenStream): boolean {
     const isEarly = performance.now() - openedAt < this.openingMs;
-    return heardAt === -Infinity && isEarly && connection.isTaken();
+    return heardAt === -Infinity && isEarly && connection.isAccepted();
   }
 
   private giveUp(connection: PeerConnection): void {
--- a/packages/stallpaddle-rpc/src/RpcClients.ts
+++ b/packages/stallpaddle-rpc/src/RpcClients.ts
@@ -23,7 +23,7 @@
   /** Ends the connection and all calls on it. */
   readonly close: () => void;
   /** Whether the other VM has taken the connection; one without power takes none. */
-  readonly isTaken: () => boolean;
+  readonly isAccepted: () => boolean;
   /** Bytes that have come so far. */
   readonly receivedBytes: () => number;
 }
@@ -38,7 +38,7 @@
     private readonly port: number,
   ) {}
 
-  get isTaken(): boolean {
+  get isAccepted(): boolean {
     return this.socket?.connecting === false && !this.socket.destroyed;
   }
 
@@ -94,7 +94,7 @@
   return {
     client: createClient(PeerService, transport),
     close: () => sessions.abort(),
-    isTaken: () => sockets.isTaken,
+    isAccepted: () => sockets.isAccepted,
     receivedBytes: () => sockets.receivedBytes,
   };
 }
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcChannel.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcChannel.test.ts
@@ -166,7 +166,7 @@
     const dark = new RpcChannel(
       () => {
         untaken++;
-        return {...openConnection(KEY, HOST, 18_309, null), isTaken: () => false};
+        return {...openConnection(KEY, HOST, 18_309, null), isAccepted: () => false};
       },
       () => {},
       400,
