--- a/packages/stallpaddle-node/src/NodePeers.ts
+++ b/packages/stallpaddle-node/src/NodePeers.ts
@@ -6,8 +6,8 @@
 
 import {vmOfReplica} from 'stallpaddle';
 import {
-  type DeliverySource,
   type Delivery,
+  type DeliverySource,
   openConnection,
   type PeerClient,
   RpcChannel,
--- a/packages/stallpaddle-node/src/NodeService.ts
+++ b/packages/stallpaddle-node/src/NodeService.ts
@@ -10,19 +10,19 @@
 import {decodeValue} from 'stallpaddle';
 import {
   type CallRequest,
+  completeMessages,
   type ConverseRequest,
   type ConverseResponseSchema,
   type DeliverRequest,
   encodeOutcome,
   type InstallStep,
-  completeMessages,
+  ONE_WAY_CALL_ID,
   PeerService,
-  RpcReassembler,
   RpcQueue,
+  RpcReassembler,
   SnapshotReceiver,
   type SnapshotTarget,
   tryLocal,
-  ONE_WAY_CALL_ID,
 } from 'stallpaddle-rpc';
 
 /** What a process answers to the others. */
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcChannel.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcChannel.test.ts
@@ -8,7 +8,7 @@
 import {afterEach, describe, expect, test} from 'vitest';
 
 import {type CallRequest, PeerService} from '../../gen/stallpaddle/v1/peer_pb';
-import {RpcChannel, ONE_WAY_CALL_ID} from '../../RpcChannel';
+import {ONE_WAY_CALL_ID, RpcChannel} from '../../RpcChannel';
 import {openConnection} from '../../RpcClients';
 import {type RpcServer, startRpcServer} from '../../RpcServer';
 import {encodeOutcome} from '../../RpcTry';
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcLease.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcLease.test.ts
@@ -24,8 +24,8 @@
 import {describe, expect, test} from 'vitest';
 
 import {DeliverRequestSchema} from '../../gen/stallpaddle/v1/peer_pb';
-import {type DeliverySource, RpcOutbox} from '../../RpcOutbox';
 import {completeMessages, RpcReassembler} from '../../RpcChunks';
+import {type DeliverySource, RpcOutbox} from '../../RpcOutbox';
 
 /** Times of the groups of a fleet, in milliseconds. */
 const TIMING = {electionTimeoutMs: 500, heartbeatMs: 125, leaseDriftFraction: 0.2};
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
@@ -11,8 +11,8 @@
 import {describe, expect, test} from 'vitest';
 
 import {DeliverRequestSchema} from '../../gen/stallpaddle/v1/peer_pb';
-import {type DeliverySource, MAX_OUTBOX_BYTES, RpcOutbox} from '../../RpcOutbox';
 import {completeMessages, MAX_CHUNK_BYTES, RpcReassembler} from '../../RpcChunks';
+import {type DeliverySource, MAX_OUTBOX_BYTES, RpcOutbox} from '../../RpcOutbox';
 
 function messageWith(body: MessageBody): Message {
   return {body, from: 'a/1', group: 'g', term: 1, to: 'b/1'};
--- a/packages/stallpaddle-rpc/src/index.ts
+++ b/packages/stallpaddle-rpc/src/index.ts
@@ -7,10 +7,10 @@
   PeerService,
 } from './gen/stallpaddle/v1/peer_pb';
 /** Calls between VMs: generated service, server and clients. */
-export {RpcChannel, ONE_WAY_CALL_ID} from './RpcChannel';
-export {openConnection, type PeerClient, type PeerConnection, RpcClients} from './RpcClients';
-export {type DeliverySender, type DeliverySource, type Delivery, RpcOutbox} from './RpcOutbox';
+export {ONE_WAY_CALL_ID, RpcChannel} from './RpcChannel';
 export {completeMessages, RpcReassembler} from './RpcChunks';
+export {openConnection, type PeerClient, type PeerConnection, RpcClients} from './RpcClients';
+export {type Delivery, type DeliverySender, type DeliverySource, RpcOutbox} from './RpcOutbox';
 export {RpcQueue} from './RpcQueue';
 export {type RpcServer, startRpcServer} from './RpcServer';
 export {
--- a/packages/stallpaddle-storage/src/index.ts
+++ b/packages/stallpaddle-storage/src/index.ts
@@ -5,10 +5,10 @@
 export {isLogName, type OpenedLog, StorageLog} from './StorageLog';
 export {
   checksum,
+  type DecodedRecord,
   decodeRecord,
   encodeRecord,
   RECORD_HEADER_BYTES,
-  type DecodedRecord,
   type RecordScan,
   scanRecords,
 } from './StorageRecord';
--- a/packages/stallpaddle-vm/src/VmPeers.ts
+++ b/packages/stallpaddle-vm/src/VmPeers.ts
@@ -7,7 +7,7 @@
 import {type VmId, vmOfReplica} from 'stallpaddle';
 import {type Address, type MembershipState} from 'stallpaddle-membership';
 import {isUrgent, type Message} from 'stallpaddle-replication';
-import {type DeliverySource, type Delivery, RpcClients, RpcOutbox} from 'stallpaddle-rpc';
+import {type Delivery, type DeliverySource, RpcClients, RpcOutbox} from 'stallpaddle-rpc';
 
 /** The library takes the next delivery once it has room for it. */
 async function* streamOf({next}: DeliverySource): AsyncGenerator<Delivery> {
--- a/packages/stallpaddle-vm/src/VmService.ts
+++ b/packages/stallpaddle-vm/src/VmService.ts
@@ -7,9 +7,9 @@
 import {Code, ConnectError} from '@connectrpc/connect';
 import {decodeValue} from 'stallpaddle';
 import {
+  completeMessages,
   encodeOutcome,
   type InstallStep,
-  completeMessages,
   PeerService,
   RpcReassembler,
   SnapshotReceiver,
