--- a/packages/stallpaddle-storage/src/StorageBlobs.ts
+++ b/packages/stallpaddle-storage/src/StorageBlobs.ts
@@ -1,10 +1,10 @@
 /**
  * Append-only segment files for bulk data that a state machine refers to.
  *
- * Replicas apply the same entries in the same order, and where a record goes depends only on what
- * went before. So offsets are the same on all replicas, references may stand in replicated state,
- * and a replica that lags needs just the bytes after its own end. Until a snapshot nothing is
- * synced: the log still holds the data, and a restart writes it again.
+ * Replicas apply the same entries in the same order, and a record's offset depends only on the records before it. So
+ * offsets are equal on all replicas, replicated state may hold references, and a lagging replica needs only the bytes
+ * after its own end. Nothing is synced before a snapshot: until then the log holds the data, and a restart writes it
+ * again.
  */
 import {invariant} from 'stallpaddle';
 
@@ -13,20 +13,20 @@
 import {CorruptionError} from './StorageErrors';
 import {decodeRecord, encodeRecord, RECORD_HEADER_BYTES} from './StorageRecord';
 
-/** Where a record lies: offset over all segments, and payload length, both in bytes. */
+/** Position of a record: offset across all segments, and payload length, both in bytes. */
 export interface BlobRef {
   readonly length: number;
   readonly offset: number;
 }
 
-/** A record with its place. */
+/** A record and its position. */
 export interface BlobRecord {
   readonly payload: Uint8Array;
   readonly ref: BlobRef;
 }
 
-/** Records without a gap between them, and where they end. */
-interface BlobRun {
+/** Contiguous records of one segment, and the offset after them. */
+interface BlobBatch {
   end: number;
   readonly records: BlobRecord[];
 }
@@ -46,7 +46,7 @@
 }
 
 /**
- * Where the next record goes; the same on every replica.
+ * Computes the position of the next record; deterministic, so it is the same on every replica.
  *
  * @param end end of the data so far, in bytes
  * @param length the record's payload length, in bytes
@@ -56,22 +56,22 @@
   length: number,
 ): {readonly end: number; readonly ref: BlobRef} {
   const total = RECORD_HEADER_BYTES + length;
-  invariant(total <= BLOB_SEGMENT_BYTES, 'a record of %s bytes is larger than a segment', length);
-  const room = segmentStart(end) + BLOB_SEGMENT_BYTES - end;
-  const offset = total <= room ? end : segmentStart(end) + BLOB_SEGMENT_BYTES;
+  invariant(total <= BLOB_SEGMENT_BYTES, 'a record of %s bytes exceeds the segment size', length);
+  const available = segmentStart(end) + BLOB_SEGMENT_BYTES - end;
+  const offset = total <= available ? end : segmentStart(end) + BLOB_SEGMENT_BYTES;
   return {end: offset + total, ref: {length, offset}};
 }
 
-/** The segments of one replica. Appends must come one after another. */
+/** The bulk data of one replica. Appends must not run concurrently. */
 export class StorageBlobs {
-  /** The cut that runs; files are neither opened nor used beside it. */
-  private cutting: Promise<void> | undefined;
+  /** The truncation in progress; files are neither opened nor used during it. */
+  private truncating: Promise<void> | undefined;
   private readonly dirty = new Set<number>();
   private readonly files = new Map<number, Promise<DiskFile>>();
-  /** The latest sync; the next begins once it has ended. */
+  /** The latest sync; the next one starts after it. */
   private syncing: Promise<void> = Promise.resolve();
-  /** Uses of files under way. */
-  private readonly uses = new Set<Promise<unknown>>();
+  /** File operations in progress. */
+  private readonly operations = new Set<Promise<unknown>>();
 
   private constructor(
     private readonly disk: Disk,
@@ -84,24 +84,24 @@
   }
 
   /**
-   * Opens the segments and drops what came after the last snapshot.
+   * Opens the segments and drops the data after the last snapshot.
    *
-   * @param disk folder of the segments
+   * @param disk directory of the segments
    * @param end end of the data at that snapshot, in bytes
    */
   static async open(disk: Disk, end: number): Promise<StorageBlobs> {
     const blobs = new StorageBlobs(disk, end);
-    // Before the cut: on a file that is too short it would add zeros.
+    // Before the truncation, which would extend a file that is too short with zeros.
     await blobs.checkLength();
     await blobs.truncateTo(end);
     return blobs;
   }
 
   /**
-   * Writes a record at the place that the state machine gave it. It may be read at once, and is
-   * synced by {@link sync}.
+   * Writes a record at the position that the state machine computed. It can be read at once, and is durable after
+   * {@link sync}.
    *
-   * @param ref place from {@link placeBlob}
+   * @param ref position from {@link placeBlob}
    * @param payload content
    */
   append(ref: BlobRef, payload: Uint8Array): Promise<void> {
@@ -109,13 +109,12 @@
   }
 
   /**
-   * Writes records at the places that the state machine gave them, with one write for each segment: a write costs the
-   * process a turn, whatever its size.
+   * Writes records at the positions that the state machine computed, with one write per segment.
    *
-   * @param placed records that follow each other
+   * @param placed consecutive records
    */
   async appendAll(placed: readonly BlobRecord[]): Promise<void> {
-    for (const {end, records} of this.runsOf(placed)) {
+    for (const {end, records} of this.batchBySegment(placed)) {
       const bytes = Buffer.concat(records.map(({payload}) => encodeRecord(0, payload)));
       await this.write(records[0]!.ref.offset, bytes);
       this.endOffset = end;
@@ -125,40 +124,42 @@
   /**
    * Reads a record.
    *
-   * @param ref its place
+   * @param ref its position
    */
   async read(ref: BlobRef): Promise<Uint8Array> {
     const start = segmentStart(ref.offset);
     const length = RECORD_HEADER_BYTES + ref.length;
-    const bytes = await this.use(start, (file) => file.read(ref.offset - start, length));
+    const bytes = await this.withFile(start, (file) => file.read(ref.offset - start, length));
     const record = decodeRecord(bytes, 0);
     if (record === undefined || record.payload.length !== ref.length) {
-      throw new CorruptionError(segmentName(start), ref.offset - start, 'the checksum differs');
+      throw new CorruptionError(segmentName(start), ref.offset - start, 'checksum mismatch');
     }
     return record.payload;
   }
 
   /**
-   * Reads raw bytes for a replica that lags; ends at the segment's end, and goes on with the next
-   * segment where the one asked for has no more.
+   * Reads raw bytes for a lagging replica. The bytes end at the end of the segment; when the segment has none at the
+   * offset, they come from the start of the next one.
    *
-   * @param offset first byte wanted
-   * @param most most bytes to return
-   * @returns bytes and where they begin
+   * @param offset first byte
+   * @param maxBytes most bytes to return
+   * @returns the bytes and their offset
    */
   async readRaw(
     offset: number,
-    most: number,
+    maxBytes: number,
   ): Promise<{readonly bytes: Uint8Array; readonly offset: number}> {
     const start = segmentStart(offset);
-    const until = Math.min(this.endOffset, start + BLOB_SEGMENT_BYTES, offset + most);
-    const bytes = await this.use(start, (file) => file.read(offset - start, until - offset));
+    const until = Math.min(this.endOffset, start + BLOB_SEGMENT_BYTES, offset + maxBytes);
+    const bytes = await this.withFile(start, (file) => file.read(offset - start, until - offset));
     const next = start + BLOB_SEGMENT_BYTES;
-    return bytes.length === 0 && next < this.endOffset ? this.readRaw(next, most) : {bytes, offset};
+    return bytes.length === 0 && next < this.endOffset
+      ? this.readRaw(next, maxBytes)
+      : {bytes, offset};
   }
 
   /**
-   * Whether raw bytes at an offset continue the data: at the present end, or at the next segment.
+   * Whether raw bytes may be appended at an offset: at the current end, or at the start of the next segment.
    *
    * @param offset first byte
    */
@@ -170,36 +171,41 @@
   /**
    * Appends raw bytes that another replica's {@link readRaw} returned.
    *
-   * @param offset where they begin; a segment's start or the present end
+   * @param offset their offset: the current end or the start of the next segment
    * @param bytes content
    */
   async appendRaw(offset: number, bytes: Uint8Array): Promise<void> {
-    invariant(this.continuesAt(offset), 'raw bytes at %s do not follow %s', offset, this.end);
+    invariant(
+      this.continuesAt(offset),
+      'raw bytes at offset %s are not contiguous with the end %s',
+      offset,
+      this.end,
+    );
     await this.write(offset, bytes);
     this.endOffset = offset + bytes.length;
   }
 
   /**
-   * Syncs all that was appended. After a sync that failed this one fails too: what the disk didn't take then, it may
-   * have given up.
+   * Makes all appended data durable. Fails after an earlier sync has failed, as the operating system may have discarded
+   * the data that it could not write then.
    */
   sync(): Promise<void> {
-    // One after another: a second caller must not go on while the first one's sync still runs.
+    // Syncs run one after another, so that a caller never continues while an earlier sync still covers its data.
     this.syncing = this.syncing.then(() => this.syncDirty());
     return this.syncing;
   }
 
   /**
-   * Drops everything after an offset: what an unfinished transfer left behind. What stays is synced as before, by the
-   * next {@link sync}.
+   * Drops all data after an offset, such as the rest of an aborted transfer. The data before it that is not synced yet
+   * stays due for the next {@link sync}.
    *
    * @param end new end of the data, in bytes
    */
   async truncateTo(end: number): Promise<void> {
-    this.cutting = this.cutAlone(end).finally(() => {
-      this.cutting = undefined;
+    this.truncating = this.truncateExclusively(end).finally(() => {
+      this.truncating = undefined;
     });
-    await this.cutting;
+    await this.truncating;
   }
 
   /** Closes all files. */
@@ -211,69 +217,77 @@
     }
   }
 
-  /** Records that lie in one segment, one run after the other, with the end of each. */
-  private runsOf(placed: readonly BlobRecord[]): readonly BlobRun[] {
-    const runs: BlobRun[] = [];
+  /** Groups records by segment. */
+  private batchBySegment(placed: readonly BlobRecord[]): readonly BlobBatch[] {
+    const batches: BlobBatch[] = [];
     let end = this.endOffset;
     for (const record of placed) {
       const next = placeBlob(end, record.payload.length);
       const {offset} = record.ref;
-      invariant(next.ref.offset === offset, 'blob placed at %s, end is %s', offset, end);
-      const last = runs.at(-1);
+      invariant(
+        next.ref.offset === offset,
+        'blob placed at offset %s, but the data ends at %s',
+        offset,
+        end,
+      );
+      const last = batches.at(-1);
       if (last !== undefined && last.end === offset && offset !== segmentStart(offset)) {
         last.records.push(record);
         last.end = next.end;
       } else {
-        runs.push({end: next.end, records: [record]});
+        batches.push({end: next.end, records: [record]});
       }
       ({end} = next);
     }
-    return runs;
+    return batches;
   }
 
   private async write(offset: number, bytes: Uint8Array): Promise<void> {
     const start = segmentStart(offset);
-    await this.use(start, (file) => file.append(bytes));
-    // Only now: a sync that ran beside the write may have missed it, and the next one must not.
+    await this.withFile(start, (file) => file.append(bytes));
+    // Only after the write: a concurrent sync may have missed it, and the next one must cover it.
     this.dirty.add(start);
   }
 
   private async syncDirty(): Promise<void> {
-    // What is appended while this runs is dirty again.
+    // Cleared before the syncs, so that segments written meanwhile are marked dirty again.
     const starts = [...this.dirty];
     this.dirty.clear();
     for (const start of starts) {
-      await this.use(start, (file) => file.sync());
+      await this.withFile(start, (file) => file.sync());
     }
     await this.disk.syncDirectory();
   }
 
-  /** Uses a segment's file. A file knows its end from when it was opened, so a cut waits for all uses, and they for it. */
-  private async use<Result>(
+  /**
+   * Runs an operation on a segment's file. An open file keeps track of its own end, so a truncation waits for all
+   * operations in progress, and new ones wait for the truncation.
+   */
+  private async withFile<Result>(
     start: number,
-    task: (file: DiskFile) => Promise<Result>,
+    operate: (file: DiskFile) => Promise<Result>,
   ): Promise<Result> {
-    while (this.cutting !== undefined) {
-      await this.cutting;
+    while (this.truncating !== undefined) {
+      await this.truncating;
     }
-    const use = this.segment(start).then(task);
-    this.uses.add(use);
+    const operation = this.segment(start).then(operate);
+    this.operations.add(operation);
     try {
-      return await use;
+      return await operation;
     } finally {
-      this.uses.delete(use);
+      this.operations.delete(operation);
     }
   }
 
-  private async cutAlone(end: number): Promise<void> {
-    await Promise.allSettled(this.uses);
+  private async truncateExclusively(end: number): Promise<void> {
+    await Promise.allSettled(this.operations);
     await this.close();
     for (const start of this.dirty) {
       if (start >= end) {
         this.dirty.delete(start);
       }
     }
-    await this.cut(end);
+    await this.truncateFiles(end);
     this.endOffset = end;
   }
 
@@ -283,20 +297,20 @@
     return file;
   }
 
-  /** A synced segment that is shorter than the snapshot says was damaged. */
+  /** Fails if the last segment is shorter than the snapshot requires, which means corruption. */
   private async checkLength(): Promise<void> {
     const start = segmentStart(Math.max(0, this.endOffset - 1));
     const last = this.endOffset - start - 1;
     if (last < 0) {
       return;
     }
-    const found = await this.use(start, (file) => file.read(last, 1));
-    if (found.length !== 1) {
-      throw new CorruptionError(segmentName(start), last, 'the segment is too short');
+    const byte = await this.withFile(start, (file) => file.read(last, 1));
+    if (byte.length !== 1) {
+      throw new CorruptionError(segmentName(start), last, 'segment too short');
     }
   }
 
-  private async cut(end: number): Promise<void> {
+  private async truncateFiles(end: number): Promise<void> {
     for (const name of await this.disk.list()) {
       if (!name.startsWith(FILE_PREFIX)) {
         continue;
--- a/packages/stallpaddle-storage/src/StorageDisk.ts
+++ b/packages/stallpaddle-storage/src/StorageDisk.ts
@@ -1,5 +1,5 @@
 /**
- * The few file operations that durable state needs, narrow enough to be faked with every failure.
+ * File operations for durable state, kept to a small interface so that tests can inject every failure.
  */
 import {constants} from 'node:fs';
 import {
@@ -14,38 +14,38 @@
 } from 'node:fs/promises';
 import path from 'node:path';
 
-/** An open file that grows at its end. */
+/** An open append-only file. */
 export interface DiskFile {
   readonly append: (bytes: Uint8Array) => Promise<void>;
   readonly close: () => Promise<void>;
-  /** Returns fewer bytes than asked for at the file's end. */
+  /** Returns fewer bytes than requested at the end of the file. */
   readonly read: (offset: number, length: number) => Promise<Uint8Array>;
-  /** Writes bytes once more that stand at a place already. */
+  /** Writes bytes again that the file already holds at an offset. */
   readonly rewrite: (offset: number, bytes: Uint8Array) => Promise<void>;
-  /** Resolves once all that was appended is on the disk. */
+  /** Makes all written data durable. */
   readonly sync: () => Promise<void>;
 }
 
-/** One folder on one disk. Names have no separators. */
+/** A directory of files. Names have no path separators. */
 export interface Disk {
   readonly list: () => Promise<readonly string[]>;
-  /** Opens a file for reading and appending; makes it when it is missing. */
+  /** Opens a file for reading and appending, and creates it if it does not exist. */
   readonly open: (name: string) => Promise<DiskFile>;
-  /** Whole content, or undefined when there is no such file. */
+  /** Reads a whole file; returns undefined if it does not exist. */
   readonly read: (name: string) => Promise<Uint8Array | undefined>;
   readonly remove: (name: string) => Promise<void>;
   readonly rename: (from: string, to: string) => Promise<void>;
-  /** Makes names that were added, renamed or removed last. */
+  /** Makes created, renamed and removed names durable. */
   readonly syncDirectory: () => Promise<void>;
   readonly truncate: (name: string, length: number) => Promise<void>;
 }
 
-function fileOf(handle: FileHandle, size: number): DiskFile {
+function wrapHandle(handle: FileHandle, size: number): DiskFile {
   let end = size;
   const write = async (offset: number, bytes: Uint8Array): Promise<void> => {
     const {bytesWritten} = await handle.write(bytes, 0, bytes.length, offset);
     if (bytesWritten !== bytes.length) {
-      throw new Error(`wrote ${bytesWritten} of ${bytes.length} bytes`);
+      throw new Error(`short write: ${bytesWritten} of ${bytes.length} bytes`);
     }
   };
   return {
@@ -64,19 +64,19 @@
   };
 }
 
-function isMissing(err: unknown): boolean {
+function isNotFound(err: unknown): boolean {
   return err instanceof Error && 'code' in err && err.code === 'ENOENT';
 }
 
 /**
- * Opens a folder of the machine's file system; makes it when it is missing.
+ * Opens a directory of the file system, and creates it if it does not exist.
  *
- * @param folder path of the folder
+ * @param directory path of the directory
  */
-export async function openDisk(folder: string): Promise<Disk> {
-  await mkdir(folder, {recursive: true});
-  const at = (name: string): string => path.join(folder, name);
-  const syncFolder = async (target: string): Promise<void> => {
+export async function openDisk(directory: string): Promise<Disk> {
+  await mkdir(directory, {recursive: true});
+  const pathOf = (name: string): string => path.join(directory, name);
+  const syncPath = async (target: string): Promise<void> => {
     const handle = await open(target, constants.O_RDONLY);
     try {
       await handle.sync();
@@ -84,35 +84,35 @@
       await handle.close();
     }
   };
-  // The folder's own name must last too.
-  await syncFolder(path.dirname(path.resolve(folder)));
+  // The directory's own entry must be durable too.
+  await syncPath(path.dirname(path.resolve(directory)));
   return {
-    list: () => readdir(folder),
+    list: () => readdir(directory),
     open: async (name) => {
-      const handle = await open(at(name), constants.O_RDWR | constants.O_CREAT, 0o600);
-      return fileOf(handle, (await handle.stat()).size);
+      const handle = await open(pathOf(name), constants.O_RDWR | constants.O_CREAT, 0o600);
+      return wrapHandle(handle, (await handle.stat()).size);
     },
     read: async (name) => {
       try {
-        return await readFile(at(name));
+        return await readFile(pathOf(name));
       } catch (err) {
-        if (isMissing(err)) {
+        if (isNotFound(err)) {
           return undefined;
         }
         throw err;
       }
     },
-    remove: (name) => rm(at(name), {force: true}),
-    rename: (from, to) => rename(at(from), at(to)),
-    syncDirectory: () => syncFolder(folder),
-    truncate: (name, length) => truncate(at(name), length),
+    remove: (name) => rm(pathOf(name), {force: true}),
+    rename: (from, to) => rename(pathOf(from), pathOf(to)),
+    syncDirectory: () => syncPath(directory),
+    truncate: (name, length) => truncate(pathOf(name), length),
   };
 }
 
 /**
- * Replaces a small file so that a crash leaves the old content or the new, never a mix.
+ * Replaces a file atomically: after a crash it holds either the old content or the new.
  *
- * @param disk folder that holds the file
+ * @param disk directory of the file
  * @param name the file's name
  * @param bytes new content
  */
--- a/packages/stallpaddle-storage/src/StorageErrors.ts
+++ b/packages/stallpaddle-storage/src/StorageErrors.ts
@@ -1,15 +1,15 @@
 /**
- * Errors of durable state. Each of them ends the replica: none is ever skipped.
+ * Errors of durable state. They are fatal to the replica.
  */
 
-/** Bytes that were synced once no longer read back as written. */
+/** Thrown when synced data does not read back as it was written. */
 export class CorruptionError extends Error {
   override readonly name = 'CorruptionError';
 
   /**
    * @param file the file's name
-   * @param offset where the bad record begins, in bytes
-   * @param reason what does not hold
+   * @param offset offset of the corrupt record, in bytes
+   * @param reason why it is corrupt
    */
   constructor(
     readonly file: string,
--- a/packages/stallpaddle-storage/src/StorageLog.ts
+++ b/packages/stallpaddle-storage/src/StorageLog.ts
@@ -1,7 +1,7 @@
 /**
- * A log file of checksummed records, synced in groups.
+ * A log file of checksummed records.
  *
- * Compaction writes a new file under the next generation number and only then removes the old one.
+ * Compaction writes a new file under the next generation number before it removes the old one.
  */
 import type {Disk, DiskFile} from './StorageDisk';
 
@@ -10,7 +10,7 @@
 const FILE_PREFIX = 'log-';
 
 /**
- * Whether a file is a log's.
+ * Whether a file name is that of a log.
  *
  * @param name the file's name
  */
@@ -29,13 +29,13 @@
   return /^\d+$/.test(digits) ? Number(digits) : undefined;
 }
 
-/** A log that was opened, with all that it held. */
+/** An opened log, with the payloads of its records. */
 export interface OpenedLog {
   readonly log: StorageLog;
   readonly payloads: readonly Uint8Array[];
 }
 
-/** Append-only log; one writer, one call at a time. */
+/** Append-only log. Calls must not run concurrently. */
 export class StorageLog {
   private constructor(
     private readonly disk: Disk,
@@ -45,15 +45,15 @@
     private size: number,
   ) {}
 
-  /** Bytes of all records in the present file. */
+  /** Size of all records in the current file, in bytes. */
   get bytes(): number {
     return this.size;
   }
 
   /**
-   * Opens the newest generation, cuts off a torn write and returns the payloads.
+   * Opens the newest generation, truncates a torn write and returns the payloads.
    *
-   * @param disk folder of the log
+   * @param disk directory of the log
    */
   static async open(disk: Disk): Promise<OpenedLog> {
     const names = await disk.list();
@@ -71,7 +71,8 @@
     const file = await disk.open(name);
     const last = records.at(-1);
     if (last !== undefined) {
-      // Its sync may have failed before this start: then the system takes it for written, and only a write makes it last.
+      // The last record's sync may have failed in an earlier process. The operating system may then consider its pages
+      // clean, so only writing it again makes it durable.
       await file.rewrite(last.start, content.subarray(last.start, last.end));
     }
     await file.sync();
@@ -86,8 +87,7 @@
   }
 
   /**
-   * Writes one record and syncs it. A rejected promise means that nothing may be assumed of the
-   * file: the replica must end.
+   * Writes one record and syncs it. After a rejection the content of the file is undefined, and the replica must stop.
    *
    * @param payload content
    */
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Starts a new file with one record and removes the present one.
+   * Starts a new file with one record and removes the current one.
    *
    * @param payload first record of the new file
    */
--- a/packages/stallpaddle-storage/src/StorageRecord.ts
+++ b/packages/stallpaddle-storage/src/StorageRecord.ts
@@ -1,20 +1,20 @@
 /**
  * Framing of records in append-only files: sequence number, length and two CRC-32C checksums.
  *
- * Layout, little endian: magic u32, sequence u32, length u32, CRC of the payload u32, CRC of the
- * sixteen bytes before u32, payload.
+ * Layout, little endian: magic u32, sequence u32, payload length u32, CRC of the payload u32, CRC of the preceding
+ * sixteen bytes u32, payload.
  */
 import crc32c from 'crc-32/crc32c.js';
 
 import {CorruptionError} from './StorageErrors';
 
-/** Bytes before each payload. */
+/** Size of the header before each payload, in bytes. */
 export const RECORD_HEADER_BYTES = 20;
 
 const MAGIC = 0x53_50_52_31;
 const CHECKED_BYTES = 16;
 
-/** A payload and where its record lies. */
+/** A record with its offsets in the file. */
 export interface DecodedRecord {
   readonly end: number;
   readonly payload: Uint8Array;
@@ -22,15 +22,15 @@
   readonly start: number;
 }
 
-/** What a file holds up to its last whole record. */
+/** The valid records of a file. */
 export interface RecordScan {
   readonly records: readonly DecodedRecord[];
-  /** Where the next record goes; bytes after it are a torn write. */
+  /** End of the last valid record; bytes after it are a torn write. */
   readonly validBytes: number;
 }
 
 /**
- * CRC-32C of bytes.
+ * Computes the CRC-32C checksum of bytes.
  *
  * @param bytes content
  */
@@ -41,7 +41,7 @@
 /**
  * Frames a payload.
  *
- * @param sequence the record's number in its file, from 0
+ * @param sequence index of the record in its file, from 0
  * @param payload content
  */
 export function encodeRecord(sequence: number, payload: Uint8Array): Uint8Array {
@@ -57,10 +57,10 @@
 }
 
 /**
- * Reads the record at an offset; undefined when none stands there whole and sound.
+ * Decodes the record at an offset; returns undefined if there is no complete, valid one.
  *
  * @param bytes a file's content
- * @param start offset in bytes
+ * @param start offset of the record, in bytes
  */
 export function decodeRecord(bytes: Uint8Array, start: number): DecodedRecord | undefined {
   if (start + RECORD_HEADER_BYTES > bytes.length) {
@@ -98,10 +98,10 @@
 }
 
 /**
- * Reads all records of a file. A bad record with none after it is a write that a crash tore, and
- * ends the scan; a bad one with a sound one after it was synced before, and is an error.
+ * Decodes all records of a file. An invalid record at the end is a torn write and ends the scan. An invalid record with
+ * a valid one after it had been synced, so it is reported as corruption.
  *
- * @param file the file's name, for the error
+ * @param file name of the file, for the error
  * @param bytes its content
  */
 export function scanRecords(file: string, bytes: Uint8Array): RecordScan {
@@ -112,7 +112,7 @@
     if (record === undefined || record.sequence !== records.length) {
       const later = findLaterRecord(bytes, at, records.length);
       if (later !== undefined) {
-        throw new CorruptionError(file, at, `a sound record follows at byte ${later}`);
+        throw new CorruptionError(file, at, `a valid record follows at byte ${later}`);
       }
       break;
     }
--- a/packages/stallpaddle-storage/src/StorageSnapshot.ts
+++ b/packages/stallpaddle-storage/src/StorageSnapshot.ts
@@ -1,5 +1,5 @@
 /**
- * The file that holds a replica's latest snapshot.
+ * The file of a replica's latest snapshot.
  */
 import type {Disk} from './StorageDisk';
 
@@ -7,13 +7,13 @@
 import {CorruptionError} from './StorageErrors';
 import {decodeRecord, encodeRecord} from './StorageRecord';
 
-/** Name of a snapshot's file. */
+/** Name of the snapshot file. */
 export const SNAPSHOT_FILE = 'snapshot';
 
 /**
- * Reads the latest snapshot, or undefined when none was taken.
+ * Reads the latest snapshot; returns undefined if there is none.
  *
- * @param disk folder of the replica
+ * @param disk directory of the replica
  */
 export async function readSnapshot(disk: Disk): Promise<Uint8Array | undefined> {
   const bytes = await disk.read(SNAPSHOT_FILE);
@@ -22,7 +22,7 @@
   }
   const record = decodeRecord(bytes, 0);
   if (record === undefined || record.end !== bytes.length) {
-    throw new CorruptionError(SNAPSHOT_FILE, 0, 'the checksum differs');
+    throw new CorruptionError(SNAPSHOT_FILE, 0, 'checksum mismatch');
   }
   return record.payload;
 }
@@ -30,7 +30,7 @@
 /**
  * Replaces the latest snapshot.
  *
- * @param disk folder of the replica
+ * @param disk directory of the replica
  * @param payload content
  */
 export async function writeSnapshot(disk: Disk, payload: Uint8Array): Promise<void> {
--- a/packages/stallpaddle-storage/src/__tests__/unit/StorageBlobs.test.ts
+++ b/packages/stallpaddle-storage/src/__tests__/unit/StorageBlobs.test.ts
@@ -1,5 +1,6 @@
 /**
- * Segment files: the same places on every replica, and what a crash or bad media leave.
+ * Guards against bulk data that is lost or misplaced after crashes, truncations and concurrent syncs, and against
+ * undetected corruption.
  */
 import fc from 'fast-check';
 import {delay} from 'stallpaddle';
@@ -19,7 +20,7 @@
   return refs;
 }
 
-/** Holds operations up until it is opened. */
+/** Creates a promise that blocks operations until it is opened. */
 function gate(): {readonly open: () => void; readonly opened: Promise<void>} {
   let open = (): void => {};
   const opened = new Promise<void>((resolve) => {
@@ -30,7 +31,7 @@
 
 describe('placeBlob', () => {
   test(
-    'never lets a record span two segments, and never lets two overlap',
+    'never places a record across two segments or over another record',
     async () => {
       const lengths = fc.array(fc.integer({max: BLOB_SEGMENT_BYTES / 4, min: 0}), {maxLength: 30});
       const property = fc.property(lengths, (all) => {
@@ -50,7 +51,7 @@
 });
 
 describe('StorageBlobs', () => {
-  test('drops what came after the last snapshot and writes it again at the same place', async () => {
+  test('drops data after the last snapshot, and writes it again at the same offset', async () => {
     const disk = new FakeDisk();
     const blobs = await StorageBlobs.open(disk, 0);
     const [first] = await write(blobs, ['one']);
@@ -65,35 +66,33 @@
     expect(Buffer.from(await again.read(rewritten!)).toString()).toBe('two');
   });
 
-  test('what was there before a transfer that broke off lasts with the next sync', async () => {
+  test('data before an aborted transfer is durable after the next sync', async () => {
     const disk = new FakeDisk();
     const blobs = await StorageBlobs.open(disk, 0);
     const [first] = await write(blobs, ['one']);
     const {end} = blobs;
     await blobs.appendRaw(end, Buffer.from('half of a transfer'));
     await blobs.truncateTo(end);
-    // A snapshot that refers to the first record may be saved now.
+    // After this sync a snapshot that refers to the first record may be saved.
     await blobs.sync();
     disk.restart();
     const again = await StorageBlobs.open(disk, end);
     expect(Buffer.from(await again.read(first!)).toString()).toBe('one');
   });
 
-  test('a write that lands while a sync runs lasts with the next sync', async () => {
-    // A job accepted while a snapshot was being synced, and then a second snapshot: after a loss of power its bytes were
-    // missing, for ever and alone.
+  test('a write in progress during a sync is durable after the next sync', async () => {
     const disk = new FakeDisk();
     const blobs = await StorageBlobs.open(disk, 0);
     const [first] = await write(blobs, ['one']);
     const slow = gate();
     disk.pause = () => slow.opened;
     const {ref} = placeBlob(blobs.end, 3);
-    const landing = blobs.append(ref, Buffer.from('two'));
+    const writing = blobs.append(ref, Buffer.from('two'));
     await delay(1);
     disk.pause = null;
     await blobs.sync();
     slow.open();
-    await landing;
+    await writing;
     await blobs.sync();
     disk.restart();
     const again = await StorageBlobs.open(disk, blobs.end);
@@ -101,7 +100,7 @@
     expect(Buffer.from(await again.read(ref)).toString()).toBe('two');
   });
 
-  test('a sync that begins while another runs ends after it', async () => {
+  test('a sync that starts during another one completes after it', async () => {
     const disk = new FakeDisk();
     const blobs = await StorageBlobs.open(disk, 0);
     await write(blobs, ['one']);
@@ -117,7 +116,7 @@
     expect(ended).toEqual(['first', 'second']);
   });
 
-  test('after a sync that failed the next one fails too', async () => {
+  test('a sync after a failed one fails too', async () => {
     const disk = new FakeDisk();
     const blobs = await StorageBlobs.open(disk, 0);
     await write(blobs, ['one']);
@@ -127,7 +126,7 @@
     await expect(blobs.sync()).rejects.toThrow('the sync failed');
   });
 
-  test('a read or a sync beside a cut leaves the next record at its place', async () => {
+  test('a read or sync during a truncation does not misplace the next record', async () => {
     const disk = new FakeDisk();
     const blobs = await StorageBlobs.open(disk, 0);
     const [first] = await write(blobs, ['one']);
@@ -135,20 +134,20 @@
     await blobs.appendRaw(end, Buffer.from('half of a transfer'));
     const slow = gate();
     disk.pause = () => slow.opened;
-    const cut = blobs.truncateTo(end);
+    const truncation = blobs.truncateTo(end);
     await delay(1);
     const read = blobs.read(first!);
     const sync = blobs.sync();
     await delay(1);
     disk.pause = null;
     slow.open();
-    await Promise.all([cut, read, sync]);
+    await Promise.all([truncation, read, sync]);
     const [next] = await write(blobs, ['two']);
     expect(Buffer.from(await read).toString()).toBe('one');
     expect(Buffer.from(await blobs.read(next!)).toString()).toBe('two');
   });
 
-  test('finds a flipped byte and a segment that is too short', async () => {
+  test('detects a flipped byte and a segment that is too short', async () => {
     const disk = new FakeDisk();
     const blobs = await StorageBlobs.open(disk, 0);
     const [ref] = await write(blobs, ['payload']);
@@ -174,7 +173,7 @@
     }
   });
 
-  test('cuts off the rest of an unfinished copy', async () => {
+  test('truncates an incomplete copy', async () => {
     const blobs = await StorageBlobs.open(new FakeDisk(), 0);
     const [ref] = await write(blobs, ['kept']);
     const {end} = blobs;
--- a/packages/stallpaddle-storage/src/__tests__/unit/StorageLog.test.ts
+++ b/packages/stallpaddle-storage/src/__tests__/unit/StorageLog.test.ts
@@ -1,5 +1,5 @@
 /**
- * The log file under crashes between any two operations, torn writes, failed syncs and bad media.
+ * Guards against lost records and undetected corruption after crashes, torn writes, failed syncs and flipped bytes.
  */
 import fc from 'fast-check';
 import {assertHistories, FakeCrashError, FakeDisk, fuzzTimeoutMs} from 'stallpaddle-testing';
@@ -10,12 +10,12 @@
 
 const FIRST_FILE = 'log-00000000';
 
-async function texts(disk: FakeDisk): Promise<readonly string[]> {
+async function reopenedTexts(disk: FakeDisk): Promise<readonly string[]> {
   const {payloads} = await StorageLog.open(disk);
   return payloads.map((payload) => Buffer.from(payload).toString());
 }
 
-async function filled(count: number): Promise<FakeDisk> {
+async function diskWithRecords(count: number): Promise<FakeDisk> {
   const disk = new FakeDisk();
   const {log} = await StorageLog.open(disk);
   for (let number = 0; number < count; number++) {
@@ -53,7 +53,7 @@
             expect(err).toBeInstanceOf(FakeCrashError);
           }
           disk.restart((unsynced) => Math.floor(unsynced * tornFraction));
-          const found = await texts(disk);
+          const found = await reopenedTexts(disk);
           expect([acknowledged, inFlight]).toContainEqual(found);
         },
       );
@@ -62,39 +62,39 @@
     fuzzTimeoutMs(),
   );
 
-  test('what a start finds lasts, though an earlier sync of it failed', async () => {
-    // A sync that failed may leave content that reads well, counts as written, and is gone after a loss of power.
-    const disk = await filled(1);
+  test('records found at a start are durable even if their earlier sync failed', async () => {
+    // After a failed sync the page cache may still return data that is lost on a power failure.
+    const disk = await diskWithRecords(1);
     const {log} = await StorageLog.open(disk);
     disk.failSyncs = true;
     await expect(log.append(Buffer.from('doubtful'))).rejects.toThrow('the sync failed');
     disk.failSyncs = false;
-    const found = await texts(disk);
+    const found = await reopenedTexts(disk);
     expect(found).toEqual(['record 0', 'doubtful']);
     disk.restart();
-    expect(await texts(disk)).toEqual(found);
+    expect(await reopenedTexts(disk)).toEqual(found);
   });
 
-  test('cuts off a torn last record and goes on after it', async () => {
-    const disk = await filled(3);
+  test('truncates a torn last record and appends after it', async () => {
+    const disk = await diskWithRecords(3);
     await disk.truncate(FIRST_FILE, disk.sizeOf(FIRST_FILE) - 3);
     const {log, payloads} = await StorageLog.open(disk);
     expect(payloads).toHaveLength(2);
     await log.append(Buffer.from('next'));
-    expect(await texts(disk)).toEqual(['record 0', 'record 1', 'next']);
+    expect(await reopenedTexts(disk)).toEqual(['record 0', 'record 1', 'next']);
   });
 
-  test('takes a bad record before a sound one for corruption, never for a torn write', async () => {
-    const size = (await filled(1)).sizeOf(FIRST_FILE);
+  test('reports an invalid record before a valid one as corruption, not as a torn write', async () => {
+    const size = (await diskWithRecords(1)).sizeOf(FIRST_FILE);
     for (let offset = 0; offset < 2 * size; offset++) {
-      const disk = await filled(3);
+      const disk = await diskWithRecords(3);
       disk.flip(FIRST_FILE, offset);
       await expect(StorageLog.open(disk)).rejects.toBeInstanceOf(CorruptionError);
     }
   });
 
-  test('fails an append whose sync fails', async () => {
-    const disk = await filled(1);
+  test('rejects an append whose sync fails', async () => {
+    const disk = await diskWithRecords(1);
     const {log} = await StorageLog.open(disk);
     disk.failSyncs = true;
     await expect(log.append(Buffer.from('lost'))).rejects.toThrow('the sync failed');
