--- a/packages/stallpaddle-rpc/src/RpcChannel.ts
+++ b/packages/stallpaddle-rpc/src/RpcChannel.ts
@@ -1,10 +1,5 @@
 /**
- * Calls and messages to one process over a standing stream. A stream that breaks leaves the calls under
- * way unknown; the next call opens another.
- *
- * A stream that brought nothing since a call was sent, until the call's time was over, is given up with its
- * connection: after a cut, the old connection would bring nothing for seconds. The library's own pings are
- * not used for this. They can wait forever: a stream that ends while a ping is out takes its time limit off.
+ * Multiplexes calls and message deliveries to one process over a long-lived stream.
  */
 import type {MessageInitShape} from '@bufbuild/protobuf';
 
@@ -18,19 +13,16 @@
 type Request = MessageInitShape<typeof ConverseRequestSchema>;
 type Content = Request['content'];
 
-/**
- * Bytes that must come during a call's time for it to wait on: more than the answers of a second to other calls of the
- * same process, and far less than a link carries that is worth waiting for.
- */
-const COMING_BYTES = 131_072;
-/** Most times that a call waits for its time, so that other large answers on the connection can't hold it up for ever. */
-const MOST_WAITS = 8;
+/** Bytes that must arrive during a call's timeout to extend it; responses to other calls alone stay below this. */
+const MIN_PROGRESS_BYTES = 131_072;
+/** Timeout periods that a call may wait in all, as the bytes that extend it may belong to other responses. */
+const MAX_TIMEOUT_PERIODS = 8;
 
-/** Number of a call that is not answered. */
+/** Id of calls that get no response. */
 export const ONE_WAY_CALL_ID = 0;
 
-interface Waiting {
-  /** Called with the answer, or with undefined when there is none. */
+interface PendingCall {
+  /** Called with the response's content, or with null when the outcome is unknown. */
   readonly resolve: (answer: ConverseResponse['answer'] | null) => void;
   readonly timer: NodeJS.Timeout;
 }
@@ -38,15 +30,22 @@
 interface OpenStream {
   readonly aborter: AbortController;
   readonly connection: PeerConnection;
-  /** When the last answer came, by the steady clock, in milliseconds. */
-  heardAt: number;
-  /** When the stream was opened, by the same clock. */
+  /** When the last response arrived, on the monotonic clock, in milliseconds. */
+  lastResponseAt: number;
+  /** When the stream was opened, on the same clock. */
   readonly openedAt: number;
   readonly queue: RpcQueue<Request>;
-  readonly waiting: Map<number, Waiting>;
+  readonly waitingCalls: Map<number, PendingCall>;
 }
 
-/** See the module's comment. */
+/**
+ * A channel to one process. When the stream breaks, the outcome of every pending call is unknown, and the next call
+ * opens a new stream.
+ *
+ * When a call times out and its stream has received nothing since the call was sent, the connection is closed too, as
+ * it may stall for seconds after a network partition. The pings of connect-node can't detect this reliably: a stream
+ * that ends while a ping is outstanding clears the ping's timeout.
+ */
 export class RpcChannel {
   private closed = false;
   private connection: PeerConnection | undefined;
@@ -54,14 +53,15 @@
   private stream: OpenStream | undefined;
 
   /**
-   * @param connect makes a connection to the process
-   * @param onGivenUp called when a connection was given up because it brought nothing
-   * @param openingMs time in which a stream may bring its first answer once its connection was taken, in milliseconds
+   * @param connect opens a connection to the process
+   * @param onStalled called when a connection was closed because it received nothing
+   * @param firstResponseTimeoutMs how long a new stream on an accepted connection may wait for its first response, in
+   *   milliseconds
    */
   constructor(
     private readonly connect: () => PeerConnection,
-    private readonly onGivenUp: () => void = () => {},
-    private readonly openingMs = 0,
+    private readonly onStalled: () => void = () => {},
+    private readonly firstResponseTimeoutMs = 0,
   ) {}
 
   /** Client for other calls over the same connection. */
@@ -73,17 +73,17 @@
    * Makes a call.
    *
    * @param call the call
-   * @param timeoutMs longest wait, in milliseconds
+   * @param timeoutMs longest wait, in milliseconds; extended while a large response arrives
    */
   async call(call: TryRequest, timeoutMs: number): Promise<TryOutcome> {
-    const answer = await this.send({case: 'call', value: {...call}}, timeoutMs);
-    return answer === null
+    const response = await this.send({case: 'call', value: {...call}}, timeoutMs);
+    return response === null
       ? {kind: 'unknown'}
-      : decodeOutcome(answer?.outcome ?? {case: undefined});
+      : decodeOutcome(response?.outcome ?? {case: undefined});
   }
 
   /**
-   * Makes a call whose answer nobody waits for; it may be lost. An answer would cost both processes a turn.
+   * Sends a one-way call. It may be lost; omitting the response saves both processes the work.
    *
    * @param call the call
    */
@@ -95,17 +95,17 @@
   }
 
   /**
-   * Brings messages.
+   * Delivers messages.
    *
    * @param delivery the messages
    * @param timeoutMs longest wait, in milliseconds
-   * @returns whether they have arrived for certain
+   * @returns whether the receiver acknowledged them
    */
   async deliver(delivery: Delivery, timeoutMs: number): Promise<boolean> {
     return (await this.send({case: 'deliver', value: delivery}, timeoutMs)) !== null;
   }
 
-  /** Ends the stream and its connection; calls under way stay unknown. */
+  /** Closes the stream and its connection; the outcome of pending calls is unknown. */
   close(): void {
     this.closed = true;
     if (this.stream !== undefined) {
@@ -122,27 +122,28 @@
     const id = ++this.lastId;
     const sentAt = performance.now();
     return new Promise((resolve) => {
-      stream.waiting.set(id, {resolve, timer: this.startTimer(stream, id, sentAt, timeoutMs)});
+      stream.waitingCalls.set(id, {resolve, timer: this.startTimer(stream, id, sentAt, timeoutMs)});
       stream.queue.add({content, id});
     });
   }
 
-  /** While much comes of an answer, its call waits on: begun anew, a large one would never arrive. */
+  /** Extends the timeout while data arrives quickly: a large response might never complete if its call were retried. */
   private startTimer(
     stream: OpenStream,
     id: number,
     sentAt: number,
     timeoutMs: number,
-    waits = 1,
+    periods = 1,
   ): NodeJS.Timeout {
     const {receivedBytes} = stream.connection;
-    const before = receivedBytes();
+    const bytesBefore = receivedBytes();
     return setTimeout(() => {
-      const waiting = stream.waiting.get(id);
-      const isComing = receivedBytes() - before >= COMING_BYTES && waits < MOST_WAITS;
-      if (waiting !== undefined && isComing) {
-        const timer = this.startTimer(stream, id, sentAt, timeoutMs, waits + 1);
-        stream.waiting.set(id, {...waiting, timer});
+      const pending = stream.waitingCalls.get(id);
+      const isProgressing =
+        receivedBytes() - bytesBefore >= MIN_PROGRESS_BYTES && periods < MAX_TIMEOUT_PERIODS;
+      if (pending !== undefined && isProgressing) {
+        const timer = this.startTimer(stream, id, sentAt, timeoutMs, periods + 1);
+        stream.waitingCalls.set(id, {...pending, timer});
       } else {
         this.onTimeout(stream, id, sentAt);
       }
@@ -158,10 +159,10 @@
     const stream: OpenStream = {
       aborter: new AbortController(),
       connection: this.connected(),
-      heardAt: -Infinity,
+      lastResponseAt: -Infinity,
       openedAt: performance.now(),
       queue: new RpcQueue(),
-      waiting: new Map(),
+      waitingCalls: new Map(),
     };
     this.stream = stream;
     void this.read(stream);
@@ -171,47 +172,47 @@
   private async read(stream: OpenStream): Promise<void> {
     const {aborter, connection, queue} = stream;
     try {
-      for await (const answer of connection.client.converse(queue.take(), {
+      for await (const response of connection.client.converse(queue.take(), {
         signal: aborter.signal,
       })) {
-        stream.heardAt = performance.now();
-        this.onAnswer(stream, answer);
+        stream.lastResponseAt = performance.now();
+        this.onResponse(stream, response);
       }
     } catch {
-      // Whatever ended the stream, nobody can tell what became of its calls.
+      // The outcome of the stream's calls is unknown, whatever ended it.
     }
     this.drop(stream);
   }
 
-  private onAnswer(stream: OpenStream, {answer, id}: ConverseResponse): void {
-    const waiting = stream.waiting.get(id);
-    if (waiting !== undefined) {
-      clearTimeout(waiting.timer);
-      stream.waiting.delete(id);
-      waiting.resolve(answer);
+  private onResponse(stream: OpenStream, {answer, id}: ConverseResponse): void {
+    const pending = stream.waitingCalls.get(id);
+    if (pending !== undefined) {
+      clearTimeout(pending.timer);
+      stream.waitingCalls.delete(id);
+      pending.resolve(answer);
     }
   }
 
-  /** A call got no answer in time. */
+  /** Fails a call that timed out, and the connection when nothing arrived on the stream since the call was sent. */
   private onTimeout(stream: OpenStream, id: number, sentAt: number): void {
-    stream.waiting.get(id)?.resolve(null);
-    stream.waiting.delete(id);
-    if (stream.heardAt < sentAt && !this.isOpening(stream)) {
+    stream.waitingCalls.get(id)?.resolve(null);
+    stream.waitingCalls.delete(id);
+    if (stream.lastResponseAt < sentAt && !this.isOpening(stream)) {
       this.drop(stream);
-      this.giveUp(stream.connection);
+      this.closeStalled(stream.connection);
     }
   }
 
-  /** Whether the other process may only be slow to start: its VM has taken the connection. */
-  private isOpening({connection, heardAt, openedAt}: OpenStream): boolean {
-    const isEarly = performance.now() - openedAt < this.openingMs;
-    return heardAt === -Infinity && isEarly && connection.isAccepted();
+  /** Whether the other process may still be starting: its VM accepted the connection, but no response came yet. */
+  private isOpening({connection, lastResponseAt, openedAt}: OpenStream): boolean {
+    const isEarly = performance.now() - openedAt < this.firstResponseTimeoutMs;
+    return lastResponseAt === -Infinity && isEarly && connection.isAccepted();
   }
 
-  private giveUp(connection: PeerConnection): void {
+  private closeStalled(connection: PeerConnection): void {
     if (this.connection === connection) {
       this.connection = undefined;
-      this.onGivenUp();
+      this.onStalled();
     }
     connection.close();
   }
@@ -220,11 +221,11 @@
     if (this.stream === stream) {
       this.stream = undefined;
     }
-    for (const {resolve, timer} of stream.waiting.values()) {
+    for (const {resolve, timer} of stream.waitingCalls.values()) {
       clearTimeout(timer);
       resolve(null);
     }
-    stream.waiting.clear();
+    stream.waitingCalls.clear();
     stream.queue.end();
     stream.aborter.abort();
   }
--- a/packages/stallpaddle-rpc/src/RpcChunks.ts
+++ b/packages/stallpaddle-rpc/src/RpcChunks.ts
@@ -1,29 +1,28 @@
 /**
- * Parts of messages too large to go at once: what waits for a VM may pass between two of them, and each part that
- * arrives shows that its connection lives.
+ * Splitting of large messages into chunks, and their reassembly.
  */
 import type {MessageInitShape} from '@bufbuild/protobuf';
 
 import type {DeliverRequest, MessagePart, MessagePartSchema} from './gen/stallpaddle/v1/peer_pb';
 
-/**
- * Most bytes of one part. Links of busy VMs were seen to carry 1.6 KB a millisecond, so an urgent message waits 80 ms
- * at most, since it goes alone; each part costs a round trip.
- */
+/** Largest chunk, in bytes. Bounds how long an urgent message waits behind one; each chunk costs a round trip. */
 export const MAX_CHUNK_BYTES = 131_072;
 
-/** Largest message that is put together from parts, in bytes: above any command that callers may send. */
-const MOST_BYTES = 67_108_864;
+/** Largest message that is reassembled, in bytes; larger than any command that callers may send. */
+const MAX_REASSEMBLED_BYTES = 67_108_864;
 
-/** Most messages of one stream that are put together at once: one for each replica on a VM, and its successor. */
-const MOST_MESSAGES = 4;
+/** Most incomplete messages of one stream: one for each replica on a VM, and one for its successor. */
+const MAX_INCOMPLETE_MESSAGES = 4;
 
-/** Number of the latest message that went in parts: messages of several outboxes share a stream. */
-let latestMessage = 0;
+/** Id of the latest message that was split; unique in the process, as several outboxes share a stream. */
+let lastMessageId = 0;
 
-/** A message under way in parts. */
+/**
+ * Splits a message into chunks. Urgent messages can be sent between two chunks, and each chunk that arrives shows that
+ * the connection works.
+ */
 export class RpcSplitter {
-  private readonly message = ++latestMessage;
+  private readonly message = ++lastMessageId;
   private offset = 0;
 
   /**
@@ -31,12 +30,12 @@
    */
   constructor(private readonly bytes: Uint8Array) {}
 
-  /** Whether all parts were taken. */
+  /** Whether all chunks were taken. */
   get ended(): boolean {
     return this.offset >= this.bytes.length;
   }
 
-  /** Takes the next part. */
+  /** Takes the next chunk. */
   next(): MessageInitShape<typeof MessagePartSchema> {
     const {bytes, message, offset} = this;
     const end = Math.min(bytes.length, offset + MAX_CHUNK_BYTES);
@@ -45,57 +44,57 @@
   }
 }
 
-/** Bytes that have come of a message, in order. */
-interface Begun {
+/** The first chunks of an incomplete message, in order. */
+interface IncompleteMessage {
   readonly bytes: number;
-  readonly parts: readonly Uint8Array[];
+  readonly chunks: readonly Uint8Array[];
 }
 
-const NOTHING: Begun = {bytes: 0, parts: []};
+const EMPTY: IncompleteMessage = {bytes: 0, chunks: []};
 
-/** Puts the messages of one stream together again. */
+/** Reassembles the chunked messages of one stream. */
 export class RpcReassembler {
-  private readonly begun = new Map<number, Begun>();
+  private readonly incomplete = new Map<number, IncompleteMessage>();
 
   /**
-   * Takes in a part. A message of which a part is missing is dropped, as a network would.
+   * Adds a chunk. A message with a missing or repeated chunk is dropped, as replication tolerates lost messages.
    *
-   * @param part the part
-   * @returns the whole message, with its last part
+   * @param chunk the chunk
+   * @returns the message, if this was its last chunk
    */
   take({bytes, last, message, offset}: MessagePart): Uint8Array | undefined {
-    const before = offset === 0 ? NOTHING : this.begun.get(message);
-    this.begun.delete(message);
-    if (before?.bytes !== offset || offset + bytes.length > MOST_BYTES) {
+    const previous = offset === 0 ? EMPTY : this.incomplete.get(message);
+    this.incomplete.delete(message);
+    if (previous?.bytes !== offset || offset + bytes.length > MAX_REASSEMBLED_BYTES) {
       return undefined;
     }
-    const parts = [...before.parts, bytes];
+    const chunks = [...previous.chunks, bytes];
     if (last) {
-      return Buffer.concat(parts);
+      return Buffer.concat(chunks);
     }
-    this.begun.set(message, {bytes: offset + bytes.length, parts});
-    this.forgetOldest();
+    this.incomplete.set(message, {bytes: offset + bytes.length, chunks});
+    this.dropOldest();
     return undefined;
   }
 
-  private forgetOldest(): void {
-    const [oldest] = this.begun.keys();
-    if (oldest !== undefined && this.begun.size > MOST_MESSAGES) {
-      this.begun.delete(oldest);
+  private dropOldest(): void {
+    const [oldest] = this.incomplete.keys();
+    if (oldest !== undefined && this.incomplete.size > MAX_INCOMPLETE_MESSAGES) {
+      this.incomplete.delete(oldest);
     }
   }
 }
 
 /**
- * Messages that a delivery brings, each whole.
+ * Returns the whole messages of a delivery, and the one that its chunk completes.
  *
  * @param delivery the delivery
- * @param join what came before it on the same stream
+ * @param reassembler incomplete messages of the same stream
  */
 export function completeMessages(
   {encoded, part}: DeliverRequest,
-  join: RpcReassembler,
+  reassembler: RpcReassembler,
 ): readonly Uint8Array[] {
-  const joined = part === undefined ? undefined : join.take(part);
-  return joined === undefined ? encoded : [...encoded, joined];
+  const completed = part === undefined ? undefined : reassembler.take(part);
+  return completed === undefined ? encoded : [...encoded, completed];
 }
--- a/packages/stallpaddle-rpc/src/RpcClients.ts
+++ b/packages/stallpaddle-rpc/src/RpcClients.ts
@@ -1,5 +1,5 @@
 /**
- * Clients for calls to other VMs, one connection for each address.
+ * Connections and clients for calls to other VMs.
  */
 import type {Client} from '@connectrpc/connect';
 
@@ -11,24 +11,24 @@
 import {authorizationOf} from './RpcServer';
 
 const MAX_MESSAGE_BYTES = 16_777_216;
-/** Time between pings of a quiet connection, and longest wait for an answer, in milliseconds. */
+/** Time between pings while calls are open, and the timeout of a ping, in milliseconds. */
 const PING_MS = 2_000;
 
 /** Client of one VM. */
 export type PeerClient = Client<typeof PeerService>;
 
-/** A connection to one VM; made when first used, and again when it broke. */
+/** A connection to one VM, opened on first use and reopened after it broke. */
 export interface PeerConnection {
   readonly client: PeerClient;
-  /** Ends the connection and all calls on it. */
+  /** Closes the connection and fails all calls on it. */
   readonly close: () => void;
-  /** Whether the other VM has taken the connection; one without power takes none. */
+  /** Whether the other VM has accepted the TCP connection, which it does not while it is down. */
   readonly isAccepted: () => boolean;
-  /** Bytes that have come so far. */
+  /** Bytes received so far, over all sockets of the connection. */
   readonly receivedBytes: () => number;
 }
 
-/** The sockets of a connection, one after the other. */
+/** Opens the successive sockets of a connection and adds up the bytes that they receive. */
 class RpcSockets {
   private earlierBytes = 0;
   private socket: Socket | undefined;
@@ -54,12 +54,12 @@
 }
 
 /**
- * Makes a connection.
+ * Creates a connection, which is opened on first use.
  *
  * @param vmKey key that all VMs share
  * @param host IP number
  * @param port TCP port
- * @param pingMs time between pings, and longest wait for a ping's answer, in milliseconds; null for none
+ * @param pingMs time between pings while calls are open, and the timeout of a ping, in milliseconds; null for none
  */
 export function openConnection(
   vmKey: string,
@@ -70,7 +70,7 @@
   const baseUrl = `http://${host.includes(':') ? `[${host}]` : host}:${port}`;
   const sockets = new RpcSockets(host, port);
   const pings = {
-    // Not at rest: the library would go on pinging a session that was destroyed in the meantime, and throw.
+    // The library would go on pinging an idle session after it was destroyed, and throw.
     pingIdleConnection: false,
     pingIntervalMs: pingMs ?? undefined,
     pingTimeoutMs: pingMs ?? undefined,
@@ -78,7 +78,7 @@
   const createConnection = (): Socket => sockets.open();
   const sessions = new Http2SessionManager(baseUrl, pings, {createConnection});
   const transport = createConnectTransport({
-    // Messages are small and the network near: compressing costs more than it saves.
+    // Most messages are small and the network is local, so compression costs more than it saves.
     acceptCompression: [],
     baseUrl,
     httpVersion: '2',
@@ -99,7 +99,7 @@
   };
 }
 
-/** Clients by address, made when first used. */
+/** Keeps one connection per address, created when first used. */
 export class RpcClients {
   private readonly connections = new Map<string, PeerConnection>();
 
@@ -109,7 +109,7 @@
   constructor(private readonly vmKey: string) {}
 
   /**
-   * Client of the VM at an address.
+   * Returns the client of the VM at an address.
    *
    * @param host IP number
    * @param port TCP port
@@ -121,7 +121,7 @@
     return known.client;
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): void {
     this.connections.forEach((connection) => connection.close());
     this.connections.clear();
--- a/packages/stallpaddle-rpc/src/RpcOutbox.ts
+++ b/packages/stallpaddle-rpc/src/RpcOutbox.ts
@@ -1,6 +1,5 @@
 /**
- * Replication messages on their way to one VM, over one standing stream: a call for each would cost
- * more than the message. Urgent ones overtake the others; large ones go in parts.
+ * Queue of outgoing replication messages for one VM.
  */
 import type {MessageInitShape} from '@bufbuild/protobuf';
 
@@ -11,56 +10,57 @@
 
 import {MAX_CHUNK_BYTES, RpcSplitter} from './RpcChunks';
 
-/** Pause before a stream of replication messages that broke off is opened again, in milliseconds. */
+/** Pause before a broken stream is opened again, in milliseconds. */
 const OUTBOX_REOPEN_MS = 50;
 
-/**
- * Most bytes of messages that wait for one VM; the oldest are dropped, as a network would. Messages may have a
- * megabyte each, so counting them bounds nothing.
- */
+/** Most bytes of ordinary messages queued for one VM; beyond that the oldest are dropped, as replication tolerates. */
 export const MAX_OUTBOX_BYTES = 2_097_152;
 
-/** Messages that go together, and perhaps a part of a large one. */
+/** A batch of whole messages, with an optional chunk of a large one. */
 export type Delivery = MessageInitShape<typeof DeliverRequestSchema>;
 
-/** Messages for one VM, as a carrier takes them. */
+/** Deliveries for one VM, as a {@link DeliverySender} takes them. */
 export interface DeliverySource {
-  /** Tells that the delivery taken last was lost: the rest of a message of which it held a part is useless. */
+  /** Reports that the delivery taken last was lost, so that the rest of a chunked message in it is dropped. */
   readonly lost: () => void;
   /** Waits for the next delivery; undefined once the outbox is closed. */
   readonly next: () => Promise<Delivery | undefined>;
 }
 
-/** Carries deliveries until it fails or they end; takes the next one only when it can carry it. */
+/** Sends deliveries until it fails or the source is closed; takes the next one only when it is ready to send it. */
 export type DeliverySender = (deliveries: DeliverySource) => Promise<unknown> | undefined;
 
-/** See the module's comment. */
+/**
+ * Queues replication messages for one VM and sends them over one long-lived stream, as a call for each message would
+ * cost more than the message itself. Urgent messages overtake ordinary ones; large messages are sent in chunks.
+ */
 export class RpcOutbox {
   private bytes = 0;
   private closed = false;
   private messages: Uint8Array[] = [];
   private open = false;
-  private split: RpcSplitter | undefined;
-  /** Whether the delivery taken last held urgent messages alone. */
-  private tookUrgent = false;
-  /** Number of the stream in use: what an earlier one still asks for is nothing to it. */
-  private streams = 0;
-  /** The newest of each group and kind: it says all that the older ones did. */
+  /** The large message that is being sent in chunks. */
+  private splitter: RpcSplitter | undefined;
+  /** Whether the delivery taken last held urgent messages only. */
+  private wasUrgentOnly = false;
+  /** Number of the current stream; requests of earlier streams are ignored. */
+  private currentStream = 0;
+  /** The newest message for each group and kind, which supersedes older ones. */
   private urgent = new Map<string, Uint8Array>();
   private wake = (): void => {};
 
   /**
-   * @param carry brings the messages to the VM
+   * @param sendAll sends the deliveries to the VM
    */
-  constructor(private readonly carry: DeliverySender) {}
+  constructor(private readonly sendAll: DeliverySender) {}
 
-  /** Bytes of messages that wait. */
+  /** Bytes of queued ordinary messages. */
   get waitingBytes(): number {
     return this.bytes;
   }
 
   /**
-   * Sends a message soon; when too much waits, the oldest is lost.
+   * Queues a message; when the queue exceeds its limit, the oldest ordinary messages are dropped.
    *
    * @param message the message
    */
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Ends the stream. */
+  /** Closes the outbox: nothing more is sent. */
   close(): void {
     this.closed = true;
     this.wake();
@@ -95,58 +95,59 @@
   private async stream(): Promise<void> {
     this.open = true;
     while (!this.closed) {
-      const number = ++this.streams;
+      const number = ++this.currentStream;
       try {
-        await this.carry({lost: () => this.lose(number), next: () => this.next(number)});
+        await this.sendAll({lost: () => this.dropRest(number), next: () => this.next(number)});
       } catch {
-        // What was lost is sent again by the next heartbeat.
+        // Replication sends lost messages again after the next heartbeat.
       }
-      this.lose(number);
-      this.streams++;
-      // A question of the old stream that still waits ends without an answer.
+      this.dropRest(number);
+      this.currentStream++;
+      // Ends a pending request for the old stream's next delivery.
       this.wake();
       await delay(OUTBOX_REOPEN_MS);
     }
     this.open = false;
   }
 
-  private lose(stream: number): void {
-    if (stream === this.streams) {
-      this.split = undefined;
+  private dropRest(stream: number): void {
+    if (stream === this.currentStream) {
+      this.splitter = undefined;
     }
   }
 
   private get isEmpty(): boolean {
-    return this.messages.length + this.urgent.size === 0 && this.split === undefined;
+    return this.messages.length + this.urgent.size === 0 && this.splitter === undefined;
   }
 
   private async next(stream: number): Promise<Delivery | undefined> {
-    while (this.isEmpty && !this.closed && stream === this.streams) {
+    while (this.isEmpty && !this.closed && stream === this.currentStream) {
       await new Promise<void>((resolve) => {
         this.wake = resolve;
       });
     }
-    if (this.closed || stream !== this.streams) {
+    if (this.closed || stream !== this.currentStream) {
       return undefined;
     }
     const urgent = [...this.urgent.values()];
     this.urgent.clear();
-    // A delivery is read once all of it has come: with a part, a leader's word would wait for two of them, and a lease of
-    // 400 ms end with the first hold-up. Not twice in a row, or words of many groups could keep the log back.
-    this.tookUrgent = urgent.length > 0 && !this.tookUrgent;
-    if (this.tookUrgent) {
+    // A delivery is handled once all of it has arrived, so a chunk in the same delivery would delay urgent messages, and
+    // a leader's lease could expire. Two urgent-only deliveries never follow each other, so that the urgent messages of
+    // many groups can't starve the log.
+    this.wasUrgentOnly = urgent.length > 0 && !this.wasUrgentOnly;
+    if (this.wasUrgentOnly) {
       return {encoded: urgent};
     }
-    const whole = this.split === undefined ? this.takeWhole() : [];
-    const encoded = [...urgent, ...whole];
-    if (whole.length === 0) {
-      this.beginSplit();
+    const small = this.splitter === undefined ? this.takeSmallMessages() : [];
+    const encoded = [...urgent, ...small];
+    if (small.length === 0) {
+      this.startSplitting();
     }
-    return this.split === undefined ? {encoded} : {encoded, part: this.takePart(this.split)};
+    return this.splitter === undefined ? {encoded} : {encoded, part: this.nextChunk(this.splitter)};
   }
 
-  /** Messages that go at once, in order, up to the size of one part. */
-  private takeWhole(): readonly Uint8Array[] {
+  /** Takes messages from the head of the queue that fit into one delivery. */
+  private takeSmallMessages(): readonly Uint8Array[] {
     let bytes = 0;
     let count = 0;
     while (
@@ -160,17 +161,17 @@
     return this.messages.splice(0, count);
   }
 
-  private beginSplit(): void {
-    const large = this.split === undefined ? this.messages.shift() : undefined;
+  private startSplitting(): void {
+    const large = this.splitter === undefined ? this.messages.shift() : undefined;
     if (large !== undefined) {
       this.bytes -= large.length;
-      this.split = new RpcSplitter(large);
+      this.splitter = new RpcSplitter(large);
     }
   }
 
-  private takePart(split: RpcSplitter): Delivery['part'] {
-    const part = split.next();
-    this.split = split.ended ? undefined : split;
+  private nextChunk(splitter: RpcSplitter): Delivery['part'] {
+    const part = splitter.next();
+    this.splitter = splitter.ended ? undefined : splitter;
     return part;
   }
 }
--- a/packages/stallpaddle-rpc/src/RpcQueue.ts
+++ b/packages/stallpaddle-rpc/src/RpcQueue.ts
@@ -1,5 +1,5 @@
 /**
- * Messages for a standing stream: whoever writes adds them, the stream takes them as they come.
+ * Unbounded queue that feeds the messages of a writer to a stream as an async iterable.
  */
 export class RpcQueue<Message> {
   private ended = false;
@@ -16,13 +16,13 @@
     this.wake();
   }
 
-  /** Ends the stream once all messages were taken. */
+  /** Ends the iterable once all messages were taken. */
   end(): void {
     this.ended = true;
     this.wake();
   }
 
-  /** All messages, until the end. */
+  /** Iterates over all messages until the queue is ended; for one consumer. */
   async *take(): AsyncGenerator<Message> {
     for (;;) {
       const {messages} = this;
--- a/packages/stallpaddle-rpc/src/RpcServer.ts
+++ b/packages/stallpaddle-rpc/src/RpcServer.ts
@@ -1,5 +1,5 @@
 /**
- * The server for calls between VMs: HTTP/2, authenticated by the key that all VMs share.
+ * HTTP/2 server for calls between VMs, authenticated by the key that all VMs share.
  */
 import type {ConnectRouter} from '@connectrpc/connect';
 
@@ -9,22 +9,22 @@
 
 const MAX_MESSAGE_BYTES = 16_777_216;
 const UNAUTHORIZED = 401;
-/** Time without a byte after which a connection is ended: VMs call each other several times a second. */
-const QUIET_SESSION_MS = 30_000;
+/** Time without traffic after which a connection is closed, in milliseconds. */
+const IDLE_SESSION_MS = 30_000;
 
 /**
- * Bytes that a peer may send before this process has read them, in one call and in all calls of a connection. The
- * library's 64 KB cost a round trip each, and a turn of a busy process at both ends: 800 KB took half a second.
+ * HTTP/2 flow-control window of a stream and of a connection. With the default of 64 KB, large messages would need many
+ * round trips.
  */
 const WINDOW_BYTES = 1_048_576;
 
-/** A server that has started. */
+/** A running server. */
 export interface RpcServer {
   readonly stop: () => Promise<void>;
 }
 
 /**
- * Header value that proves a VM.
+ * Returns the value of the authorization header for calls between VMs.
  *
  * @param vmKey key that all VMs share
  */
@@ -38,13 +38,13 @@
 }
 
 /**
- * Starts the server.
+ * Starts a server.
  *
  * @param host IP number
  * @param port TCP port
  * @param vmKey key that all VMs share
- * @param routes adds the services
- * @param onRefused called with the address of a process that shows another key
+ * @param routes registers the services
+ * @param onRefused called with the address of a client that presents a wrong key
  */
 export async function startRpcServer(
   host: string,
@@ -74,8 +74,8 @@
     session.setLocalWindowSize(WINDOW_BYTES);
     session.on('close', () => sessions.delete(session));
     session.on('error', () => session.destroy());
-    // The other side may have gone without a word; it opens another when it needs one.
-    session.setTimeout(QUIET_SESSION_MS, () => session.destroy());
+    // The client may be gone without having closed the connection; a live one reconnects when it needs to.
+    session.setTimeout(IDLE_SESSION_MS, () => session.destroy());
   });
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject);
--- a/packages/stallpaddle-rpc/src/RpcSnapshots.ts
+++ b/packages/stallpaddle-rpc/src/RpcSnapshots.ts
@@ -1,5 +1,5 @@
 /**
- * Brings snapshots to other VMs and takes them in, piece by piece.
+ * Transfer of snapshots between VMs, in chunks.
  */
 import type {GroupId} from 'stallpaddle';
 import type {
@@ -15,16 +15,16 @@
 
 import type {PeerClient} from './RpcClients';
 
-/** Longest wait for the receipt of one piece, in milliseconds. */
-const PIECE_TIMEOUT_MS = 10_000;
+/** Timeout of one step of a transfer, in milliseconds. */
+const STEP_TIMEOUT_MS = 10_000;
 
-/** A replica, as far as a transfer needs it. */
+/** The replica that a snapshot is installed on. */
 export type SnapshotTarget = Pick<
   ReplicaDriver<unknown>,
   'beginInstall' | 'finishInstall' | 'installBlobs'
 >;
 
-/** A step of a transfer as it comes off the wire. */
+/** A step of a transfer, as decoded from the wire. */
 export type InstallStep =
   | {readonly case: 'beginEncoded'; readonly value: Uint8Array}
   | {readonly case: 'blobs'; readonly value: {readonly bytes: Uint8Array; readonly offset: bigint}}
@@ -34,46 +34,46 @@
     }
   | {readonly case: undefined; readonly value?: undefined};
 
-/** Answer to a step. */
+/** Response to a step. */
 export interface InstallReply {
   readonly blobEnd: bigint;
   readonly ok: boolean;
 }
 
 /**
- * A snapshot on its way. Pieces don't say which transfer they belong to, so two at once could mix; the checksum tells.
- * Earlier releases send none.
+ * A snapshot as it is sent. Chunks don't name their transfer, so those of two concurrent transfers can mix, which the
+ * checksum detects. Earlier releases send none.
  */
-interface SentSnapshot extends MachineSnapshot {
+interface TransferredSnapshot extends MachineSnapshot {
   readonly check?: number;
 }
 
-function isWhole({check, machine}: SentSnapshot): boolean {
+function isIntact({check, machine}: TransferredSnapshot): boolean {
   return check === undefined || check === checksum(machine);
 }
 
-/** The snapshot that pieces make, or undefined when they are of several. */
-function joinSnapshot(pieces: readonly Uint8Array[]): MachineSnapshot | undefined {
+/** Decodes a snapshot from its chunks; returns undefined when they belong to several transfers. */
+function decodeSnapshot(chunks: readonly Uint8Array[]): MachineSnapshot | undefined {
   try {
-    const sent = decodeValue<SentSnapshot>(Buffer.concat(pieces));
-    return isWhole(sent) ? {machine: sent.machine, meta: sent.meta} : undefined;
+    const sent = decodeValue<TransferredSnapshot>(Buffer.concat(chunks));
+    return isIntact(sent) ? {machine: sent.machine, meta: sent.meta} : undefined;
   } catch {
     return undefined;
   }
 }
 
-/** Sends one step and waits for its receipt. */
+/** Sends one step and waits for the response. */
 type SendStep = (step: Parameters<PeerClient['install']>[0]['step']) => Promise<InstallReply>;
 
-/** The receiver wants no more of the transfer. */
+/** Makes the sender abort the transfer. */
 const REFUSED: InstallReply = {blobEnd: 0n, ok: false};
 
 /**
- * Brings a snapshot to a replica: first the bulk data that it lacks, then the state.
+ * Sends a snapshot to a replica: first the bulk data that it lacks, then the state.
  *
- * @param client the receiver; undefined while its address is not known
+ * @param client the receiver; undefined while its address is unknown
  * @param source the snapshot
- * @returns whether the receiver took it over
+ * @returns whether the receiver installed it
  */
 export async function sendSnapshot(
   client: PeerClient | undefined,
@@ -82,53 +82,54 @@
   if (client === undefined) {
     return false;
   }
-  const call: SendStep = (step) =>
+  const sendStep: SendStep = (step) =>
     client.install(
       {group: source.group, step, term: BigInt(source.term)},
-      {timeoutMs: PIECE_TIMEOUT_MS},
+      {timeoutMs: STEP_TIMEOUT_MS},
     );
-  const begun = await call({case: 'beginEncoded', value: encodeValue(source.snapshot.meta)});
-  if (!begun.ok) {
+  const started = await sendStep({case: 'beginEncoded', value: encodeValue(source.snapshot.meta)});
+  if (!started.ok) {
     return false;
   }
-  let offset = Number(begun.blobEnd);
+  let offset = Number(started.blobEnd);
   while (offset < source.blobEnd) {
-    const piece = await source.readBlobs(offset, SNAPSHOT_CHUNK_BYTES);
-    const value = {bytes: piece.bytes, offset: BigInt(piece.offset)};
-    const sent = await call({case: 'blobs', value});
-    if (!sent.ok || Number(sent.blobEnd) <= offset) {
+    const chunk = await source.readBlobs(offset, SNAPSHOT_CHUNK_BYTES);
+    const value = {bytes: chunk.bytes, offset: BigInt(chunk.offset)};
+    const reply = await sendStep({case: 'blobs', value});
+    if (!reply.ok || Number(reply.blobEnd) <= offset) {
       return false;
     }
-    offset = Number(sent.blobEnd);
+    offset = Number(reply.blobEnd);
   }
-  return sendState(source, call);
+  return sendState(source, sendStep);
 }
 
-async function sendState(source: SnapshotSource, call: SendStep): Promise<boolean> {
+async function sendState(source: SnapshotSource, sendStep: SendStep): Promise<boolean> {
   const {snapshot} = source;
-  const sent: SentSnapshot = {...snapshot, check: checksum(snapshot.machine)};
+  const sent: TransferredSnapshot = {...snapshot, check: checksum(snapshot.machine)};
   const state = encodeValue(sent);
   for (let offset = 0; ; offset += SNAPSHOT_CHUNK_BYTES) {
     const bytes = state.subarray(offset, offset + SNAPSHOT_CHUNK_BYTES);
     const last = offset + SNAPSHOT_CHUNK_BYTES >= state.length;
-    const {ok} = await call({case: 'state', value: {bytes, last, offset: BigInt(offset)}});
+    const {ok} = await sendStep({case: 'state', value: {bytes, last, offset: BigInt(offset)}});
     if (!ok || last) {
       return ok;
     }
   }
 }
 
-/** Takes in snapshots for the replicas of this VM. */
+/** Receives snapshots for the replicas of this VM. */
 export class SnapshotReceiver {
+  /** Chunks of incomplete states. */
   private readonly states = new Map<GroupId, Uint8Array[]>();
 
   /**
-   * Takes in one step.
+   * Handles one step.
    *
    * @param group the group
    * @param replica this VM's replica of it
    * @param term the leader's term
-   * @param step what arrived
+   * @param step the step
    */
   async take(
     group: GroupId,
@@ -157,19 +158,19 @@
     group: GroupId,
     replica: SnapshotTarget,
     term: number,
-    piece: {readonly bytes: Uint8Array; readonly last: boolean; readonly offset: bigint},
+    chunk: {readonly bytes: Uint8Array; readonly last: boolean; readonly offset: bigint},
   ): Promise<InstallReply> {
-    const pieces = this.states.get(group) ?? [];
-    const received = pieces.reduce((sum, {length}) => sum + length, 0);
-    if (Number(piece.offset) !== received) {
+    const chunks = this.states.get(group) ?? [];
+    const received = chunks.reduce((sum, {length}) => sum + length, 0);
+    if (Number(chunk.offset) !== received) {
       return REFUSED;
     }
-    this.states.set(group, [...pieces, piece.bytes]);
-    if (!piece.last) {
+    this.states.set(group, [...chunks, chunk.bytes]);
+    if (!chunk.last) {
       return {blobEnd: 0n, ok: true};
     }
     this.states.delete(group);
-    const snapshot = joinSnapshot([...pieces, piece.bytes]);
+    const snapshot = decodeSnapshot([...chunks, chunk.bytes]);
     const ok = snapshot !== undefined && (await replica.finishInstall(snapshot, term));
     return {blobEnd: 0n, ok};
   }
--- a/packages/stallpaddle-rpc/src/RpcTry.ts
+++ b/packages/stallpaddle-rpc/src/RpcTry.ts
@@ -1,5 +1,5 @@
 /**
- * One try of a call to a group's leader, as the caller and the answering process see it.
+ * One attempt of a call to a group's leader: its outcome, and how it is encoded on the wire.
  */
 import type {MessageInitShape} from '@bufbuild/protobuf';
 import type {GroupId, VmId} from 'stallpaddle';
@@ -10,16 +10,16 @@
 import type {CallResponse, CallResponseSchema} from './gen/stallpaddle/v1/peer_pb';
 import type {PeerClient} from './RpcClients';
 
-/** What one try came to. */
+/** Outcome of one attempt. */
 export type TryOutcome =
   | {readonly kind: 'answered'; readonly result: unknown}
   | {readonly kind: 'notLeader'; readonly leader: VmId | null}
-  /** A command may still be committed; a question was not answered. */
+  /** A command may have been committed or may still be; a query got no response. */
   | {readonly kind: 'unknown'};
 
-/** A call as it is sent. */
+/** A call to a group, as it is sent. */
 export interface TryRequest {
-  /** Command or question, encoded. */
+  /** The encoded command or query. */
   readonly encoded: Uint8Array;
   readonly group: GroupId;
   readonly query: boolean;
@@ -28,9 +28,9 @@
 type WireOutcome = MessageInitShape<typeof CallResponseSchema>['outcome'];
 
 /**
- * Puts an outcome into the answer of a call.
+ * Encodes an outcome for the response to a call.
  *
- * @param outcome what the try came to
+ * @param outcome the outcome
  */
 export function encodeOutcome(outcome: TryOutcome): WireOutcome {
   switch (outcome.kind) {
@@ -44,9 +44,9 @@
 }
 
 /**
- * Takes an outcome out of the answer of a call.
+ * Decodes the outcome from the response to a call.
  *
- * @param outcome what the answer holds
+ * @param outcome the encoded outcome
  */
 export function decodeOutcome(outcome: CallResponse['outcome']): TryOutcome {
   switch (outcome.case) {
@@ -61,10 +61,10 @@
 }
 
 /**
- * Runs a call at a replica of this process and names what it came to.
+ * Runs a call on a replica of this process.
  *
- * @param work proposes the command or answers the question
- * @throws what `work` throws, but for the errors that a replica is known to throw
+ * @param work proposes the command or runs the query
+ * @throws what `work` throws, except for the replica errors that map to an outcome
  */
 export async function tryLocal(work: () => unknown): Promise<TryOutcome> {
   try {
@@ -83,7 +83,7 @@
 /**
  * Calls another process.
  *
- * @param client the process; undefined while its address is not known
+ * @param client client of the process; undefined while its address is unknown
  * @param request the call
  * @param timeoutMs longest wait, in milliseconds
  */
@@ -99,7 +99,7 @@
     const {outcome} = await client.call(request, {timeoutMs});
     return decodeOutcome(outcome);
   } catch {
-    // Refused, reset, silent for too long: nobody can tell whether the call arrived.
+    // Refused, reset or timed out: whether the call arrived is unknown.
     return {kind: 'unknown'};
   }
 }
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcChannel.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcChannel.test.ts
@@ -1,5 +1,6 @@
 /**
- * Calls over a standing stream: out of order, lost, and after the other process came back.
+ * Guards against mixed-up, lost and hanging calls when responses are out of order, slow or missing, and when the other
+ * process restarts.
  */
 import type {ConnectRouter} from '@connectrpc/connect';
 
@@ -16,15 +17,15 @@
 const KEY = 'k';
 const HOST = '127.0.0.1';
 
-const undo: (() => Promise<void> | void)[] = [];
+const cleanups: (() => Promise<void> | void)[] = [];
 
 afterEach(async () => {
-  for (const step of undo.splice(0)) {
+  for (const step of cleanups.splice(0)) {
     await step();
   }
 });
 
-/** Answers each number after as many milliseconds; a negative one never. */
+/** Responds to each call after the delay that it contains, in milliseconds; never if negative. */
 function addService(router: ConnectRouter): void {
   router.service(PeerService, {
     converse: async function* (requests) {
@@ -47,13 +48,13 @@
 
 async function start(port: number): Promise<RpcServer> {
   const server = await startRpcServer(HOST, port, KEY, addService);
-  undo.push(() => server.stop());
+  cleanups.push(() => server.stop());
   return server;
 }
 
 function channelTo(port: number): RpcChannel {
   const channel = new RpcChannel(() => openConnection(KEY, HOST, port, null));
-  undo.push(() => channel.close());
+  cleanups.push(() => channel.close());
   return channel;
 }
 
@@ -63,12 +64,12 @@
 
 async function startLink(port: number, target: number, bytesPerMs?: number): Promise<SlowLink> {
   const link = await SlowLink.open({bytesPerMs, host: HOST, port, target});
-  undo.push(() => link.close());
+  cleanups.push(() => link.close());
   return link;
 }
 
 describe('RpcChannel', () => {
-  test('gives each call its own answer, in whatever order they come', async () => {
+  test('matches responses to calls when they arrive out of order', async () => {
     await start(18_301);
     const channel = channelTo(18_301);
     const outcomes = await Promise.all(
@@ -77,7 +78,7 @@
     expect(outcomes).toEqual([1, 2, 3].map((result) => ({kind: 'answered', result})));
   });
 
-  test('brings a call that waits for no answer, beside others that do', async () => {
+  test('sends one-way calls in order with other calls', async () => {
     const seen: number[] = [];
     const server = await startRpcServer(HOST, 18_311, KEY, (router) =>
       router.service(PeerService, {
@@ -91,7 +92,7 @@
         },
       }),
     );
-    undo.push(() => server.stop());
+    cleanups.push(() => server.stop());
     const channel = channelTo(18_311);
     channel.post(requestOf(7));
     expect((await channel.call(requestOf(8), 1_000)).kind).toBe('answered');
@@ -100,17 +101,17 @@
     expect(seen).toEqual([7, 8, 9, 10]);
   });
 
-  test('leaves a call unknown that gets no answer in time', async () => {
+  test('reports an unknown outcome when a call times out', async () => {
     await start(18_302);
     expect(await channelTo(18_302).call(requestOf(-1), 50)).toEqual({kind: 'unknown'});
   });
 
-  test('leaves calls unknown when the process ends, and reaches it again when it is back', async () => {
+  test('reports an unknown outcome when the process stops, and reconnects after its restart', async () => {
     const server = await start(18_303);
     const channel = channelTo(18_303);
     const pending = channel.call(requestOf(-1), 5_000);
     await delay(100);
-    undo.splice(0, 1);
+    cleanups.splice(0, 1);
     await server.stop();
     expect(await pending).toEqual({kind: 'unknown'});
     expect(await channel.call(requestOf(0), 300)).toEqual({kind: 'unknown'});
@@ -121,7 +122,7 @@
     expect(outcomes.map(({kind}) => kind)).toEqual(['answered', 'answered', 'answered']);
   });
 
-  test('waits on for an answer of which much comes, and no longer than a few times its time', async () => {
+  test('extends the timeout of a call while a large response arrives, up to a limit', async () => {
     const server = await startRpcServer(HOST, 18_306, KEY, (router) =>
       router.service(PeerService, {
         converse: async function* (requests) {
@@ -133,10 +134,10 @@
         },
       }),
     );
-    undo.push(() => server.stop());
+    cleanups.push(() => server.stop());
     const link = await startLink(18_307, 18_306, 1_600);
     const channel = channelTo(18_307);
-    // Two seconds on this link.
+    // The link takes two seconds for this response.
     const outcome = await channel.call(requestOf(3_200_000), 700);
     expect(outcome.kind).toBe('answered');
     expect(await channel.call(requestOf(3_200_000), 100)).toEqual({kind: 'unknown'});
@@ -146,7 +147,7 @@
     expect(performance.now() - startedAt).toBeLessThan(400);
   });
 
-  test('keeps a connection to a process that starts slowly, and gives one up that brings nothing for too long', async () => {
+  test('keeps the connection to a slowly starting process, and closes it after a long stall', async () => {
     await start(18_308);
     const link = await startLink(18_309, 18_308);
     link.silent = true;
@@ -156,42 +157,42 @@
       return openConnection(KEY, HOST, 18_309, null);
     };
     const channel = new RpcChannel(connect, () => {}, 400);
-    undo.push(() => channel.close());
+    cleanups.push(() => channel.close());
     for (let tries = 0; tries < 5; tries++) {
       expect(await channel.call(requestOf(-1), 50)).toEqual({kind: 'unknown'});
     }
     expect(connections).toBe(1);
-    // One that no VM takes is begun anew: the VM may have come back since.
-    let untaken = 0;
-    const dark = new RpcChannel(
+    // A connection that no VM accepts is opened again, as the VM may be back in the meantime.
+    let unaccepted = 0;
+    const unreachable = new RpcChannel(
       () => {
-        untaken++;
+        unaccepted++;
         return {...openConnection(KEY, HOST, 18_309, null), isAccepted: () => false};
       },
       () => {},
       400,
     );
-    undo.push(() => dark.close());
-    await dark.call(requestOf(-1), 30);
-    await dark.call(requestOf(-1), 30);
-    expect(untaken).toBe(2);
+    cleanups.push(() => unreachable.close());
+    await unreachable.call(requestOf(-1), 30);
+    await unreachable.call(requestOf(-1), 30);
+    expect(unaccepted).toBe(2);
     await delay(200);
     expect(await channel.call(requestOf(-1), 50)).toEqual({kind: 'unknown'});
     await channel.call(requestOf(-1), 50);
     expect(connections).toBe(2);
   });
 
-  test('a process that shows another key is refused, and the other side says so', async () => {
+  test('refuses a process with a wrong key and reports its address', async () => {
     const refused: string[] = [];
     const server = await startRpcServer(HOST, 18_310, 'another', addService, (from) =>
       refused.push(from),
     );
-    undo.push(() => server.stop());
+    cleanups.push(() => server.stop());
     expect(await channelTo(18_310).call(requestOf(0), 500)).toEqual({kind: 'unknown'});
     expect(refused).toEqual([HOST]);
   });
 
-  test('survives a link that falls silent with calls and streams on it, and reaches the process after', async () => {
+  test('recovers from links that stall with calls and streams open on them', async () => {
     await start(18_304);
     const link = await startLink(18_305, 18_304);
     const channels = [1, 2].map(() => channelTo(18_305));
@@ -208,7 +209,7 @@
       link.silent = true;
       const lost = channels.map((channel, at) => channel.call(requestOf(-1), 40 + at * 200));
       expect((await Promise.all(lost)).map(({kind}) => kind)).toEqual(['unknown', 'unknown']);
-      // These open streams on a connection that is dead but not yet known to be.
+      // These calls open streams on a dead connection that is not yet detected as such.
       for (const timeoutMs of [10, 30, 60, 90]) {
         const more = channels.map((channel) => channel.call(requestOf(-1), timeoutMs));
         expect((await Promise.all(more)).map(({kind}) => kind)).toEqual(['unknown', 'unknown']);
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcLease.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcLease.test.ts
@@ -1,11 +1,7 @@
 /**
- * A leader's lease while its commands go over slow links, in a made-up time: real replicas and real outboxes, and no
- * process is ever held up. What is left of the lease at its lowest is what a process may be held up for.
- *
- * Seen: 'commands that links take long to carry ..., and leadership stays where it is' failed now and then beside other
- * tests, with lapses of 10 to 20 ms. A trace of all words and of the event loop showed words that arrived after two parts
- * of a large command where one was promised, at most 54 ms left of a lease of 400 ms on an idle machine, and an event loop
- * that the three replicas of that test held up for 60 ms with each command.
+ * Guards against leases that expire because urgent messages wait behind large commands on slow links. Real replicas and
+ * outboxes run in simulated time without pauses, so the least remaining lease is the longest pause that a process can
+ * afford.
  */
 import type {ReplicaId} from 'stallpaddle';
 
@@ -27,14 +23,14 @@
 import {completeMessages, RpcReassembler} from '../../RpcChunks';
 import {type DeliverySource, RpcOutbox} from '../../RpcOutbox';
 
-/** Times of the groups of a fleet, in milliseconds. */
+/** Production timing of a group, in milliseconds. */
 const TIMING = {electionTimeoutMs: 500, heartbeatMs: 125, leaseDriftFraction: 0.2};
-/** Looks of a voter at its clock, in milliseconds. */
-const TURN_MS = TIMING.heartbeatMs / 4;
-/** What the slowest links that were seen carry, in bytes a millisecond. */
-const BYTES_PER_MS = 1_600;
-/** A way over an idle link, in milliseconds. */
-const WAY_MS = 1;
+/** Time between ticks of a replica, in milliseconds. */
+const TICK_MS = TIMING.heartbeatMs / 4;
+/** Throughput of a slow link, in bytes per millisecond. */
+const SLOW_LINK_BYTES_PER_MS = 1_600;
+/** One-way latency of a link, in milliseconds. */
+const LATENCY_MS = 1;
 const IDS: readonly ReplicaId[] = ['a/1', 'b/1', 'c/1'];
 
 interface Timer {
@@ -42,8 +38,8 @@
   readonly run: () => void;
 }
 
-/** See the module's comment. */
-class SlowWorld {
+/** Simulates a group whose replicas exchange messages over slow links. */
+class SlowLinkCluster {
   now = 0;
   private readonly outboxes = new Map<string, RpcOutbox>();
   private readonly states = new Map<ReplicaId, ReplicationState>();
@@ -56,7 +52,7 @@
       const log = ReplicationLog.restore(meta, []);
       const start = {group: 'g', hardState, log, self, timing: TIMING};
       this.states.set(self, startReplica(start, 0));
-      this.turnAt(self, at);
+      this.scheduleTick(self, at);
     }
   }
 
@@ -64,13 +60,13 @@
     return [...this.states.values()].find(({role}) => role.kind === 'leader');
   }
 
-  /** What is left of the leader's lease, in milliseconds; nothing without a leader. */
-  get leaseLeftMs(): number {
+  /** Remaining time of the leader's lease, in milliseconds; -Infinity without a leader. */
+  get remainingLeaseMs(): number {
     const {leader} = this;
     return leader === undefined ? -Infinity : leaseUntil(leader, this.now) - this.now;
   }
 
-  /** Lets the next thing happen. */
+  /** Runs the next timer. */
   async step(): Promise<void> {
     this.timers.sort((a, b) => a.at - b.at);
     const {at, run} = this.timers.shift()!;
@@ -101,59 +97,59 @@
     this.timers.push({at: this.now + ms, run});
   }
 
-  private turnAt(self: ReplicaId, ms: number): void {
+  private scheduleTick(self: ReplicaId, ms: number): void {
     this.after(ms, () => {
       this.handle(self, {kind: 'tick'});
-      this.turnAt(self, TURN_MS);
+      this.scheduleTick(self, TICK_MS);
     });
   }
 
   private outboxOf({from, to}: Message): RpcOutbox {
     const key = `${from} ${to}`;
     const outbox =
-      this.outboxes.get(key) ?? new RpcOutbox((deliveries) => this.carry(to, deliveries));
+      this.outboxes.get(key) ?? new RpcOutbox((deliveries) => this.send(to, deliveries));
     this.outboxes.set(key, outbox);
     return outbox;
   }
 
-  /** One delivery at a time, as between processes. */
-  private async carry(to: ReplicaId, {next}: DeliverySource): Promise<void> {
-    const join = new RpcReassembler();
+  /** Sends one delivery at a time, as between processes. */
+  private async send(to: ReplicaId, {next}: DeliverySource): Promise<void> {
+    const reassembler = new RpcReassembler();
     for (let delivery = await next(); delivery !== undefined; delivery = await next()) {
       const request = create(DeliverRequestSchema, delivery);
       const bytes = toBinary(DeliverRequestSchema, request).length;
-      await this.pass(bytes / BYTES_PER_MS + WAY_MS);
-      for (const encoded of completeMessages(request, join)) {
+      await this.sleep(bytes / SLOW_LINK_BYTES_PER_MS + LATENCY_MS);
+      for (const encoded of completeMessages(request, reassembler)) {
         this.handle(to, {kind: 'message', message: decodeValue<Message>(encoded)});
       }
-      await this.pass(WAY_MS);
+      await this.sleep(LATENCY_MS);
     }
   }
 
-  private pass(ms: number): Promise<void> {
+  private sleep(ms: number): Promise<void> {
     return new Promise((resolve) => this.after(ms, resolve));
   }
 }
 
 describe('RpcOutbox and leases', () => {
-  test('large commands on slow links leave a leader a hundred milliseconds for hold-ups', async () => {
-    const world = new SlowWorld();
-    while (world.leader === undefined || !holdsLease(world.leader, world.now)) {
-      await world.step();
+  test('large commands on slow links leave at least 100 ms of the lease for pauses of the leader', async () => {
+    const cluster = new SlowLinkCluster();
+    while (cluster.leader === undefined || !holdsLease(cluster.leader, cluster.now)) {
+      await cluster.step();
     }
-    const {self, term} = world.leader;
-    let leastMs = Infinity;
+    const {self, term} = cluster.leader;
+    let minRemainingMs = Infinity;
     for (let requestId = 1; requestId <= 3; requestId++) {
       const data = new Uint8Array(3_000_000);
-      world.handle(self, {commands: [{data, requestId}], kind: 'propose'});
-      const {lastIndex} = world.leader.log;
-      while (world.leader.commit < lastIndex) {
-        await world.step();
-        leastMs = Math.min(leastMs, world.leaseLeftMs);
+      cluster.handle(self, {commands: [{data, requestId}], kind: 'propose'});
+      const {lastIndex} = cluster.leader.log;
+      while (cluster.leader.commit < lastIndex) {
+        await cluster.step();
+        minRemainingMs = Math.min(minRemainingMs, cluster.remainingLeaseMs);
       }
     }
-    world.close();
-    expect([world.leader.self, world.leader.term]).toEqual([self, term]);
-    expect(leastMs).toBeGreaterThan(100);
+    cluster.close();
+    expect([cluster.leader.self, cluster.leader.term]).toEqual([self, term]);
+    expect(minRemainingMs).toBeGreaterThan(100);
   });
 });
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcOutbox.test.ts
@@ -1,5 +1,6 @@
 /**
- * Messages to a VM: to one that does not take them, and large ones on their way to one that takes them slowly.
+ * Guards against unbounded queues for unreachable VMs, and against large messages that delay urgent ones or arrive
+ * incomplete.
  */
 import type {MessageInitShape} from '@bufbuild/protobuf';
 import type {Message, MessageBody} from 'stallpaddle-replication';
@@ -33,7 +34,7 @@
   return messageWith({kind: 'alive', sentAt});
 }
 
-/** An outbox whose deliveries the test takes itself. */
+/** Opens an outbox whose deliveries the test takes itself. */
 async function openOutbox(): Promise<{deliveries: DeliverySource; outbox: RpcOutbox}> {
   const taken: {deliveries?: DeliverySource} = {};
   const outbox = new RpcOutbox((deliveries) => {
@@ -48,13 +49,13 @@
 
 function received(
   delivery: MessageInitShape<typeof DeliverRequestSchema>,
-  join: RpcReassembler,
+  reassembler: RpcReassembler,
 ): readonly Message[] {
   const request = create(DeliverRequestSchema, delivery);
-  return completeMessages(request, join).map((bytes) => decodeValue<Message>(bytes));
+  return completeMessages(request, reassembler).map((bytes) => decodeValue<Message>(bytes));
 }
 
-/** Bytes that a link carries for a delivery. */
+/** Encoded size of a delivery, in bytes. */
 function bytesOf(delivery: MessageInitShape<typeof DeliverRequestSchema>): number {
   return toBinary(DeliverRequestSchema, create(DeliverRequestSchema, delivery)).length;
 }
@@ -64,7 +65,7 @@
 }
 
 describe('RpcOutbox', () => {
-  test('holds a bounded number of bytes for a VM that is cut off, and always the newest message', () => {
+  test('bounds the queued bytes for an unreachable VM, and always keeps the newest message', () => {
     const outbox = new RpcOutbox(() => new Promise(() => {}));
     for (let sent = 0; sent < 100; sent++) {
       outbox.add(messageOf(1_000_000));
@@ -75,28 +76,26 @@
     outbox.close();
   });
 
-  test('lets an urgent message pass between two parts of a large one', async () => {
+  test('sends an urgent message between two chunks of a large one', async () => {
     const {deliveries, outbox} = await openOutbox();
-    const join = new RpcReassembler();
+    const reassembler = new RpcReassembler();
     outbox.add(messageOf(3 * MAX_CHUNK_BYTES, 1));
     outbox.add(messageOf(10, 2));
     const first = (await deliveries.next())!;
-    expect(received(first, join)).toEqual([]);
+    expect(received(first, reassembler)).toEqual([]);
     outbox.add(aliveOf(3));
-    expect(received((await deliveries.next())!, join).map(sentAtOf)).toEqual([3]);
+    expect(received((await deliveries.next())!, reassembler).map(sentAtOf)).toEqual([3]);
     const rest: number[] = [];
     while (rest.length < 2) {
-      rest.push(...received((await deliveries.next())!, join).map(sentAtOf));
+      rest.push(...received((await deliveries.next())!, reassembler).map(sentAtOf));
     }
-    // Whatever speaks of the log stays in order.
+    // Messages about the log stay in order.
     expect(rest).toEqual([1, 2]);
     outbox.close();
   });
 
-  test('an urgent message waits for the part that is under way, and carries no other', async () => {
-    // Seen: leases of 400 ms lapsed for 10 to 20 ms while 3 MB went over links of 1.6 KB a millisecond. A word was due
-    // 187 ms after the last, and arrived once the part under way and the next one had: 160 ms more, and each hold-up of a
-    // process came on top. A trace of each word on such links showed up to 218 ms from its sending to its answer.
+  test('an urgent message waits for at most one chunk, and is not sent with another', async () => {
+    // Waiting for a second chunk would delay heartbeats long enough for leases to expire on slow links.
     const {deliveries, outbox} = await openOutbox();
     const bytesPerMs = 1_600;
     outbox.add(messageOf(4 * MAX_CHUNK_BYTES, 1));
@@ -111,23 +110,23 @@
     outbox.close();
   });
 
-  test('drops the rest of a large message of which a part was lost', async () => {
+  test('drops the rest of a large message after one of its chunks was lost', async () => {
     const {deliveries, outbox} = await openOutbox();
-    const join = new RpcReassembler();
+    const reassembler = new RpcReassembler();
     outbox.add(messageOf(3 * MAX_CHUNK_BYTES, 1));
     outbox.add(messageOf(3 * MAX_CHUNK_BYTES, 2));
-    received((await deliveries.next())!, join);
+    received((await deliveries.next())!, reassembler);
     await deliveries.next();
     deliveries.lost();
     const got: number[] = [];
     while (got.length === 0) {
-      got.push(...received((await deliveries.next())!, join).map(sentAtOf));
+      got.push(...received((await deliveries.next())!, reassembler).map(sentAtOf));
     }
     expect(got).toEqual([2]);
     outbox.close();
   });
 
-  test('a question that a broken stream left open takes nothing from the next stream', async () => {
+  test('a pending request of a broken stream takes no messages from the next stream', async () => {
     const opened: DeliverySource[] = [];
     const breaks: (() => void)[] = [];
     const outbox = new RpcOutbox((deliveries) => {
@@ -138,17 +137,17 @@
     });
     outbox.add(messageOf(2 * MAX_CHUNK_BYTES, 1));
     await opened[0]!.next();
-    // The stream has taken a part and waits for nothing; it breaks, and asks once more all the same.
+    // The stream has taken a chunk; it breaks, and then still requests the next delivery.
     breaks[0]!();
     await delay(0);
-    const asked = opened[0]!.next();
+    const requested = opened[0]!.next();
     outbox.add(messageOf(10, 2));
-    expect(await asked).toBeUndefined();
+    expect(await requested).toBeUndefined();
     while (opened.length < 2) {
       await delay(5);
     }
-    const join = new RpcReassembler();
-    expect(received((await opened[1]!.next())!, join).map(sentAtOf)).toEqual([2]);
+    const reassembler = new RpcReassembler();
+    expect(received((await opened[1]!.next())!, reassembler).map(sentAtOf)).toEqual([2]);
     outbox.close();
   });
 
@@ -164,7 +163,7 @@
     outbox.close();
   });
 
-  test('brings whole messages in order, or none of them, whatever is lost', async () => {
+  test('delivers only whole messages, in order, with any losses', async () => {
     const step = fc.record({
       bytes: fc.integer({max: 2 * MAX_CHUNK_BYTES + 5, min: 0}),
       isUrgent: fc.boolean(),
@@ -172,7 +171,7 @@
     });
     const property = fc.asyncProperty(fc.array(step, {maxLength: 12}), async (steps) => {
       const {deliveries, outbox} = await openOutbox();
-      const join = new RpcReassembler();
+      const reassembler = new RpcReassembler();
       const ordinary: number[] = [];
       const take = async (isLost: boolean): Promise<void> => {
         const delivery = (await deliveries.next())!;
@@ -180,7 +179,7 @@
           deliveries.lost();
           return;
         }
-        for (const message of received(delivery, join)) {
+        for (const message of received(delivery, reassembler)) {
           if (message.body.kind === 'append') {
             ordinary.push(sentAtOf(message));
           }
@@ -193,7 +192,7 @@
           await take(isLost);
         }
       }
-      // Every second delivery brings an urgent message alone.
+      // Every second delivery holds only an urgent message.
       for (let left = 8 * steps.length; left > 0; left--) {
         outbox.add(aliveOf(-1));
         await take(false);
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcReplicaCluster.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcReplicaCluster.ts
@@ -1,8 +1,8 @@
 /**
- * A group of real replicas, each with its log, its snapshots and its bulk data on a disk of its own, and the transfers
- * between them. Time, messages, disks and failures are the test's own.
+ * Simulated cluster of real replicas, each with its log, snapshots and bulk data on a fake disk, and snapshot transfers
+ * between them. The test controls time, messages, disks and failures.
  *
- * A naive model stands beside it: the texts whose commands were acknowledged, and nothing else.
+ * The reference model is the list of the texts whose commands were acknowledged.
  */
 import type {Clock, ReplicaId} from 'stallpaddle';
 import type {
@@ -30,102 +30,102 @@
   leaseDriftFraction: 0.2,
 };
 const STEP_MS = 2;
-/** So small that snapshots are taken all the time, and so large that some commands fall between two. */
+/** Small enough for frequent snapshots, large enough for some commands between two of them. */
 const SNAPSHOT_LOG_BYTES = 4_000;
 const VOTERS = 5;
-/** Disks that may be lost at once. */
-const LOST_DISKS = 2;
-const KEEP_MEMBERS_MS = 10;
-const RESTART_MS = 20;
-/** Time within which a whole group leads again and holds the same everywhere, in milliseconds. */
+/** Disk losses that the group tolerates at once. */
+const TOLERATED_DISK_LOSSES = 2;
+const MEMBERSHIP_CHECK_MS = 10;
+const RESTART_DELAY_MS = 20;
+/** Time in which the replicas must elect a leader and converge after the last failure, in milliseconds. */
 const SETTLE_MS = 8_000;
 
-/** A machine with a disk; the replica is undefined while its process is down. */
+/** A simulated machine with a disk; its replica is undefined while the process is down. */
 interface Machine {
   readonly disk: FakeDisk;
   driver: Driver | undefined;
-  /** Rises with each start, so that what an earlier process began ends nowhere. */
-  life: number;
+  /** Increases with each start and stop, so that callbacks of earlier processes are ignored. */
+  incarnation: number;
   receiver: SnapshotReceiver;
-  /** When its process, which has ended by itself, starts again; infinite while it runs. */
+  /** When its failed process starts again; infinite while it runs. */
   restartAt: number;
-  /** Longest that an operation of its disk takes, in milliseconds. */
+  /** Longest delay of a disk operation, in milliseconds. */
   slowMs: number;
 }
 
-interface Waiting {
+interface Sleeper {
   readonly dueAt: number;
   readonly wake: () => void;
 }
 
-/** A broken promise. */
+/** Thrown when the cluster violates an invariant or does not recover. */
 export class ClusterError extends Error {
-  override readonly name = 'WorldError';
+  override readonly name = 'ClusterError';
 }
 
-/** See the module's comment. */
+/** Runs a group of five voters, injects failures and checks the replicas against the model. */
 export class RpcReplicaCluster {
   /** Texts whose commands were acknowledged. */
   readonly acknowledged: string[] = [];
-  /** One-way cuts, as `from>to`. */
-  readonly cuts = new Set<string>();
-  /** Longest way of a message, in milliseconds. */
+  /** One-way network partitions, as `from>to`. */
+  readonly partitions = new Set<string>();
+  /** Longest network delay of a message, in milliseconds. */
   delayMs = 6;
-  /** Part of messages and of steps of transfers that are lost. */
-  lossPart = 0;
+  /** Fraction of messages and transfer steps that are lost. */
+  lossFraction = 0;
   private readonly clock: Clock = {monotonicMs: () => this.now, wallMs: () => this.now};
   private failure: unknown;
   private readonly lost = new Set<ReplicaId>();
   private readonly machines = new Map<ReplicaId, Machine>();
-  private nextKeepAt = 0;
+  private nextMembershipCheckAt = 0;
   private nextReplica = 0;
   private nextText = 0;
   private now = 1_000;
   private seed: number;
-  private waiting: Waiting[] = [];
+  private sleepers: Sleeper[] = [];
 
   private constructor(seed: number) {
     this.seed = seed >>> 0;
   }
 
-  /** Founds a group of five voters. */
-  static async found(seed: number): Promise<RpcReplicaCluster> {
-    const world = new RpcReplicaCluster(seed);
-    const ids = Array.from({length: VOTERS}, () => world.addMachine());
+  /** Starts a group of five voters. */
+  static async start(seed: number): Promise<RpcReplicaCluster> {
+    const cluster = new RpcReplicaCluster(seed);
+    const ids = Array.from({length: VOTERS}, () => cluster.addMachine());
     const members: GroupMembers = {learners: [], voters: ids};
     for (const id of ids) {
       const first = listMachine.encode(listMachine.initial());
-      await ReplicaStorage.initialize(world.machines.get(id)!.disk, first, members);
-      await world.start(id);
+      await ReplicaStorage.initialize(cluster.machines.get(id)!.disk, first, members);
+      await cluster.startMachine(id);
     }
-    await world.run(400);
-    return world;
+    await cluster.run(400);
+    return cluster;
   }
 
-  /** Names of all machines. */
+  /** Ids of all machines. */
   get ids(): readonly ReplicaId[] {
     return [...this.machines.keys()];
   }
 
-  /** A machine by a number, whatever there are. */
+  /** Picks a machine by a number. */
   pick(number: number): ReplicaId {
     return this.ids[number % this.ids.length]!;
   }
 
-  /** Lets time pass. */
+  /** Advances time. */
   async run(ms: number): Promise<void> {
     for (const end = this.now + ms; this.now < end;) {
       await this.tick();
       for (const [id, machine] of this.machines) {
         if (machine.restartAt <= this.now) {
-          await this.end(id);
-          await this.start(id);
+          await this.stop(id);
+          await this.startMachine(id);
         }
       }
     }
   }
 
-  /** Proposes texts at whoever leads; nobody waits for the outcome. */
+  /** Proposes texts to the current leader without waiting for the outcome. */
   propose(count: number, bytes: number): void {
     const leader = this.leader();
     for (let number = 0; number < count && leader !== undefined; number++) {
@@ -137,54 +137,54 @@
     }
   }
 
-  /** Hands leadership on. */
+  /** Makes the leader transfer its leadership. */
   handOver(): void {
     this.leader()?.transferLeadership();
   }
 
-  /** Makes a machine's disk slow, or fast again. */
+  /** Sets the longest delay of a machine's disk operations. */
   slowDown(id: ReplicaId, ms: number): void {
     this.machines.get(id)!.slowMs = ms;
   }
 
-  /** Makes the disk of a machine refuse writes for a time, as a full one does. */
+  /** Makes a machine's disk refuse writes for a time, as a full one does. */
   async fillDisk(id: ReplicaId, ms: number): Promise<void> {
     const {disk} = this.machines.get(id)!;
-    disk.failAppends = new Error('no room');
+    disk.failAppends = new Error('disk full');
     await this.run(ms);
     disk.failAppends = null;
   }
 
-  /** Ends a process and starts it again; its disk stays as it is. */
+  /** Stops a process and starts it again on the same disk. */
   async kill(id: ReplicaId, downMs: number): Promise<void> {
-    await this.end(id);
+    await this.stop(id);
     await this.run(downMs);
-    await this.start(id);
+    await this.startMachine(id);
   }
 
-  /** All machines lose power at this moment, and some of those that may their disks. */
+  /** Cuts the power of all machines; up to a number of tolerated disks is lost with it. */
   async losePower(lostDisks: number): Promise<void> {
-    const leaving = this.losable(lostDisks);
+    const failed = this.pickLosableDisks(lostDisks);
     for (const id of this.ids) {
-      await this.end(id);
+      await this.stop(id);
     }
-    leaving.forEach((id) => this.loseDisk(id));
+    failed.forEach((id) => this.loseDisk(id));
     for (const [id, machine] of this.machines) {
-      machine.disk.losePower(() => this.draw());
-      await this.start(id);
+      machine.disk.losePower(() => this.random());
+      await this.startMachine(id);
     }
   }
 
-  /** Ends all failures, waits until the group is whole, and compares with the model. */
+  /** Ends all failures, waits until the replicas have converged, and compares them with the model. */
   async check(): Promise<void> {
-    this.cuts.clear();
-    this.lossPart = 0;
+    this.partitions.clear();
+    this.lossFraction = 0;
     for (const machine of this.machines.values()) {
       machine.slowMs = 0;
     }
-    for (const end = this.now + SETTLE_MS; !this.isWhole();) {
+    for (const end = this.now + SETTLE_MS; !this.hasConverged();) {
       if (this.now > end) {
-        throw new ClusterError(`the group does not become whole: ${this.describe()}`);
+        throw new ClusterError(`the replicas do not converge: ${this.describe()}`);
       }
       await this.run(50);
     }
@@ -192,64 +192,64 @@
     const items = new Map(leader.localState.items.map((item) => [item.text, item]));
     const missing = this.acknowledged.filter((text) => !items.has(text));
     if (missing.length > 0) {
-      throw new ClusterError(`acknowledged ${missing.join()} is not there`);
+      throw new ClusterError(`acknowledged ${missing.join()} is missing`);
     }
     for (const id of this.ids) {
       await this.checkReplica(id, leader.localState);
     }
   }
 
-  /** Name of the replica that leads. */
+  /** Id of the leader. */
   get leaderId(): ReplicaId | undefined {
     return this.ids.find((id) => this.machines.get(id)!.driver?.leads === true);
   }
 
-  /** Damages the bulk data of the first item on one machine's disk, as bad media would. */
-  damage(id: ReplicaId): void {
+  /** Corrupts the bulk data of the first item on one machine's disk. */
+  corrupt(id: ReplicaId): void {
     const {ref} = this.machines.get(id)!.driver!.localState.items[0]!;
     this.machines.get(id)!.disk.flip('blobs-0000000000000000', ref!.offset + ref!.length);
   }
 
   /** Whether the leader can read the first item. */
-  async leaderReads(): Promise<boolean> {
+  async canLeaderRead(): Promise<boolean> {
     const leader = this.leader()!;
     const {ref, text} = leader.localState.items[0]!;
-    const read = await this.until(leader.readBlob(ref!).catch(() => undefined));
+    const read = await this.runUntilSettled(leader.readBlob(ref!).catch(() => undefined));
     return read !== undefined && bulkOf(text).equals(read);
   }
 
-  /** Ends all processes. */
+  /** Stops all processes. */
   async close(): Promise<void> {
     for (const id of this.ids) {
-      await this.end(id);
+      await this.stop(id);
     }
   }
 
   private async tick(): Promise<void> {
     this.now += STEP_MS;
     vi.advanceTimersByTime(STEP_MS);
-    const due = this.waiting.filter(({dueAt}) => dueAt <= this.now);
-    this.waiting = this.waiting.filter(({dueAt}) => dueAt > this.now);
+    const due = this.sleepers.filter(({dueAt}) => dueAt <= this.now);
+    this.sleepers = this.sleepers.filter(({dueAt}) => dueAt > this.now);
     due.forEach(({wake}) => wake());
     await new Promise((resolve) => setImmediate(resolve));
-    this.keepMembers();
+    this.reconcileMembers();
     if (this.failure !== undefined) {
       throw this.failure;
     }
   }
 
-  /** Lets time pass until something has ended: it may wait for a disk. */
-  private async until<Result>(work: Promise<Result>): Promise<Result> {
+  /** Advances time until work that may depend on timers has settled. */
+  private async runUntilSettled<Result>(work: Promise<Result>): Promise<Result> {
     let ended = false;
     const end = (): void => {
       ended = true;
     };
     work.then(end, end);
     await new Promise((resolve) => setImmediate(resolve));
-    for (const giveUpAt = this.now + SETTLE_MS; !ended;) {
+    for (const timeoutAt = this.now + SETTLE_MS; !ended;) {
       await this.tick();
-      if (this.now > giveUpAt) {
-        throw new ClusterError('nothing ends');
+      if (this.now > timeoutAt) {
+        throw new ClusterError('an operation does not settle');
       }
     }
     return work;
@@ -257,19 +257,21 @@
 
   private async checkReplica(id: ReplicaId, expected: ListState): Promise<void> {
     const driver = this.machines.get(id)!.driver!;
-    const who = driver.leads ? `leader ${id}` : id;
+    const name = driver.leads ? `leader ${id}` : id;
     const {blobEnd, items} = driver.localState;
     if (blobEnd !== expected.blobEnd || items.length !== expected.items.length) {
-      throw new ClusterError(`${who} holds ${items.length} items up to ${blobEnd}`);
+      throw new ClusterError(`${name} holds ${items.length} items up to ${blobEnd}`);
     }
     for (const [at, {ref, text}] of items.entries()) {
       if (expected.items[at]!.text !== text) {
-        throw new ClusterError(`${who} holds ${text} at ${at}`);
+        throw new ClusterError(`${name} holds ${text} at ${at}`);
       }
-      const read = await this.until(driver.readBlob(ref!).catch((err: unknown) => String(err)));
+      const read = await this.runUntilSettled(
+        driver.readBlob(ref!).catch((err: unknown) => String(err)),
+      );
       if (typeof read === 'string' || !bulkOf(text).equals(read)) {
-        const known = this.acknowledged.includes(text) ? 'acknowledged' : 'unanswered';
-        throw new ClusterError(`${who} can't read ${known} ${text.slice(0, 9)}: ${String(read)}`);
+        const kind = this.acknowledged.includes(text) ? 'acknowledged' : 'unacknowledged';
+        throw new ClusterError(`${name} can't read ${kind} ${text.slice(0, 9)}: ${String(read)}`);
       }
     }
   }
@@ -279,12 +281,12 @@
     const machine: Machine = {
       disk: new FakeDisk(),
       driver: undefined,
-      life: 0,
+      incarnation: 0,
       receiver: new SnapshotReceiver(),
       restartAt: Infinity,
       slowMs: 0,
     };
-    machine.disk.pause = () => this.pause(Math.floor(this.draw() * (machine.slowMs + 1)));
+    machine.disk.pause = () => this.pause(Math.floor(this.random() * (machine.slowMs + 1)));
     this.machines.set(id, machine);
     return id;
   }
@@ -295,30 +297,30 @@
     this.addMachine();
   }
 
-  /** Some machines whose disks may be lost now: as many as are borne, counted until they have been replaced. */
-  private losable(count: number): readonly ReplicaId[] {
-    const most = Math.min(count, LOST_DISKS - this.unreplaced());
+  /** Picks machines whose disks may be lost now: no more than tolerated, including those that are not yet replaced. */
+  private pickLosableDisks(count: number): readonly ReplicaId[] {
+    const most = Math.min(count, TOLERATED_DISK_LOSSES - this.countUnreplaced());
     return [...this.ids]
-      .map((id) => ({at: this.draw(), id}))
+      .map((id) => ({at: this.random(), id}))
       .sort((a, b) => a.at - b.at)
       .slice(0, Math.max(0, most))
       .map(({id}) => id);
   }
 
-  /** Lost disks that some replica still counts as a voter, or whose successors don't vote everywhere yet. */
-  private unreplaced(): number {
+  /** Number of lost disks that some replica still counts as voters, or whose replacements don't vote everywhere yet. */
+  private countUnreplaced(): number {
     const missing = this.ids.map((id) => {
       const driver = this.machines.get(id)!.driver;
       const voters = driver?.status.log.members.voters ?? [];
       const dead = voters.filter((voter) => this.lost.has(voter)).length;
       return Math.max(dead, VOTERS - (voters.length - dead));
     });
-    return this.isWhole() ? 0 : Math.max(...missing, this.lost.size > 0 ? 1 : 0);
+    return this.hasConverged() ? 0 : Math.max(...missing, this.lost.size > 0 ? 1 : 0);
   }
 
-  private async start(id: ReplicaId): Promise<void> {
+  private async startMachine(id: ReplicaId): Promise<void> {
     const machine = this.machines.get(id)!;
-    const life = ++machine.life;
+    const incarnation = ++machine.incarnation;
     machine.restartAt = Infinity;
     machine.disk.failAppends = null;
     machine.receiver = new SnapshotReceiver();
@@ -328,22 +330,22 @@
       group: GROUP,
       logger: silentLogger,
       machine: listMachine,
-      onFailure: (err) => this.onFailure(id, life, err),
+      onFailure: (err) => this.onFailure(id, incarnation, err),
       self: id,
       snapshotLogBytes: SNAPSHOT_LOG_BYTES,
       timing: TIMING,
       transport: {
-        send: (message) => this.send(id, life, message),
-        sendSnapshot: (to, source) => this.transfer(id, life, to, source),
+        send: (message) => this.send(id, incarnation, message),
+        sendSnapshot: (to, source) => this.transfer(id, incarnation, to, source),
       },
     });
-    machine.driver = await this.until(opening);
+    machine.driver = await this.runUntilSettled(opening);
   }
 
-  private async end(id: ReplicaId): Promise<void> {
+  private async stop(id: ReplicaId): Promise<void> {
     const machine = this.machines.get(id)!;
     const {driver} = machine;
-    machine.life++;
+    machine.incarnation++;
     machine.restartAt = Infinity;
     machine.driver = undefined;
     machine.disk.endProcess();
@@ -353,65 +355,65 @@
         .close()
         .catch(() => {})
         .then(() => (ended = true));
-      // What it waits for fails once its time has come.
-      for (let turns = 0; !ended; turns++) {
-        if (turns > 10_000) {
-          throw new ClusterError(`${id} does not end`);
+      // Pending disk operations fail once they are due, so all of them are made due.
+      for (let polls = 0; !ended; polls++) {
+        if (polls > 10_000) {
+          throw new ClusterError(`${id} does not stop`);
         }
-        this.waiting.splice(0).forEach(({wake}) => wake());
+        this.sleepers.splice(0).forEach(({wake}) => wake());
         await new Promise((resolve) => setImmediate(resolve));
       }
     }
   }
 
-  /** A replica that ends by itself is started again, as its process would be. */
-  private onFailure(id: ReplicaId, life: number, err: unknown): void {
+  /** Restarts a replica that failed because its disk was full; any other failure fails the test. */
+  private onFailure(id: ReplicaId, incarnation: number, err: unknown): void {
     const machine = this.machines.get(id);
-    if (machine?.life !== life) {
+    if (machine?.incarnation !== incarnation) {
       return;
     }
-    if (!(err instanceof Error) || err.message !== 'no room') {
+    if (!(err instanceof Error) || err.message !== 'disk full') {
       this.failure = err;
       return;
     }
-    machine.restartAt = this.now + RESTART_MS;
+    machine.restartAt = this.now + RESTART_DELAY_MS;
   }
 
-  private send(from: ReplicaId, life: number, message: Message): void {
-    if (this.isLost(from, life, message.to)) {
+  private send(from: ReplicaId, incarnation: number, message: Message): void {
+    if (this.isLost(from, incarnation, message.to)) {
       return;
     }
-    void this.pause(Math.floor(this.draw() * this.delayMs)).then(() =>
+    void this.pause(Math.floor(this.random() * this.delayMs)).then(() =>
       this.machines.get(message.to)?.driver?.receive(message),
     );
   }
 
-  private isLost(from: ReplicaId, life: number, to: ReplicaId): boolean {
-    const isOver = this.machines.get(from)?.life !== life;
-    return isOver || this.cuts.has(`${from}>${to}`) || this.draw() < this.lossPart;
+  private isLost(from: ReplicaId, incarnation: number, to: ReplicaId): boolean {
+    const isOutdated = this.machines.get(from)?.incarnation !== incarnation;
+    return isOutdated || this.partitions.has(`${from}>${to}`) || this.random() < this.lossFraction;
   }
 
-  /** The product's own transfer; each of its steps may be lost on either way, and then it breaks off. */
+  /** Runs a real snapshot transfer; it is aborted when a step or its response is lost. */
   private transfer(
     from: ReplicaId,
-    life: number,
+    incarnation: number,
     to: ReplicaId,
     source: SnapshotSource,
   ): Promise<boolean> {
-    const way = async (a: ReplicaId, b: ReplicaId): Promise<void> => {
-      await this.pause(Math.floor(this.draw() * this.delayMs));
-      if (this.isLost(from, life, to) || this.cuts.has(`${a}>${b}`)) {
-        throw new Error('the step is lost');
+    const travel = async (a: ReplicaId, b: ReplicaId): Promise<void> => {
+      await this.pause(Math.floor(this.random() * this.delayMs));
+      if (this.isLost(from, incarnation, to) || this.partitions.has(`${a}>${b}`)) {
+        throw new Error('the message was lost');
       }
     };
     const install = async ({step, term}: {step: InstallStep; term: bigint}) => {
-      await way(from, to);
+      await travel(from, to);
       const machine = this.machines.get(to);
       if (machine?.driver === undefined) {
-        throw new Error('nobody is there');
+        throw new Error('the receiver is down');
       }
       const reply = await machine.receiver.take(GROUP, machine.driver, Number(term), step);
-      await way(to, from);
+      await travel(to, from);
       return reply;
     };
     return sendSnapshot({install} as unknown as PeerClient, source);
@@ -420,20 +422,20 @@
   private pause(ms: number): Promise<void> {
     return ms <= 0
       ? Promise.resolve()
-      : new Promise((wake) => this.waiting.push({dueAt: this.now + ms, wake}));
+      : new Promise((wake) => this.sleepers.push({dueAt: this.now + ms, wake}));
   }
 
   private leader(): Driver | undefined {
     return [...this.machines.values()].find(({driver}) => driver?.leads === true)?.driver;
   }
 
-  /** Replaces lost replicas one step at a time: a learner, a voter once it has caught up, and then one voter less. */
-  private keepMembers(): void {
+  /** Replaces lost replicas step by step: adds a learner, promotes it once it has caught up, removes the lost voter. */
+  private reconcileMembers(): void {
     const leader = this.leader();
-    if (this.now < this.nextKeepAt || leader === undefined) {
+    if (this.now < this.nextMembershipCheckAt || leader === undefined) {
       return;
     }
-    this.nextKeepAt = this.now + KEEP_MEMBERS_MS;
+    this.nextMembershipCheckAt = this.now + MEMBERSHIP_CHECK_MS;
     const step = this.nextMembers(leader);
     if (step !== undefined) {
       leader.changeMembers(step).catch(() => {});
@@ -459,8 +461,8 @@
     return fresh === undefined ? undefined : {learners: [...learners, fresh], voters};
   }
 
-  /** Whether one replica leads, all live ones vote and hold the same log, and no lost one counts. */
-  private isWhole(): boolean {
+  /** Whether there is a leader, and all machines are voters that have applied and persisted the same log. */
+  private hasConverged(): boolean {
     const leader = this.leader();
     if (leader === undefined) {
       return false;
@@ -486,8 +488,8 @@
       .join('; ');
   }
 
-  /** A number from 0 to below 1; the same for the same seed (mulberry32). */
-  private draw(): number {
+  /** Deterministic random number in [0, 1) (mulberry32). */
+  private random(): number {
     this.seed = (this.seed + 0x6d_2b_79_f5) >>> 0;
     let mixed = Math.imul(this.seed ^ (this.seed >>> 15), 1 | this.seed);
     mixed = (mixed + Math.imul(mixed ^ (mixed >>> 7), 61 | mixed)) ^ mixed;
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcReplicas.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcReplicas.test.ts
@@ -1,8 +1,6 @@
 /**
- * Real replicas with bulk data, real transfers and disks that lose power, against the list of what was acknowledged.
- *
- * What was seen: a batch job that had been accepted couldn't be read after losses of disks and of power. The test of the
- * group's histories had neither bulk data nor files, so no history could show it.
+ * Guards against acknowledged data that can't be read after disk and power losses, with real replicas, bulk data and
+ * snapshot transfers.
  */
 import fc from 'fast-check';
 import {unreachable} from 'stallpaddle';
@@ -11,7 +9,6 @@
 
 import {RpcReplicaCluster} from './RpcReplicaCluster';
 
-/** Some ten seconds of them. */
 const HISTORIES = 40;
 
 const machine = fc.nat({max: 9});
@@ -76,105 +73,104 @@
 
 type Step = typeof step extends fc.Arbitrary<infer Value> ? Value : never;
 
-async function take(world: RpcReplicaCluster, taken: Step): Promise<void> {
-  switch (taken.kind) {
+async function applyStep(cluster: RpcReplicaCluster, next: Step): Promise<void> {
+  switch (next.kind) {
     case 'cut':
-      world.cuts.add(`${world.pick(taken.from)}>${world.pick(taken.to)}`);
+      cluster.partitions.add(`${cluster.pick(next.from)}>${cluster.pick(next.to)}`);
       return;
     case 'fillDisk':
-      return world.fillDisk(world.pick(taken.machine), taken.ms);
+      return cluster.fillDisk(cluster.pick(next.machine), next.ms);
     case 'handOver':
-      world.handOver();
+      cluster.handOver();
       return;
     case 'heal':
-      world.cuts.clear();
+      cluster.partitions.clear();
       return;
     case 'kill':
-      return world.kill(world.pick(taken.machine), taken.ms);
+      return cluster.kill(cluster.pick(next.machine), next.ms);
     case 'lose':
-      world.lossPart = taken.part;
+      cluster.lossFraction = next.part;
       return;
     case 'losePower':
-      await world.losePower(taken.lostDisks);
-      return world.run(taken.ms);
+      await cluster.losePower(next.lostDisks);
+      return cluster.run(next.ms);
     case 'propose':
-      world.propose(taken.count, taken.bytes);
-      return world.run(taken.ms);
+      cluster.propose(next.count, next.bytes);
+      return cluster.run(next.ms);
     case 'run':
-      return world.run(taken.ms);
+      return cluster.run(next.ms);
     case 'slowDown':
-      world.slowDown(world.pick(taken.machine), taken.ms);
+      cluster.slowDown(cluster.pick(next.machine), next.ms);
       return;
     default:
-      unreachable(taken);
+      unreachable(next);
   }
 }
 
-// A history takes a fifth of a second: making a failing one smaller would outlast the test.
+// Shrinking a failing history would exceed the time limit of the test.
 fc.configureGlobal({endOnFailure: true});
 
-function ownTime(): void {
+function fakeTimers(): void {
   vi.useFakeTimers({toFake: ['clearInterval', 'clearTimeout', 'setInterval', 'setTimeout']});
 }
 
-describe('replicas with their disks and transfers', () => {
+describe('replicas with disks and snapshot transfers', () => {
   afterEach(() => {
     vi.useRealTimers();
   });
 
-  test('a leader that cannot read bulk data makes way for one that can', async () => {
-    // It went on leading, and every read of the job failed for ever, though all others held it whole.
-    ownTime();
-    const world = await RpcReplicaCluster.found(1);
-    world.propose(3, 100);
-    await world.run(200);
-    const damaged = world.leaderId!;
-    world.damage(damaged);
-    expect(await world.leaderReads()).toBe(false);
-    await world.run(600);
-    expect(world.leaderId).toBeDefined();
-    expect(world.leaderId).not.toBe(damaged);
-    expect(await world.leaderReads()).toBe(true);
-    await world.close();
+  test('a leader that cannot read bulk data hands over leadership to a replica that can', async () => {
+    fakeTimers();
+    const cluster = await RpcReplicaCluster.start(1);
+    cluster.propose(3, 100);
+    await cluster.run(200);
+    const corrupted = cluster.leaderId!;
+    cluster.corrupt(corrupted);
+    expect(await cluster.canLeaderRead()).toBe(false);
+    await cluster.run(600);
+    expect(cluster.leaderId).toBeDefined();
+    expect(cluster.leaderId).not.toBe(corrupted);
+    expect(await cluster.canLeaderRead()).toBe(true);
+    await cluster.close();
   });
 
-  test('replicas none of which can read bulk data do not hand leadership round', async () => {
-    ownTime();
-    const world = await RpcReplicaCluster.found(1);
-    world.propose(3, 100);
-    await world.run(400);
-    world.ids.forEach((id) => world.damage(id));
+  test('leadership does not keep changing when no replica can read the bulk data', async () => {
+    fakeTimers();
+    const cluster = await RpcReplicaCluster.start(1);
+    cluster.propose(3, 100);
+    await cluster.run(400);
+    cluster.ids.forEach((id) => cluster.corrupt(id));
     const leaders: (string | undefined)[] = [];
     for (let time = 0; time < 3_000; time += 100) {
-      if (world.leaderId !== undefined) {
-        await world.leaderReads();
-        leaders.push(world.leaderId);
+      if (cluster.leaderId !== undefined) {
+        await cluster.canLeaderRead();
+        leaders.push(cluster.leaderId);
       }
-      await world.run(100);
+      await cluster.run(100);
     }
     const changes = leaders.filter((leader, at) => at > 0 && leader !== leaders[at - 1]);
     expect(changes.length).toBeLessThanOrEqual(5);
-    await world.close();
+    await cluster.close();
   });
 
   test(
-    'whatever was acknowledged can be read from whoever leads, and all hold the same bytes',
+    'after disk and power losses, all replicas hold the same state and can read all acknowledged data',
     async () => {
       const property = fc.asyncProperty(
         fc.integer(),
         fc.array(step, {maxLength: 60, minLength: 10, size: 'max'}),
         fc.integer({max: 2, min: 0}),
         async (seed, steps, lostDisks) => {
-          ownTime();
-          const world = await RpcReplicaCluster.found(seed);
+          fakeTimers();
+          const cluster = await RpcReplicaCluster.start(seed);
           try {
-            for (const taken of steps) {
-              await take(world, taken);
+            for (const next of steps) {
+              await applyStep(cluster, next);
             }
-            await world.losePower(lostDisks);
-            await world.check();
+            await cluster.losePower(lostDisks);
+            await cluster.check();
           } finally {
-            await world.close();
+            await cluster.close();
             vi.useRealTimers();
           }
         },
--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcSnapshots.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcSnapshots.test.ts
@@ -1,5 +1,5 @@
 /**
- * Two transfers to one replica at once: its state is one snapshot's, whole, or none.
+ * Guards against a replica that installs a mix of two snapshots when transfers to it overlap.
  */
 import type {MachineSnapshot, SnapshotSource} from 'stallpaddle-replication';
 
@@ -13,7 +13,7 @@
 const MEMBERS = {learners: [], voters: ['vm/1']};
 const STATE_BYTES = 3 * SNAPSHOT_CHUNK_BYTES;
 
-/** A snapshot whose state has one value throughout. */
+/** Creates a snapshot whose state bytes all equal its index. */
 function sourceOf(index: number): SnapshotSource {
   const machine = new Uint8Array(STATE_BYTES).fill(index);
   return {
@@ -25,8 +25,8 @@
   };
 }
 
-/** A replica that takes everything, and what it was given. */
-function receiving() {
+/** Creates a receiver with a stub replica that accepts everything, and records the installed snapshots. */
+function createReceiver() {
   const receiver = new SnapshotReceiver();
   const taken: MachineSnapshot[] = [];
   const replica = {
@@ -41,11 +41,11 @@
   return {take, taken};
 }
 
-type Receiving = ReturnType<typeof receiving>;
+type TestReceiver = ReturnType<typeof createReceiver>;
 
-/** Sends a snapshot; before a step of a number something else happens. */
+/** Sends a snapshot and calls `before` ahead of each step. */
 function send(
-  {take}: Receiving,
+  {take}: TestReceiver,
   source: SnapshotSource,
   before: (step: number) => Promise<void>,
 ): Promise<boolean> {
@@ -58,20 +58,20 @@
 }
 
 describe('SnapshotReceiver', () => {
-  test('takes over a snapshot as it was sent', async () => {
-    const to = receiving();
+  test('installs a snapshot as it was sent', async () => {
+    const to = createReceiver();
     expect(await send(to, sourceOf(7), () => Promise.resolve())).toBe(true);
     expect(to.taken.map(({meta}) => meta.index)).toEqual([7]);
     expect(new Set(to.taken[0]!.machine)).toEqual(new Set([7]));
   });
 
-  test('never takes over a state that begins in one snapshot and ends in another', async () => {
-    // A replica that was sent away and taken in again is sent a second snapshot while the first is still under way.
-    const to = receiving();
+  test('never installs a state that is mixed from two snapshots', async () => {
+    // A replica that is removed and added again is sent a second snapshot while the first transfer still runs.
+    const to = createReceiver();
     const first = await send(to, sourceOf(7), async (step) => {
       if (step === 2) {
         await send(to, sourceOf(8), (other) =>
-          other < 2 ? Promise.resolve() : Promise.reject(new Error('the step is lost')),
+          other < 2 ? Promise.resolve() : Promise.reject(new Error('the message was lost')),
         ).catch(() => {});
       }
     });
--- a/packages/stallpaddle-rpc/src/index.ts
+++ b/packages/stallpaddle-rpc/src/index.ts
@@ -6,7 +6,7 @@
   type DeliverRequest,
   PeerService,
 } from './gen/stallpaddle/v1/peer_pb';
-/** Calls between VMs: generated service, server and clients. */
+/** Calls, messages and snapshots between VMs. */
 export {ONE_WAY_CALL_ID, RpcChannel} from './RpcChannel';
 export {completeMessages, RpcReassembler} from './RpcChunks';
 export {openConnection, type PeerClient, type PeerConnection, RpcClients} from './RpcClients';
