--- a/packages/stallpaddle-rpc/src/__tests__/unit/RpcChannel.test.ts
+++ b/packages/stallpaddle-rpc/src/__tests__/unit/RpcChannel.test.ts
@@ -29,14 +29,16 @@
 function addService(router: ConnectRouter): void {
   router.service(PeerService, {
     converse: async function* (requests) {
-      const answers: Promise<number>[] = [];
+      const responses: Promise<number>[] = [];
       for await (const {content, id} of requests) {
         const wait = decodeValue<number>((content.value as CallRequest).encoded);
-        answers.push(wait < 0 ? new Promise(() => {}) : delay(wait).then(() => id));
-        if (answers.length === 3) {
-          while (answers.length > 0) {
-            const first = await Promise.race(answers.map((each, at) => each.then((n) => [n, at])));
-            void answers.splice(first[1]!, 1);
+        responses.push(wait < 0 ? new Promise(() => {}) : delay(wait).then(() => id));
+        if (responses.length === 3) {
+          while (responses.length > 0) {
+            const first = await Promise.race(
+              responses.map((each, at) => each.then((n) => [n, at])),
+            );
+            void responses.splice(first[1]!, 1);
             const answer = {outcome: encodeOutcome({kind: 'answered', result: first[0]})};
             yield {answer, id: first[0]!};
           }
@@ -196,7 +198,7 @@
     await start(18_304);
     const link = await startLink(18_305, 18_304);
     const channels = [1, 2].map(() => channelTo(18_305));
-    for (let cut = 0; cut < 4; cut++) {
+    for (let round = 0; round < 4; round++) {
       link.silent = false;
       for (const channel of channels) {
         let kinds: readonly string[] = [];
