--- a/packages/stallpaddle-node/src/NodePeers.ts
+++ b/packages/stallpaddle-node/src/NodePeers.ts
@@ -6,8 +6,8 @@
 
 import {vmOfReplica} from 'stallpaddle';
 import {
-  type Deliveries,
   type Delivery,
+  type DeliverySource,
   openConnection,
   type PeerClient,
   RpcChannel,
@@ -126,7 +126,7 @@
   }
 
   /** Sends one delivery at a time; messages that are queued meanwhile go with the next one. */
-  private async deliver(to: ReplicaId, {lost, next}: Deliveries): Promise<void> {
+  private async deliver(to: ReplicaId, {lost, next}: DeliverySource): Promise<void> {
     for (let delivery = await next(); delivery !== undefined; delivery = await next()) {
       const startedAt = performance.now();
       const channel = this.channelIn(this.messageChannels, vmOfReplica(to));
--- a/packages/stallpaddle-node/src/NodeService.ts
+++ b/packages/stallpaddle-node/src/NodeService.ts
@@ -8,19 +8,19 @@
 import {decodeValue} from 'stallpaddle';
 import {
   type CallRequest,
+  completeMessages,
   type ConverseRequest,
   type ConverseResponseSchema,
   type DeliverRequest,
   encodeOutcome,
   type InstallStep,
-  messagesOf,
+  ONE_WAY_CALL_ID,
   PeerService,
-  RpcJoin,
   RpcQueue,
+  RpcReassembler,
   SnapshotReceiver,
   type SnapshotTarget,
   tryLocal,
-  UNANSWERED,
 } from 'stallpaddle-rpc';
 
 /** Handlers of the service. */
@@ -51,7 +51,7 @@
       for await (const {content, id} of requests) {
         answer(content).then(
           (answered) => {
-            if (id !== UNANSWERED) {
+            if (id !== ONE_WAY_CALL_ID) {
               answers.add({answer: answered, id});
             }
           },
@@ -87,11 +87,11 @@
     expectGroup(group);
     return {outcome: encodeOutcome(await tryLocal(() => options.answer(decodeValue(encoded))))};
   };
-  const receive = (delivery: DeliverRequest, join: RpcJoin): void =>
-    messagesOf(delivery, join).forEach((bytes) =>
+  const receive = (delivery: DeliverRequest, join: RpcReassembler): void =>
+    completeMessages(delivery, join).forEach((bytes) =>
       options.replica()?.receive(decodeValue<Message>(bytes)),
     );
-  const answerAny = async (content: ConverseRequest['content'], join: RpcJoin) => {
+  const answerAny = async (content: ConverseRequest['content'], join: RpcReassembler) => {
     switch (content.case) {
       case 'call':
         return answer(content.value);
@@ -105,7 +105,7 @@
   router.service(PeerService, {
     call: answer,
     converse: (requests) => {
-      const join = new RpcJoin();
+      const join = new RpcReassembler();
       return converse(requests, (content) => answerAny(content, join), options.onFailure);
     },
     install: async ({group, step, term}) => {
--- a/packages/stallpaddle-rpc/src/index.ts
+++ b/packages/stallpaddle-rpc/src/index.ts
@@ -6,11 +6,11 @@
   type DeliverRequest,
   PeerService,
 } from './gen/stallpaddle/v1/peer_pb';
-/** Calls between VMs: generated service, server and clients. */
-export {RpcChannel, UNANSWERED} from './RpcChannel';
+/** Calls, messages and snapshots between VMs. */
+export {ONE_WAY_CALL_ID, RpcChannel} from './RpcChannel';
+export {completeMessages, RpcReassembler} from './RpcChunks';
 export {openConnection, type PeerClient, type PeerConnection, RpcClients} from './RpcClients';
-export {type Carrier, type Deliveries, type Delivery, RpcOutbox} from './RpcOutbox';
-export {messagesOf, RpcJoin} from './RpcParts';
+export {type Delivery, type DeliverySender, type DeliverySource, RpcOutbox} from './RpcOutbox';
 export {RpcQueue} from './RpcQueue';
 export {type RpcServer, startRpcServer} from './RpcServer';
 export {
--- a/packages/stallpaddle-vm/src/VmService.ts
+++ b/packages/stallpaddle-vm/src/VmService.ts
@@ -7,11 +7,11 @@
 import {Code, ConnectError} from '@connectrpc/connect';
 import {decodeValue} from 'stallpaddle';
 import {
+  completeMessages,
   encodeOutcome,
   type InstallStep,
-  messagesOf,
   PeerService,
-  RpcJoin,
+  RpcReassembler,
   SnapshotReceiver,
 } from 'stallpaddle-rpc';
 
@@ -48,9 +48,9 @@
       outcome: encodeOutcome(await callLocal(groups, group, encoded, query)),
     }),
     deliver: async (requests) => {
-      const join = new RpcJoin();
+      const join = new RpcReassembler();
       for await (const request of requests) {
-        messagesOf(request, join).forEach((bytes) => groups?.receive(decodeValue(bytes)));
+        completeMessages(request, join).forEach((bytes) => groups?.receive(decodeValue(bytes)));
       }
       return {};
     },
