--- a/packages/stallpaddle-membership/src/MembershipConstants.ts
+++ b/packages/stallpaddle-membership/src/MembershipConstants.ts
@@ -3,7 +3,7 @@
  */
 
 /** Time between a VM's beats, in milliseconds. */
-export const BEAT_INTERVAL_MS = 500;
+export const HEARTBEAT_INTERVAL_MS = 500;
 
 /** Silence after which a VM counts as gone, in milliseconds. */
 export const VM_LOST_MS = 2_000;
--- a/packages/stallpaddle-membership/src/index.ts
+++ b/packages/stallpaddle-membership/src/index.ts
@@ -1,8 +1,8 @@
 /** Which VMs are there, which will stay, and which addresses callers get. */
 export {
   ADDRESSES_LIFETIME_MS,
-  BEAT_INTERVAL_MS,
   FRESHNESS_BOUND_MS,
+  HEARTBEAT_INTERVAL_MS,
   VM_LOST_MS,
 } from './MembershipConstants';
 export type {
--- a/packages/stallpaddle-vm/src/VmBeats.ts
+++ b/packages/stallpaddle-vm/src/VmBeats.ts
@@ -16,7 +16,7 @@
 
 import {decodeValue, delay, encodeValue, rendezvousOrder} from 'stallpaddle';
 import {changesAfter} from 'stallpaddle-control';
-import {BEAT_INTERVAL_MS, liveVms, lostVms, newsSince} from 'stallpaddle-membership';
+import {HEARTBEAT_INTERVAL_MS, liveVms, lostVms, newsSince} from 'stallpaddle-membership';
 
 import type {ConfigNews, ConfigView} from './VmConfigView';
 import type {VmGroups} from './VmGroups';
@@ -176,7 +176,7 @@
       const ok = await this.beat(target, BEAT_WAIT_MS, false);
       failures = ok ? failures : failures + 1;
       const tookMs = this.options.clock.monotonicMs() - startedAt;
-      await delay(Math.max(BEAT_PAUSE_MS, ok ? 0 : BEAT_INTERVAL_MS / 2 - tookMs));
+      await delay(Math.max(BEAT_PAUSE_MS, ok ? 0 : HEARTBEAT_INTERVAL_MS / 2 - tookMs));
     }
   }
 
@@ -186,7 +186,7 @@
       for (const vm of this.diskVms()) {
         void this.beat(vm, 0, true);
       }
-      await delay(BEAT_INTERVAL_MS);
+      await delay(HEARTBEAT_INTERVAL_MS);
     }
   }
 
