--- a/packages/stallpaddle-relay/src/RelayStallDetector.ts
+++ b/packages/stallpaddle-relay/src/RelayStallDetector.ts
@@ -1,7 +1,7 @@
 /**
  * Detection of engines that stall during an attempt.
  */
-import type {Clock, LearnedLimit, LogFields, MonotonicMs} from 'stallpaddle';
+import type {AdaptiveTimeout, Clock, LogFields, MonotonicMs} from 'stallpaddle';
 
 import {registerTimeout} from 'stallpaddle';
 
@@ -86,7 +86,7 @@
     return this.options.clock.monotonicMs() - this.lastDataAt;
   }
 
-  private watch(limit: LearnedLimit, maxMs: number): void {
+  private watch(limit: AdaptiveTimeout, maxMs: number): void {
     if (this.options.isResumable) {
       this.scheduleCheck(Math.min(limit.limitMs, maxMs), maxMs);
     }
--- a/packages/stallpaddle/src/LearnedLimit.ts
+++ b/packages/stallpaddle/src/AdaptiveTimeout.ts
@@ -19,7 +19,7 @@
 }
 
 /** See the module's comment. */
-export class LearnedLimit {
+export class AdaptiveTimeout {
   private deviation = 0;
   private mean: number | undefined;
 
--- a/packages/stallpaddle/src/__tests__/unit/LearnedLimit.test.ts
+++ b/packages/stallpaddle/src/__tests__/unit/AdaptiveTimeout.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import {describe, expect, test} from 'vitest';
 
-import {LearnedLimit} from '../../LearnedLimit';
+import {AdaptiveTimeout} from '../../AdaptiveTimeout';
 
 const BOUNDS = {leastMs: 30, mostMs: 250, startMs: 70};
 /** Room for the rounding of floating-point numbers. */
@@ -12,14 +12,14 @@
 
 describe('LearnedLimit', () => {
   test('is its upper bound until something was observed', () => {
-    const limit = new LearnedLimit(BOUNDS);
+    const limit = new AdaptiveTimeout(BOUNDS);
     expect([limit.limitMs, limit.meanMs]).toEqual([250, 70]);
   });
 
   test('never leaves its bounds, and its mean never leaves what was observed', () => {
     fc.assert(
       fc.property(fc.array(fc.double({max: 1_000, min: 0, noNaN: true}), {minLength: 1}), (all) => {
-        const limit = new LearnedLimit(BOUNDS);
+        const limit = new AdaptiveTimeout(BOUNDS);
         all.forEach((ms) => limit.note(ms));
         expect(limit.limitMs).toBeGreaterThanOrEqual(BOUNDS.leastMs);
         expect(limit.limitMs).toBeLessThanOrEqual(BOUNDS.mostMs);
@@ -30,7 +30,7 @@
   });
 
   test('follows a change of pace within some dozen observations', () => {
-    const limit = new LearnedLimit(BOUNDS);
+    const limit = new AdaptiveTimeout(BOUNDS);
     Array.from({length: 50}, () => limit.note(10));
     expect(limit.limitMs).toBe(BOUNDS.leastMs);
     Array.from({length: 50}, () => limit.note(100));
--- a/packages/stallpaddle/src/index.ts
+++ b/packages/stallpaddle/src/index.ts
@@ -1,3 +1,4 @@
+export {AdaptiveTimeout, type LimitBounds} from './AdaptiveTimeout';
 /** Shared vocabulary of all packages: identifiers, time, errors, verdicts, hashing, logs. */
 export {registerResetWatch} from './Answers';
 export {
@@ -23,7 +24,6 @@
   type ZoneId,
 } from './Ids';
 export {invariant, InvariantError, unreachable} from './Invariant';
-export {LearnedLimit, type LimitBounds} from './LearnedLimit';
 export {LineWriter} from './LineWriter';
 export {
   createLoggerFactory,
