--- a/packages/stallpaddle/src/AdaptiveTimeout.ts
+++ b/packages/stallpaddle/src/AdaptiveTimeout.ts
@@ -11,7 +11,7 @@
 const DEVIATIONS = 4;
 
 /** Bounds of a limit, in milliseconds. */
-export interface LimitBounds {
+export interface TimeoutBounds {
   readonly leastMs: number;
   readonly mostMs: number;
   /** Mean while nothing was observed. */
@@ -26,7 +26,7 @@
   /**
    * @param bounds what the limit never leaves; its upper bound holds until something was observed
    */
-  constructor(private readonly bounds: LimitBounds) {}
+  constructor(private readonly bounds: TimeoutBounds) {}
 
   /** Longest time that is usual, in milliseconds. */
   get limitMs(): number {
--- a/packages/stallpaddle/src/index.ts
+++ b/packages/stallpaddle/src/index.ts
@@ -1,4 +1,4 @@
-export {AdaptiveTimeout, type LimitBounds} from './AdaptiveTimeout';
+export {AdaptiveTimeout, type TimeoutBounds} from './AdaptiveTimeout';
 /** Shared vocabulary of all packages: identifiers, time, errors, verdicts, hashing, logs. */
 export {registerResetWatch} from './Answers';
 export {
