--- a/packages/stallpaddle-node/src/NodeEntryMetrics.ts
+++ b/packages/stallpaddle-node/src/NodeEntryMetrics.ts
@@ -53,7 +53,11 @@
   ] as const;
   for (const [name, what, limit] of limits) {
     const help = `Learned limit of the wait for ${what}.`;
-    metrics.exposeGauge(`stallpaddle_${name}_limit_seconds`, help, () => limit.limitMs / SECOND_MS);
+    metrics.exposeGauge(
+      `stallpaddle_${name}_limit_seconds`,
+      help,
+      () => limit.timeoutMs / SECOND_MS,
+    );
   }
   metrics.exposeGauge('stallpaddle_engine_occupancy', 'Online requests for each slot.', () => {
     return occupancy(gauges);
--- a/packages/stallpaddle-relay/src/RelayEngineCall.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineCall.ts
@@ -105,7 +105,7 @@
     const onTimeout = (): void => {
       out?.destroy(new Error('no connection'));
     };
-    const cancelTimeout = registerTimeout(latencies.connect.limitMs, onTimeout);
+    const cancelTimeout = registerTimeout(latencies.connect.timeoutMs, onTimeout);
     out.on('socket', (socket) => {
       socket.setNoDelay(true);
       socket.once('connect', () => {
--- a/packages/stallpaddle-relay/src/RelayStallDetector.ts
+++ b/packages/stallpaddle-relay/src/RelayStallDetector.ts
@@ -88,7 +88,7 @@
 
   private watch(limit: AdaptiveTimeout, maxMs: number): void {
     if (this.options.isResumable) {
-      this.scheduleCheck(Math.min(limit.limitMs, maxMs), maxMs);
+      this.scheduleCheck(Math.min(limit.timeoutMs, maxMs), maxMs);
     }
   }
 
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineCall.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineCall.test.ts
@@ -86,7 +86,7 @@
       requestId: 'q',
     });
     await new Promise((resolve) => process.nextTick(resolve));
-    blockEventLoop(2 * latencies.connect.limitMs);
+    blockEventLoop(2 * latencies.connect.timeoutMs);
     expect((await call.started).kind).toBe('answer');
   });
 
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
@@ -417,9 +417,9 @@
     const {port} = await startRelay(context, routeOf());
     await sendRequest(port);
     const {connect, firstEvent, gap} = context.latencies;
-    expect(connect.limitMs).toBeLessThan(250);
-    expect(firstEvent.limitMs).toBeLessThan(1_200);
-    expect(gap.limitMs).toBeLessThan(700);
+    expect(connect.timeoutMs).toBeLessThan(250);
+    expect(firstEvent.timeoutMs).toBeLessThan(1_200);
+    expect(gap.timeoutMs).toBeLessThan(700);
   });
 
   test('never extends a queue for a request that has missed its objective', async () => {
--- a/packages/stallpaddle/src/AdaptiveTimeout.ts
+++ b/packages/stallpaddle/src/AdaptiveTimeout.ts
@@ -29,7 +29,7 @@
   constructor(private readonly bounds: TimeoutBounds) {}
 
   /** Longest time that is usual, in milliseconds. */
-  get limitMs(): number {
+  get timeoutMs(): number {
     const {leastMs, mostMs} = this.bounds;
     if (this.mean === undefined) {
       return mostMs;
--- a/packages/stallpaddle/src/__tests__/unit/AdaptiveTimeout.test.ts
+++ b/packages/stallpaddle/src/__tests__/unit/AdaptiveTimeout.test.ts
@@ -13,7 +13,7 @@
 describe('LearnedLimit', () => {
   test('is its upper bound until something was observed', () => {
     const limit = new AdaptiveTimeout(BOUNDS);
-    expect([limit.limitMs, limit.meanMs]).toEqual([250, 70]);
+    expect([limit.timeoutMs, limit.meanMs]).toEqual([250, 70]);
   });
 
   test('never leaves its bounds, and its mean never leaves what was observed', () => {
@@ -21,8 +21,8 @@
       fc.property(fc.array(fc.double({max: 1_000, min: 0, noNaN: true}), {minLength: 1}), (all) => {
         const limit = new AdaptiveTimeout(BOUNDS);
         all.forEach((ms) => limit.note(ms));
-        expect(limit.limitMs).toBeGreaterThanOrEqual(BOUNDS.leastMs);
-        expect(limit.limitMs).toBeLessThanOrEqual(BOUNDS.mostMs);
+        expect(limit.timeoutMs).toBeGreaterThanOrEqual(BOUNDS.leastMs);
+        expect(limit.timeoutMs).toBeLessThanOrEqual(BOUNDS.mostMs);
         expect(limit.meanMs).toBeGreaterThanOrEqual(Math.min(...all) - ROUNDING);
         expect(limit.meanMs).toBeLessThanOrEqual(Math.max(...all) + ROUNDING);
       }),
@@ -32,9 +32,9 @@
   test('follows a change of pace within some dozen observations', () => {
     const limit = new AdaptiveTimeout(BOUNDS);
     Array.from({length: 50}, () => limit.note(10));
-    expect(limit.limitMs).toBe(BOUNDS.leastMs);
+    expect(limit.timeoutMs).toBe(BOUNDS.leastMs);
     Array.from({length: 50}, () => limit.note(100));
     expect(limit.meanMs).toBeGreaterThan(95);
-    expect(limit.limitMs).toBeGreaterThan(100);
+    expect(limit.timeoutMs).toBeGreaterThan(100);
   });
 });
