--- a/packages/stallpaddle-relay/src/RelayEngineCall.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineCall.ts
@@ -111,7 +111,7 @@
       socket.once('connect', () => {
         connected = true;
         cancelTimeout();
-        latencies.connect.note(performance.now() - openedAt);
+        latencies.connect.observe(performance.now() - openedAt);
       });
     });
     out.on('response', (res) => {
--- a/packages/stallpaddle-relay/src/RelayStallDetector.ts
+++ b/packages/stallpaddle-relay/src/RelayStallDetector.ts
@@ -68,9 +68,9 @@
     const {clock, latencies} = this.options;
     const now = clock.monotonicMs();
     if (this.hasData) {
-      latencies.gap.note(now - this.lastDataAt);
+      latencies.gap.observe(now - this.lastDataAt);
     } else if (this.hadFreeSlot) {
-      latencies.firstEvent.note(now - this.lastDataAt);
+      latencies.firstEvent.observe(now - this.lastDataAt);
     }
     this.hasData = true;
     this.lastDataAt = now;
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineCall.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayEngineCall.test.ts
@@ -76,7 +76,7 @@
   test('a blocked event loop is not taken for an unreachable engine', async () => {
     const address = await startEngine('end');
     const latencies = new RelayLatencies();
-    Array.from({length: 20}, () => latencies.connect.note(1));
+    Array.from({length: 20}, () => latencies.connect.observe(1));
     const call = startEngineCall(plainRelay, latencies, {
       address,
       body: Buffer.from('b'),
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
@@ -288,7 +288,7 @@
     // All engines are equally full; a request that moves starts at the end of the next queue.
     const engines = await startEngines(2);
     const context = contextOf(engines, false);
-    Array.from({length: 20}, () => context.latencies.firstEvent.note(20));
+    Array.from({length: 20}, () => context.latencies.firstEvent.observe(20));
     context.online.registerRequest('e1');
     engines[0]!.manners = [{kind: 'mute'}];
     const {port} = await startRelay(context, routeOf());
@@ -324,8 +324,8 @@
   function learnedContext(engines: readonly StreamEngine[]): RelayContext {
     const context = contextOf(engines);
     Array.from({length: 20}, () => {
-      context.latencies.firstEvent.note(20);
-      context.latencies.gap.note(5);
+      context.latencies.firstEvent.observe(20);
+      context.latencies.gap.observe(5);
     });
     return context;
   }
--- a/packages/stallpaddle/src/AdaptiveTimeout.ts
+++ b/packages/stallpaddle/src/AdaptiveTimeout.ts
@@ -47,7 +47,7 @@
    *
    * @param ms how long it took, in milliseconds
    */
-  note(ms: number): void {
+  observe(ms: number): void {
     if (this.mean === undefined) {
       this.mean = ms;
       this.deviation = ms / 2;
--- a/packages/stallpaddle/src/__tests__/unit/AdaptiveTimeout.test.ts
+++ b/packages/stallpaddle/src/__tests__/unit/AdaptiveTimeout.test.ts
@@ -20,7 +20,7 @@
     fc.assert(
       fc.property(fc.array(fc.double({max: 1_000, min: 0, noNaN: true}), {minLength: 1}), (all) => {
         const limit = new AdaptiveTimeout(BOUNDS);
-        all.forEach((ms) => limit.note(ms));
+        all.forEach((ms) => limit.observe(ms));
         expect(limit.timeoutMs).toBeGreaterThanOrEqual(BOUNDS.leastMs);
         expect(limit.timeoutMs).toBeLessThanOrEqual(BOUNDS.mostMs);
         expect(limit.meanMs).toBeGreaterThanOrEqual(Math.min(...all) - ROUNDING);
@@ -31,9 +31,9 @@
 
   test('follows a change of pace within some dozen observations', () => {
     const limit = new AdaptiveTimeout(BOUNDS);
-    Array.from({length: 50}, () => limit.note(10));
+    Array.from({length: 50}, () => limit.observe(10));
     expect(limit.timeoutMs).toBe(BOUNDS.leastMs);
-    Array.from({length: 50}, () => limit.note(100));
+    Array.from({length: 50}, () => limit.observe(100));
     expect(limit.meanMs).toBeGreaterThan(95);
     expect(limit.timeoutMs).toBeGreaterThan(100);
   });
