--- a/packages/stallpaddle/src/AdaptiveTimeout.ts
+++ b/packages/stallpaddle/src/AdaptiveTimeout.ts
@@ -12,7 +12,7 @@
 
 /** Bounds of a limit, in milliseconds. */
 export interface TimeoutBounds {
-  readonly leastMs: number;
+  readonly minMs: number;
   readonly mostMs: number;
   /** Mean while nothing was observed. */
   readonly startMs: number;
@@ -30,7 +30,7 @@
 
   /** Longest time that is usual, in milliseconds. */
   get timeoutMs(): number {
-    const {leastMs, mostMs} = this.bounds;
+    const {minMs: leastMs, mostMs} = this.bounds;
     if (this.mean === undefined) {
       return mostMs;
     }
--- a/packages/stallpaddle/src/__tests__/unit/AdaptiveTimeout.test.ts
+++ b/packages/stallpaddle/src/__tests__/unit/AdaptiveTimeout.test.ts
@@ -6,7 +6,7 @@
 
 import {AdaptiveTimeout} from '../../AdaptiveTimeout';
 
-const BOUNDS = {leastMs: 30, mostMs: 250, startMs: 70};
+const BOUNDS = {minMs: 30, mostMs: 250, startMs: 70};
 /** Room for the rounding of floating-point numbers. */
 const ROUNDING = 1e-9;
 
@@ -21,7 +21,7 @@
       fc.property(fc.array(fc.double({max: 1_000, min: 0, noNaN: true}), {minLength: 1}), (all) => {
         const limit = new AdaptiveTimeout(BOUNDS);
         all.forEach((ms) => limit.observe(ms));
-        expect(limit.timeoutMs).toBeGreaterThanOrEqual(BOUNDS.leastMs);
+        expect(limit.timeoutMs).toBeGreaterThanOrEqual(BOUNDS.minMs);
         expect(limit.timeoutMs).toBeLessThanOrEqual(BOUNDS.mostMs);
         expect(limit.meanMs).toBeGreaterThanOrEqual(Math.min(...all) - ROUNDING);
         expect(limit.meanMs).toBeLessThanOrEqual(Math.max(...all) + ROUNDING);
@@ -32,7 +32,7 @@
   test('follows a change of pace within some dozen observations', () => {
     const limit = new AdaptiveTimeout(BOUNDS);
     Array.from({length: 50}, () => limit.observe(10));
-    expect(limit.timeoutMs).toBe(BOUNDS.leastMs);
+    expect(limit.timeoutMs).toBe(BOUNDS.minMs);
     Array.from({length: 50}, () => limit.observe(100));
     expect(limit.meanMs).toBeGreaterThan(95);
     expect(limit.timeoutMs).toBeGreaterThan(100);
