--- a/packages/stallpaddle/src/AdaptiveTimeout.ts
+++ b/packages/stallpaddle/src/AdaptiveTimeout.ts
@@ -13,7 +13,7 @@
 /** Bounds of a limit, in milliseconds. */
 export interface TimeoutBounds {
   readonly minMs: number;
-  readonly mostMs: number;
+  readonly maxMs: number;
   /** Mean while nothing was observed. */
   readonly startMs: number;
 }
@@ -30,7 +30,7 @@
 
   /** Longest time that is usual, in milliseconds. */
   get timeoutMs(): number {
-    const {minMs: leastMs, mostMs} = this.bounds;
+    const {maxMs: mostMs, minMs: leastMs} = this.bounds;
     if (this.mean === undefined) {
       return mostMs;
     }
--- a/packages/stallpaddle/src/__tests__/unit/AdaptiveTimeout.test.ts
+++ b/packages/stallpaddle/src/__tests__/unit/AdaptiveTimeout.test.ts
@@ -6,7 +6,7 @@
 
 import {AdaptiveTimeout} from '../../AdaptiveTimeout';
 
-const BOUNDS = {minMs: 30, mostMs: 250, startMs: 70};
+const BOUNDS = {minMs: 30, maxMs: 250, startMs: 70};
 /** Room for the rounding of floating-point numbers. */
 const ROUNDING = 1e-9;
 
@@ -22,7 +22,7 @@
         const limit = new AdaptiveTimeout(BOUNDS);
         all.forEach((ms) => limit.observe(ms));
         expect(limit.timeoutMs).toBeGreaterThanOrEqual(BOUNDS.minMs);
-        expect(limit.timeoutMs).toBeLessThanOrEqual(BOUNDS.mostMs);
+        expect(limit.timeoutMs).toBeLessThanOrEqual(BOUNDS.maxMs);
         expect(limit.meanMs).toBeGreaterThanOrEqual(Math.min(...all) - ROUNDING);
         expect(limit.meanMs).toBeLessThanOrEqual(Math.max(...all) + ROUNDING);
       }),
