--- a/packages/stallpaddle-relay/src/RelayLatencies.ts
+++ b/packages/stallpaddle-relay/src/RelayLatencies.ts
@@ -9,12 +9,12 @@
    * Time to establish a connection. The lower bound tolerates a busy VM; the upper one is shorter than the
    * retransmission timeout of a lost SYN and leaves time to try another engine within the objective.
    */
-  readonly connect = new AdaptiveTimeout({maxMs: 250, minMs: 40, startMs: 5});
+  readonly connect = new AdaptiveTimeout({initialMeanMs: 5, maxMs: 250, minMs: 40});
   /**
    * Time from a stream's request to its first event at an engine with a free slot. The lower bound leaves an engine
    * the time to preempt a batch item.
    */
-  readonly firstEvent = new AdaptiveTimeout({maxMs: 1_200, minMs: 100, startMs: 70});
+  readonly firstEvent = new AdaptiveTimeout({initialMeanMs: 70, maxMs: 1_200, minMs: 100});
   /** Time between two chunks of a stream. The lower bound covers several events. */
-  readonly gap = new AdaptiveTimeout({maxMs: 700, minMs: 100, startMs: 25});
+  readonly gap = new AdaptiveTimeout({initialMeanMs: 25, maxMs: 700, minMs: 100});
 }
--- a/packages/stallpaddle/src/AdaptiveTimeout.ts
+++ b/packages/stallpaddle/src/AdaptiveTimeout.ts
@@ -15,7 +15,7 @@
   readonly minMs: number;
   readonly maxMs: number;
   /** Mean while nothing was observed. */
-  readonly startMs: number;
+  readonly initialMeanMs: number;
 }
 
 /** See the module's comment. */
@@ -30,16 +30,16 @@
 
   /** Longest time that is usual, in milliseconds. */
   get timeoutMs(): number {
-    const {maxMs: mostMs, minMs: leastMs} = this.bounds;
+    const {maxMs, minMs} = this.bounds;
     if (this.mean === undefined) {
-      return mostMs;
+      return maxMs;
     }
-    return Math.min(mostMs, Math.max(leastMs, this.mean + DEVIATIONS * this.deviation));
+    return Math.min(maxMs, Math.max(minMs, this.mean + DEVIATIONS * this.deviation));
   }
 
   /** Mean time, in milliseconds. */
   get meanMs(): number {
-    return this.mean ?? this.bounds.startMs;
+    return this.mean ?? this.bounds.initialMeanMs;
   }
 
   /**
--- a/packages/stallpaddle/src/__tests__/unit/AdaptiveTimeout.test.ts
+++ b/packages/stallpaddle/src/__tests__/unit/AdaptiveTimeout.test.ts
@@ -6,7 +6,7 @@
 
 import {AdaptiveTimeout} from '../../AdaptiveTimeout';
 
-const BOUNDS = {minMs: 30, maxMs: 250, startMs: 70};
+const BOUNDS = {initialMeanMs: 70, maxMs: 250, minMs: 30};
 /** Room for the rounding of floating-point numbers. */
 const ROUNDING = 1e-9;
 
