--- a/packages/stallpaddle-engine/src/EngineHttp.ts
+++ b/packages/stallpaddle-engine/src/EngineHttp.ts
@@ -4,7 +4,7 @@
 import type {Verdict} from 'stallpaddle';
 
 import {type IncomingMessage, request} from 'node:http';
-import {errorMessage, registerResetWatch, startDeadline, VERDICT_HEADER} from 'stallpaddle';
+import {errorMessage, registerResetDetector, startDeadline, VERDICT_HEADER} from 'stallpaddle';
 import {z} from 'zod';
 
 import type {
@@ -119,7 +119,7 @@
         port: this.port,
         signal,
       });
-      registerResetWatch(sent);
+      registerResetDetector(sent);
       sent.on('error', (err) => reject(new BackendError(verdictOf(err), errorMessage(err))));
       sent.on('response', (res) => {
         const refusal = refusalOf(res);
--- a/packages/stallpaddle-relay/src/RelayEngineCall.ts
+++ b/packages/stallpaddle-relay/src/RelayEngineCall.ts
@@ -5,7 +5,7 @@
 import type {ClientRequest, IncomingMessage} from 'node:http';
 
 import {request} from 'node:http';
-import {registerResetWatch, registerTimeout} from 'stallpaddle';
+import {registerResetDetector, registerTimeout} from 'stallpaddle';
 
 import type {RelayLatencies} from './RelayLatencies';
 import type {RelayWire, ResponseMetadata} from './RelayWire';
@@ -100,7 +100,7 @@
       path: req.path,
       port,
     });
-    registerResetWatch(out);
+    registerResetDetector(out);
     const openedAt = performance.now();
     const onTimeout = (): void => {
       out?.destroy(new Error('no connection'));
--- a/packages/stallpaddle/src/Answers.ts
+++ b/packages/stallpaddle/src/Answers.ts
@@ -20,7 +20,7 @@
  * @param req the request, just made, on a connection of its own
  * @returns ends the watch
  */
-export function registerResetWatch(req: ClientRequest): () => void {
+export function registerResetDetector(req: ClientRequest): () => void {
   let answer: IncomingMessage | undefined;
   const onResponse = (res: IncomingMessage): void => {
     answer = res;
--- a/packages/stallpaddle/src/index.ts
+++ b/packages/stallpaddle/src/index.ts
@@ -1,6 +1,6 @@
 export {AdaptiveTimeout, type TimeoutBounds} from './AdaptiveTimeout';
 /** Shared vocabulary of all packages: identifiers, time, errors, verdicts, hashing, logs. */
-export {registerResetWatch} from './Answers';
+export {registerResetDetector} from './Answers';
 export {
   type Clock,
   type Deadline,
