--- a/packages/stallpaddle-batch/src/BatchItems.ts
+++ b/packages/stallpaddle-batch/src/BatchItems.ts
@@ -1,7 +1,7 @@
 /**
  * Input and output lines of batch files, in the form that OpenAI's batch interface uses.
  */
-import {drawId, errorMessage, refuse} from 'stallpaddle';
+import {errorMessage, generateId, refuse} from 'stallpaddle';
 import {z} from 'zod';
 
 const itemSchema = z.object({
@@ -58,7 +58,7 @@
   return JSON.stringify({
     custom_id: customId,
     error: null,
-    id: drawId('batch_req'),
+    id: generateId('batch_req'),
     response: {body, request_id: requestId, status_code: status},
   });
 }
@@ -74,7 +74,7 @@
   return JSON.stringify({
     custom_id: customId,
     error: {code, message},
-    id: drawId('batch_req'),
+    id: generateId('batch_req'),
     response: null,
   });
 }
--- a/packages/stallpaddle-batch/src/BatchRunner.ts
+++ b/packages/stallpaddle-batch/src/BatchRunner.ts
@@ -5,7 +5,7 @@
 import type {EngineAdapter, EngineLanes} from 'stallpaddle-engine';
 import type {ItemReport} from 'stallpaddle-ledger';
 
-import {drawId, errorMessage, startDeadline} from 'stallpaddle';
+import {errorMessage, generateId, startDeadline} from 'stallpaddle';
 import {BackendError, readBody} from 'stallpaddle-engine';
 
 import type {HeldItem} from './BatchHeld';
@@ -47,7 +47,7 @@
 }
 
 async function send(held: HeldItem, place: ItemPlace, signal: AbortSignal): Promise<ItemOutcome> {
-  const attemptId = drawId('item');
+  const attemptId = generateId('item');
   const {customId} = held.parsed;
   const body = {...held.parsed.body, model: place.weights, stream: false};
   const answer = await place.adapter.generate(
--- a/packages/stallpaddle-gateway/src/GatewayAdmin.ts
+++ b/packages/stallpaddle-gateway/src/GatewayAdmin.ts
@@ -5,7 +5,7 @@
 import type {ControlAnswer, PlanRecord} from 'stallpaddle-control';
 import type {LedgerPort} from 'stallpaddle-ledger';
 
-import {drawId, refuse} from 'stallpaddle';
+import {generateId, refuse} from 'stallpaddle';
 import {intentSchema} from 'stallpaddle-control';
 import {liveVms} from 'stallpaddle-membership';
 
@@ -57,7 +57,7 @@
       intentSchema,
     );
     const key = idempotencyKey(req);
-    const planId = key === null ? drawId('plan') : `plan_${operator}_${key}`;
+    const planId = key === null ? generateId('plan') : `plan_${operator}_${key}`;
     const answer = await control.command({
       intent,
       now: clock.wallMs(),
--- a/packages/stallpaddle-gateway/src/GatewayBatches.ts
+++ b/packages/stallpaddle-gateway/src/GatewayBatches.ts
@@ -4,7 +4,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {JobView, LedgerAnswer, LedgerPort} from 'stallpaddle-ledger';
 
-import {drawId, refuse} from 'stallpaddle';
+import {generateId, refuse} from 'stallpaddle';
 import {z} from 'zod';
 
 import type {CustomerCaller} from './GatewayAuth';
@@ -103,7 +103,7 @@
       dueAt: now + windowMs(body.completion_window),
       endpoint: body.endpoint,
       fileId,
-      jobId: drawId('batch'),
+      jobId: generateId('batch'),
       key: idempotencyKey(req),
       metadata,
       now,
--- a/packages/stallpaddle-gateway/src/GatewayFiles.ts
+++ b/packages/stallpaddle-gateway/src/GatewayFiles.ts
@@ -8,7 +8,7 @@
 
 import busboy from 'busboy';
 import {createHash} from 'node:crypto';
-import {drawId, errorMessage, RefusalError, refuse} from 'stallpaddle';
+import {errorMessage, generateId, RefusalError, refuse} from 'stallpaddle';
 import {lostEndLine, parseItem} from 'stallpaddle-batch';
 
 import type {CustomerCaller} from './GatewayAuth';
@@ -86,7 +86,7 @@
    */
   async upload(caller: CustomerCaller, req: IncomingMessage, res: ServerResponse): Promise<void> {
     const port = this.context.ledger.forCustomer(caller.customer);
-    const fileId = drawId('file');
+    const fileId = generateId('file');
     const upload = await this.receive(req, async (stream) =>
       this.store(port, caller, fileId, stream),
     );
--- a/packages/stallpaddle-gateway/src/GatewayOnce.ts
+++ b/packages/stallpaddle-gateway/src/GatewayOnce.ts
@@ -5,7 +5,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {CallRecord, LedgerPort} from 'stallpaddle-ledger';
 
-import {drawId, RefusalError, refuse} from 'stallpaddle';
+import {generateId, RefusalError, refuse} from 'stallpaddle';
 
 import type {CustomerCaller} from './GatewayAuth';
 import type {GatewayContext} from './GatewayContext';
@@ -65,7 +65,7 @@
   ): Promise<CallRecord | undefined> {
     const now = this.context.clock.wallMs();
     const answer = await port.command({
-      attempt: drawId('start'),
+      attempt: generateId('start'),
       content,
       customer,
       key,
--- a/packages/stallpaddle-gateway/src/GatewayOnline.ts
+++ b/packages/stallpaddle-gateway/src/GatewayOnline.ts
@@ -6,7 +6,14 @@
 import type {BackendAnswer} from 'stallpaddle-engine';
 import type {EngineOutcome, RetryBudget} from 'stallpaddle-routing';
 
-import {drawId, errorMessage, joinVerdicts, RefusalError, refuse, startDeadline} from 'stallpaddle';
+import {
+  errorMessage,
+  generateId,
+  joinVerdicts,
+  RefusalError,
+  refuse,
+  startDeadline,
+} from 'stallpaddle';
 import {BackendError, readBody} from 'stallpaddle-engine';
 import {LimitShare} from 'stallpaddle-limits';
 import {stayingVms} from 'stallpaddle-membership';
@@ -229,7 +236,7 @@
     if (adapter === undefined || slots === undefined) {
       throw new BackendError('notRun', `engine ${engine} is not known here`);
     }
-    const attemptId = drawId('req');
+    const attemptId = generateId('req');
     const timeoutMs = deadlineAt - clock.monotonicMs();
     const deadline = startDeadline(timeoutMs, signal);
     onRouting({engine, kind: 'started', work: 'online'});
--- a/packages/stallpaddle-gateway/src/GatewayServices.ts
+++ b/packages/stallpaddle-gateway/src/GatewayServices.ts
@@ -6,7 +6,14 @@
 import type {PlainServer} from 'stallpaddle-control';
 import type {BackendAnswer} from 'stallpaddle-engine';
 
-import {drawId, errorMessage, joinVerdicts, RefusalError, refuse, startDeadline} from 'stallpaddle';
+import {
+  errorMessage,
+  generateId,
+  joinVerdicts,
+  RefusalError,
+  refuse,
+  startDeadline,
+} from 'stallpaddle';
 import {BackendError, readBody} from 'stallpaddle-engine';
 
 import type {CustomerCaller} from './GatewayAuth';
@@ -99,7 +106,7 @@
       try {
         return await this.context.plainAdapterOf(server).generate(
           {
-            attemptId: drawId('call'),
+            attemptId: generateId('call'),
             body,
             contentType: req.headers['content-type'] ?? 'application/octet-stream',
             method: req.method ?? 'GET',
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -6,7 +6,7 @@
 import type {LogFields} from 'stallpaddle';
 import type {FleetView, Hello} from 'stallpaddle-fleet';
 
-import {drawId, errorMessage, RefusalError, refuse, unreachable} from 'stallpaddle';
+import {errorMessage, generateId, RefusalError, refuse, unreachable} from 'stallpaddle';
 import {
   type RelayCaller,
   type RelayContext,
@@ -84,7 +84,7 @@
       limits,
     });
     const online = new RelayOnlineLoad(clock);
-    this.tells = new NodeTells(jobs, online, drawId('e'), () => watch.view.news.entries.length);
+    this.tells = new NodeTells(jobs, online, generateId('e'), () => watch.view.news.entries.length);
     this.jobCalls = new NodeJobCalls(jobs, wire, this.log, clock);
     this.context = {
       clock,
--- a/packages/stallpaddle-node/src/NodeOnlineDesk.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineDesk.ts
@@ -6,7 +6,7 @@
 import type {EngineId} from 'stallpaddle';
 import type {JobsDispatcher, JobsRequest, OnlineAnswer} from 'stallpaddle-jobs';
 
-import {drawId} from 'stallpaddle';
+import {generateId} from 'stallpaddle';
 
 type Tell = Extract<JobsRequest, {kind: 'tellOnline'}>;
 
@@ -20,7 +20,7 @@
 
 /** See the module's comment. */
 export class NodeOnlineDesk {
-  private readonly epoch = drawId('n');
+  private readonly epoch = generateId('n');
 
   /**
    * Takes in a VM's counts, and tells it those of the others.
--- a/packages/stallpaddle-soak/src/SoakEngine.ts
+++ b/packages/stallpaddle-soak/src/SoakEngine.ts
@@ -6,7 +6,7 @@
 
 import {createServer} from 'node:http';
 import PQueue from 'p-queue';
-import {delay, drawId, type Random} from 'stallpaddle';
+import {delay, generateId, type Random} from 'stallpaddle';
 
 import type {SoakHistory} from './SoakHistory';
 import type {EngineWord, SoakWords} from './SoakWords';
@@ -126,7 +126,7 @@
 
   private async startAgain(sameName: boolean): Promise<void> {
     if (!sameName) {
-      this.name = drawId(this.options.name);
+      this.name = generateId(this.options.name);
     }
     await this.start();
   }
--- a/packages/stallpaddle/src/Ids.ts
+++ b/packages/stallpaddle/src/Ids.ts
@@ -23,7 +23,7 @@
  *
  * @param prefix what the identifier names, such as `batch`
  */
-export function drawId(prefix: string): string {
+export function generateId(prefix: string): string {
   return `${prefix}_${randomBytes(ID_BYTES).toString('hex')}`;
 }
 
--- a/packages/stallpaddle/src/index.ts
+++ b/packages/stallpaddle/src/index.ts
@@ -15,8 +15,8 @@
 export {hash32, rendezvousOrder, rendezvousOwner} from './Hash';
 export {
   type CustomerId,
-  drawId,
   type EngineId,
+  generateId,
   type GroupId,
   type ReplicaId,
   type VmId,
