--- a/packages/stallpaddle-node/src/NodeMain.ts
+++ b/packages/stallpaddle-node/src/NodeMain.ts
@@ -62,7 +62,7 @@
 export async function runNode(file: string, wire: NodeWire): Promise<void> {
   const lines = new LineWriter(LOG_FD);
   const end = async (code: number): Promise<never> => {
-    await lines.settle();
+    await lines.drain();
     process.exit(code);
   };
   const settings = parseNodeSettings(await readFile(file, 'utf8'));
--- a/packages/stallpaddle/src/LineWriter.ts
+++ b/packages/stallpaddle/src/LineWriter.ts
@@ -78,7 +78,7 @@
   }
 
   /** Resolves once everything that was added has been written. */
-  async settle(): Promise<void> {
+  async drain(): Promise<void> {
     while (this.writing) {
       await delay(SETTLE_LOOK_MS);
     }
--- a/packages/stallpaddle/src/__tests__/unit/LineWriter.test.ts
+++ b/packages/stallpaddle/src/__tests__/unit/LineWriter.test.ts
@@ -53,9 +53,9 @@
   const writer = new LineWriter(fd);
   writer.add('one\n');
   writer.add('two\n');
-  await writer.settle();
+  await writer.drain();
   writer.add('three\n');
-  await writer.settle();
+  await writer.drain();
   closeSync(fd);
   expect(readFileSync(file, 'utf8')).toBe('one\ntwo\nthree\n');
 });
@@ -72,7 +72,7 @@
   }
   expect(performance.now() - startedAt).toBeLessThan(MOST_MS);
   let text = '';
-  const settled = writer.settle().then(() => true);
+  const settled = writer.drain().then(() => true);
   for (
     let ended = false;
     !ended;
@@ -81,7 +81,7 @@
     text += readAll(from);
   }
   writer.add('last\n');
-  await writer.settle();
+  await writer.drain();
   text += readAll(from);
   closeSync(from);
   const lines = text.split('\n').slice(0, -1);
