--- a/packages/stallpaddle-gateway/src/GatewayServer.ts
+++ b/packages/stallpaddle-gateway/src/GatewayServer.ts
@@ -7,7 +7,7 @@
 import {createServer, type IncomingMessage, type ServerResponse} from 'node:http';
 import {errorMessage, refuse} from 'stallpaddle';
 import {modelNames} from 'stallpaddle-control';
-import {ADDRESSES_LIFETIME_MS, addressesFor} from 'stallpaddle-membership';
+import {ADDRESSES_TTL_MS, addressesFor} from 'stallpaddle-membership';
 
 import type {GatewayContext} from './GatewayContext';
 
@@ -228,8 +228,8 @@
     const zone = url.searchParams.get('zone') ?? undefined;
     const spread = url.searchParams.get('caller') ?? caller;
     const addresses = addressesFor(membership(), spread, zone, clock.monotonicMs());
-    res.setHeader('cache-control', `max-age=${Math.floor(ADDRESSES_LIFETIME_MS / 1000)}`);
-    sendJson(res, 200, {addresses, lifetimeMs: ADDRESSES_LIFETIME_MS});
+    res.setHeader('cache-control', `max-age=${Math.floor(ADDRESSES_TTL_MS / 1000)}`);
+    sendJson(res, 200, {addresses, lifetimeMs: ADDRESSES_TTL_MS});
   }
 
   private async answerService(req: IncomingMessage, res: ServerResponse): Promise<void> {
--- a/packages/stallpaddle-membership/src/MembershipConstants.ts
+++ b/packages/stallpaddle-membership/src/MembershipConstants.ts
@@ -12,7 +12,7 @@
 export const VM_FORGOTTEN_MS = 600_000;
 
 /** How long callers may keep the addresses, in milliseconds. */
-export const ADDRESSES_LIFETIME_MS = 2_000;
+export const ADDRESSES_TTL_MS = 2_000;
 
 /** Age of the configuration after which a VM takes no new work, in milliseconds. */
 export const FRESHNESS_BOUND_MS = 6_000;
--- a/packages/stallpaddle-membership/src/index.ts
+++ b/packages/stallpaddle-membership/src/index.ts
@@ -1,6 +1,6 @@
 /** Which VMs are there, which will stay, and which addresses callers get. */
 export {
-  ADDRESSES_LIFETIME_MS,
+  ADDRESSES_TTL_MS,
   FRESHNESS_BOUND_MS,
   HEARTBEAT_INTERVAL_MS,
   VM_LOST_MS,
