--- a/packages/stallpaddle-membership/src/MembershipConstants.ts
+++ b/packages/stallpaddle-membership/src/MembershipConstants.ts
@@ -6,7 +6,7 @@
 export const HEARTBEAT_INTERVAL_MS = 500;
 
 /** Silence after which a VM counts as gone, in milliseconds. */
-export const VM_LOST_MS = 2_000;
+export const VM_LOST_AFTER_MS = 2_000;
 
 /** Silence after which a VM is forgotten, in milliseconds. */
 export const VM_FORGOTTEN_MS = 600_000;
--- a/packages/stallpaddle-membership/src/MembershipView.ts
+++ b/packages/stallpaddle-membership/src/MembershipView.ts
@@ -14,7 +14,7 @@
   VmNews,
 } from './MembershipTypes';
 
-import {MAX_ADDRESSES, VM_FORGOTTEN_MS, VM_LOST_MS} from './MembershipConstants';
+import {MAX_ADDRESSES, VM_FORGOTTEN_MS, VM_LOST_AFTER_MS} from './MembershipConstants';
 
 /**
  * A view that knows only its own VM.
@@ -81,7 +81,7 @@
     if (vm !== state.self) {
       entries.set(vm, {
         ...entry,
-        heardAt: lost.has(vm) ? Math.min(entry.heardAt, now - VM_LOST_MS) : now,
+        heardAt: lost.has(vm) ? Math.min(entry.heardAt, now - VM_LOST_AFTER_MS) : now,
       });
     }
   }
@@ -146,7 +146,7 @@
  * @param now monotonic time
  */
 export function isLive(entry: VmEntry, now: MonotonicMs): boolean {
-  return now - entry.heardAt < VM_LOST_MS;
+  return now - entry.heardAt < VM_LOST_AFTER_MS;
 }
 
 /**
--- a/packages/stallpaddle-membership/src/__tests__/unit/MembershipView.test.ts
+++ b/packages/stallpaddle-membership/src/__tests__/unit/MembershipView.test.ts
@@ -7,7 +7,7 @@
  */
 import type {MembershipState, VmFacts, VmNews} from '../../MembershipTypes';
 
-import {VM_LOST_MS} from '../../MembershipConstants';
+import {VM_LOST_AFTER_MS} from '../../MembershipConstants';
 import {
   addressesFor,
   lostVms,
@@ -76,10 +76,10 @@
 
   test('loses a VM that was silent, and finds it again', () => {
     let state = hear(start(), [news('a', 1)], 0);
-    expect(stayingVms(state, VM_LOST_MS - 1).map(({vm}) => vm)).toContain('a');
-    expect(lostVms(state, VM_LOST_MS)).toContain('a');
-    state = hear(state, [news('a', 2)], VM_LOST_MS + 5);
-    expect(lostVms(state, VM_LOST_MS + 10)).not.toContain('a');
+    expect(stayingVms(state, VM_LOST_AFTER_MS - 1).map(({vm}) => vm)).toContain('a');
+    expect(lostVms(state, VM_LOST_AFTER_MS)).toContain('a');
+    state = hear(state, [news('a', 2)], VM_LOST_AFTER_MS + 5);
+    expect(lostVms(state, VM_LOST_AFTER_MS + 10)).not.toContain('a');
   });
 
   test('takes the word of a VM with a disk on who is lost', () => {
@@ -104,7 +104,7 @@
       news('b', 1),
       news('c', 1, {leaving: true}),
       news('d', 1),
-      news('e', 1, {}, VM_LOST_MS),
+      news('e', 1, {}, VM_LOST_AFTER_MS),
     ];
     const state = stepMembership(
       hear(start(), items, 0),
--- a/packages/stallpaddle-membership/src/index.ts
+++ b/packages/stallpaddle-membership/src/index.ts
@@ -3,7 +3,7 @@
   ADDRESSES_TTL_MS,
   FRESHNESS_BOUND_MS,
   HEARTBEAT_INTERVAL_MS,
-  VM_LOST_MS,
+  VM_LOST_AFTER_MS,
 } from './MembershipConstants';
 export type {
   Address,
