--- a/packages/stallpaddle-membership/src/MembershipConstants.ts
+++ b/packages/stallpaddle-membership/src/MembershipConstants.ts
@@ -9,7 +9,7 @@
 export const VM_LOST_AFTER_MS = 2_000;
 
 /** Silence after which a VM is forgotten, in milliseconds. */
-export const VM_FORGOTTEN_MS = 600_000;
+export const VM_REMOVE_AFTER_MS = 600_000;
 
 /** How long callers may keep the addresses, in milliseconds. */
 export const ADDRESSES_TTL_MS = 2_000;
--- a/packages/stallpaddle-membership/src/MembershipView.ts
+++ b/packages/stallpaddle-membership/src/MembershipView.ts
@@ -14,7 +14,7 @@
   VmNews,
 } from './MembershipTypes';
 
-import {MAX_ADDRESSES, VM_FORGOTTEN_MS, VM_LOST_AFTER_MS} from './MembershipConstants';
+import {MAX_ADDRESSES, VM_LOST_AFTER_MS, VM_REMOVE_AFTER_MS} from './MembershipConstants';
 
 /**
  * A view that knows only its own VM.
@@ -107,7 +107,7 @@
 }
 
 function forgetOld(state: MembershipState, now: MonotonicMs): MembershipState {
-  const kept = [...state.entries].filter(([, entry]) => now - entry.heardAt < VM_FORGOTTEN_MS);
+  const kept = [...state.entries].filter(([, entry]) => now - entry.heardAt < VM_REMOVE_AFTER_MS);
   return kept.length === state.entries.size ? state : {...state, entries: new Map(kept)};
 }
 
