--- a/packages/stallpaddle-membership/src/MembershipConstants.ts
+++ b/packages/stallpaddle-membership/src/MembershipConstants.ts
@@ -15,7 +15,7 @@
 export const ADDRESSES_TTL_MS = 2_000;
 
 /** Age of the configuration after which a VM takes no new work, in milliseconds. */
-export const FRESHNESS_BOUND_MS = 6_000;
+export const MAX_CONFIG_AGE_MS = 6_000;
 
 /** Most addresses in one answer. */
 export const MAX_ADDRESSES = 8;
--- a/packages/stallpaddle-membership/src/index.ts
+++ b/packages/stallpaddle-membership/src/index.ts
@@ -1,8 +1,8 @@
 /** Which VMs are there, which will stay, and which addresses callers get. */
 export {
   ADDRESSES_TTL_MS,
-  FRESHNESS_BOUND_MS,
   HEARTBEAT_INTERVAL_MS,
+  MAX_CONFIG_AGE_MS,
   VM_LOST_AFTER_MS,
 } from './MembershipConstants';
 export type {
--- a/packages/stallpaddle-vm/src/VmConfigView.ts
+++ b/packages/stallpaddle-vm/src/VmConfigView.ts
@@ -5,7 +5,7 @@
 import type {ConfigChange, FleetConfig} from 'stallpaddle-control';
 
 import {applyChanges, EMPTY_CONFIG} from 'stallpaddle-control';
-import {FRESHNESS_BOUND_MS} from 'stallpaddle-membership';
+import {MAX_CONFIG_AGE_MS} from 'stallpaddle-membership';
 
 /** What is in force, and since when it is known to be the latest. */
 export interface ConfigView {
@@ -75,5 +75,5 @@
  * @param now monotonic time
  */
 export function isFresh(view: ConfigView, now: MonotonicMs): boolean {
-  return now - view.freshAt < FRESHNESS_BOUND_MS;
+  return now - view.freshAt < MAX_CONFIG_AGE_MS;
 }
--- a/packages/stallpaddle-vm/src/__tests__/unit/VmConfigView.test.ts
+++ b/packages/stallpaddle-vm/src/__tests__/unit/VmConfigView.test.ts
@@ -4,7 +4,7 @@
 import type {ConfigChange} from 'stallpaddle-control';
 
 import fc from 'fast-check';
-import {FRESHNESS_BOUND_MS} from 'stallpaddle-membership';
+import {MAX_CONFIG_AGE_MS} from 'stallpaddle-membership';
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
@@ -48,8 +48,8 @@
     expect(isFresh(view, 0)).toBe(false);
     expect(isFresh(noteFresh(view, 4, 100), 100)).toBe(false);
     const fresh = noteFresh(view, 3, 100);
-    expect(isFresh(fresh, 100 + FRESHNESS_BOUND_MS - 1)).toBe(true);
-    expect(isFresh(fresh, 100 + FRESHNESS_BOUND_MS)).toBe(false);
+    expect(isFresh(fresh, 100 + MAX_CONFIG_AGE_MS - 1)).toBe(true);
+    expect(isFresh(fresh, 100 + MAX_CONFIG_AGE_MS)).toBe(false);
     expect(noteFresh(fresh, 3, 50)).toBe(fresh);
   });
 });
