--- a/packages/stallpaddle-membership/src/MembershipTypes.ts
+++ b/packages/stallpaddle-membership/src/MembershipTypes.ts
@@ -49,7 +49,7 @@
 }
 
 /** One VM as told to another. */
-export interface VmNews {
+export interface VmUpdate {
   readonly ageMs: number;
   readonly facts: VmFacts;
   readonly sequence: number;
@@ -69,7 +69,7 @@
 export type MembershipEvent =
   | {readonly facts: VmFacts; readonly kind: 'selfChanged'}
   | {readonly kind: 'beatDue'}
-  | {readonly kind: 'newsHeard'; readonly news: readonly VmNews[]}
+  | {readonly kind: 'newsHeard'; readonly news: readonly VmUpdate[]}
   | {
       /** VMs that the teller holds for lost; all others that are known here were heard. */
       readonly kind: 'lossesHeard';
--- a/packages/stallpaddle-membership/src/MembershipView.ts
+++ b/packages/stallpaddle-membership/src/MembershipView.ts
@@ -11,7 +11,7 @@
   MembershipState,
   VmEntry,
   VmFacts,
-  VmNews,
+  VmUpdate,
 } from './MembershipTypes';
 
 import {MAX_ADDRESSES, VM_LOST_AFTER_MS, VM_REMOVE_AFTER_MS} from './MembershipConstants';
@@ -43,14 +43,18 @@
   );
 }
 
-function isNewer(known: VmEntry | undefined, news: VmNews): boolean {
+function isNewer(known: VmEntry | undefined, news: VmUpdate): boolean {
   if (known === undefined || news.facts.epoch !== known.facts.epoch) {
     return known === undefined || news.facts.epoch > known.facts.epoch;
   }
   return news.sequence > known.sequence;
 }
 
-function merge(state: MembershipState, news: readonly VmNews[], now: MonotonicMs): MembershipState {
+function merge(
+  state: MembershipState,
+  news: readonly VmUpdate[],
+  now: MonotonicMs,
+): MembershipState {
   const entries = new Map(state.entries);
   let {version} = state;
   for (const item of news) {
@@ -219,7 +223,7 @@
   state: MembershipState,
   now: MonotonicMs,
   since: number,
-): readonly VmNews[] {
+): readonly VmUpdate[] {
   return [...state.entries.values()]
     .filter((entry) => entry.version > since)
     .map(({facts, heardAt, sequence}) => ({ageMs: now - heardAt, facts, sequence}));
--- a/packages/stallpaddle-membership/src/__tests__/unit/MembershipView.test.ts
+++ b/packages/stallpaddle-membership/src/__tests__/unit/MembershipView.test.ts
@@ -5,7 +5,7 @@
 /**
  * The membership view under loss, doubling and reordering of news, and what callers are told.
  */
-import type {MembershipState, VmFacts, VmNews} from '../../MembershipTypes';
+import type {MembershipState, VmFacts, VmUpdate} from '../../MembershipTypes';
 
 import {VM_LOST_AFTER_MS} from '../../MembershipConstants';
 import {
@@ -32,11 +32,11 @@
   };
 }
 
-function news(vm: string, sequence: number, changes: Partial<VmFacts> = {}, ageMs = 0): VmNews {
+function news(vm: string, sequence: number, changes: Partial<VmFacts> = {}, ageMs = 0): VmUpdate {
   return {ageMs, facts: facts(vm, changes), sequence};
 }
 
-function hear(state: MembershipState, items: readonly VmNews[], now: number): MembershipState {
+function hear(state: MembershipState, items: readonly VmUpdate[], now: number): MembershipState {
   return stepMembership(state, {kind: 'newsHeard', news: items}, now);
 }
 
--- a/packages/stallpaddle-membership/src/index.ts
+++ b/packages/stallpaddle-membership/src/index.ts
@@ -12,7 +12,7 @@
   MembershipState,
   VmEntry,
   VmFacts,
-  VmNews,
+  VmUpdate,
 } from './MembershipTypes';
 export {
   type AddressAnswer,
--- a/packages/stallpaddle-vm/src/VmBeats.ts
+++ b/packages/stallpaddle-vm/src/VmBeats.ts
@@ -10,7 +10,7 @@
   MembershipEvent,
   MembershipState,
   VmFacts,
-  VmNews,
+  VmUpdate,
 } from 'stallpaddle-membership';
 import type {VmSettings} from 'stallpaddle-settings';
 
@@ -27,7 +27,7 @@
 /** A beat as sent. */
 export interface BeatMessage {
   readonly loads: readonly EngineLoadTuple[];
-  readonly news: readonly VmNews[];
+  readonly news: readonly VmUpdate[];
   /** Revision in force on the sender. */
   readonly revision: number;
   /** Version of the receiver's view that the sender has seen. */
@@ -47,7 +47,7 @@
   readonly heldMs: number;
   readonly loads: readonly EngineLoadTuple[];
   readonly lost: readonly VmId[];
-  readonly news: readonly VmNews[];
+  readonly news: readonly VmUpdate[];
   /** Newest revision that the answering VM knows. */
   readonly revision: number;
   /** Version of the answering VM's view. */
@@ -203,7 +203,7 @@
     const sentAt = clock.monotonicMs();
     const basis = config().revision;
     const self = membership().entries.get(this.options.settings.vm)!;
-    const selfNews: VmNews = {ageMs: 0, facts: this.options.self(), sequence: self.sequence};
+    const selfNews: VmUpdate = {ageMs: 0, facts: this.options.self(), sequence: self.sequence};
     const message: BeatMessage = {
       loads: loads(),
       news: tellsAll ? newsSince(membership(), sentAt, 0) : [selfNews],
