--- a/packages/stallpaddle-membership/src/MembershipTypes.ts
+++ b/packages/stallpaddle-membership/src/MembershipTypes.ts
@@ -10,7 +10,7 @@
 }
 
 /** What a VM says of itself; changes seldom. */
-export interface VmFacts {
+export interface VmMetadata {
   readonly callers: Address;
   /** Wall time of the process's start, in milliseconds; a later process replaces an earlier one. */
   readonly epoch: number;
@@ -39,7 +39,7 @@
 
 /** One VM as seen from here. */
 export interface VmEntry {
-  readonly facts: VmFacts;
+  readonly facts: VmMetadata;
   /** Latest sign of life, on this VM's clock. */
   readonly heardAt: MonotonicMs;
   /** Rises with each beat of the VM's process. */
@@ -51,7 +51,7 @@
 /** One VM as told to another. */
 export interface VmUpdate {
   readonly ageMs: number;
-  readonly facts: VmFacts;
+  readonly facts: VmMetadata;
   readonly sequence: number;
 }
 
@@ -67,7 +67,7 @@
 
 /** What can happen to a membership view. */
 export type MembershipEvent =
-  | {readonly facts: VmFacts; readonly kind: 'selfChanged'}
+  | {readonly facts: VmMetadata; readonly kind: 'selfChanged'}
   | {readonly kind: 'beatDue'}
   | {readonly kind: 'newsHeard'; readonly news: readonly VmUpdate[]}
   | {
--- a/packages/stallpaddle-membership/src/MembershipView.ts
+++ b/packages/stallpaddle-membership/src/MembershipView.ts
@@ -10,7 +10,7 @@
   MembershipEvent,
   MembershipState,
   VmEntry,
-  VmFacts,
+  VmMetadata,
   VmUpdate,
 } from './MembershipTypes';
 
@@ -22,7 +22,7 @@
  * @param self this VM's facts
  * @param now monotonic time
  */
-export function startMembership(self: VmFacts, now: MonotonicMs): MembershipState {
+export function startMembership(self: VmMetadata, now: MonotonicMs): MembershipState {
   return {
     entries: new Map([[self.vm, {facts: self, heardAt: now, sequence: 1, version: 1}]]),
     platformLeaving: new Set(),
@@ -31,7 +31,7 @@
   };
 }
 
-function sameFacts(a: VmFacts, b: VmFacts): boolean {
+function sameFacts(a: VmMetadata, b: VmMetadata): boolean {
   return (
     a.epoch === b.epoch &&
     a.leaving === b.leaving &&
@@ -102,7 +102,7 @@
   return [...state.entries].filter(([, entry]) => !isLive(entry, now)).map(([vm]) => vm);
 }
 
-function putSelf(state: MembershipState, facts: VmFacts, now: MonotonicMs): MembershipState {
+function putSelf(state: MembershipState, facts: VmMetadata, now: MonotonicMs): MembershipState {
   const known = state.entries.get(state.self)!;
   const changed = !sameFacts(known.facts, facts);
   const version = state.version + (changed ? 1 : 0);
@@ -159,7 +159,7 @@
  * @param state the view
  * @param now monotonic time
  */
-export function stayingVms(state: MembershipState, now: MonotonicMs): readonly VmFacts[] {
+export function stayingVms(state: MembershipState, now: MonotonicMs): readonly VmMetadata[] {
   return [...state.entries.values()]
     .filter((entry) => isLive(entry, now))
     .map(({facts}) => facts)
@@ -173,7 +173,7 @@
  * @param state the view
  * @param now monotonic time
  */
-export function liveVms(state: MembershipState, now: MonotonicMs): readonly VmFacts[] {
+export function liveVms(state: MembershipState, now: MonotonicMs): readonly VmMetadata[] {
   return [...state.entries.values()]
     .filter((entry) => isLive(entry, now))
     .map(({facts}) => facts)
--- a/packages/stallpaddle-membership/src/__tests__/unit/MembershipView.test.ts
+++ b/packages/stallpaddle-membership/src/__tests__/unit/MembershipView.test.ts
@@ -5,7 +5,7 @@
 /**
  * The membership view under loss, doubling and reordering of news, and what callers are told.
  */
-import type {MembershipState, VmFacts, VmUpdate} from '../../MembershipTypes';
+import type {MembershipState, VmMetadata, VmUpdate} from '../../MembershipTypes';
 
 import {VM_LOST_AFTER_MS} from '../../MembershipConstants';
 import {
@@ -17,7 +17,7 @@
   stepMembership,
 } from '../../MembershipView';
 
-function facts(vm: string, changes: Partial<VmFacts> = {}): VmFacts {
+function facts(vm: string, changes: Partial<VmMetadata> = {}): VmMetadata {
   const address = {host: '127.0.0.1', port: 1};
   return {
     callers: address,
@@ -32,7 +32,12 @@
   };
 }
 
-function news(vm: string, sequence: number, changes: Partial<VmFacts> = {}, ageMs = 0): VmUpdate {
+function news(
+  vm: string,
+  sequence: number,
+  changes: Partial<VmMetadata> = {},
+  ageMs = 0,
+): VmUpdate {
   return {ageMs, facts: facts(vm, changes), sequence};
 }
 
--- a/packages/stallpaddle-membership/src/index.ts
+++ b/packages/stallpaddle-membership/src/index.ts
@@ -11,7 +11,7 @@
   MembershipEvent,
   MembershipState,
   VmEntry,
-  VmFacts,
+  VmMetadata,
   VmUpdate,
 } from './MembershipTypes';
 export {
--- a/packages/stallpaddle-vm/src/Vm.ts
+++ b/packages/stallpaddle-vm/src/Vm.ts
@@ -4,7 +4,7 @@
 import type {EngineId, GroupId, Logger, LoggerFactory, RefusalError, VmId} from 'stallpaddle';
 import type {ControlPort} from 'stallpaddle-control';
 import type {LedgerPorts} from 'stallpaddle-ledger';
-import type {VmFacts} from 'stallpaddle-membership';
+import type {VmMetadata} from 'stallpaddle-membership';
 import type {RoutingEvent} from 'stallpaddle-routing';
 import type {RpcServer} from 'stallpaddle-rpc';
 import type {VmSettings} from 'stallpaddle-settings';
@@ -68,7 +68,7 @@
   readonly settings: VmSettings;
 }
 
-function firstFacts(settings: VmSettings): VmFacts {
+function firstFacts(settings: VmSettings): VmMetadata {
   const {callers, disk, peers, vm, zone} = settings;
   const hasDisk = disk !== undefined;
   return {callers, epoch: Date.now(), hasDisk, leaving: false, peers, revision: 0, vm, zone};
@@ -338,7 +338,7 @@
     });
   }
 
-  private facts(): VmFacts {
+  private facts(): VmMetadata {
     const {membership, settings} = this.parts;
     const known = membership.state.entries.get(settings.vm)!.facts;
     return {...known, leaving: this.isLeaving(), revision: this.configView.revision};
--- a/packages/stallpaddle-vm/src/VmBeats.ts
+++ b/packages/stallpaddle-vm/src/VmBeats.ts
@@ -9,7 +9,7 @@
   EngineLoadTuple,
   MembershipEvent,
   MembershipState,
-  VmFacts,
+  VmMetadata,
   VmUpdate,
 } from 'stallpaddle-membership';
 import type {VmSettings} from 'stallpaddle-settings';
@@ -67,7 +67,7 @@
   readonly onLoads: (loads: readonly EngineLoadTuple[]) => void;
   readonly onMembership: (event: MembershipEvent) => void;
   readonly peers: VmPeers;
-  readonly self: () => VmFacts;
+  readonly self: () => VmMetadata;
   readonly settings: VmSettings;
 }
 
--- a/packages/stallpaddle-vm/src/VmMembership.ts
+++ b/packages/stallpaddle-vm/src/VmMembership.ts
@@ -2,7 +2,7 @@
  * Holds this VM's membership view.
  */
 import type {Clock} from 'stallpaddle';
-import type {MembershipEvent, MembershipState, VmFacts} from 'stallpaddle-membership';
+import type {MembershipEvent, MembershipState, VmMetadata} from 'stallpaddle-membership';
 
 import {startMembership, stepMembership} from 'stallpaddle-membership';
 
@@ -16,7 +16,7 @@
    */
   constructor(
     private readonly clock: Clock,
-    self: VmFacts,
+    self: VmMetadata,
   ) {
     this.view = startMembership(self, clock.monotonicMs());
   }
