--- a/packages/stallpaddle-membership/src/MembershipTypes.ts
+++ b/packages/stallpaddle-membership/src/MembershipTypes.ts
@@ -41,7 +41,7 @@
 export interface VmEntry {
   readonly facts: VmMetadata;
   /** Latest sign of life, on this VM's clock. */
-  readonly heardAt: MonotonicMs;
+  readonly lastSeenAt: MonotonicMs;
   /** Rises with each beat of the VM's process. */
   readonly sequence: number;
   /** Version of the view in which the facts last changed. */
--- a/packages/stallpaddle-membership/src/MembershipView.ts
+++ b/packages/stallpaddle-membership/src/MembershipView.ts
@@ -24,7 +24,7 @@
  */
 export function startMembership(self: VmMetadata, now: MonotonicMs): MembershipState {
   return {
-    entries: new Map([[self.vm, {facts: self, heardAt: now, sequence: 1, version: 1}]]),
+    entries: new Map([[self.vm, {facts: self, lastSeenAt: now, sequence: 1, version: 1}]]),
     platformLeaving: new Set(),
     self: self.vm,
     version: 1,
@@ -66,7 +66,7 @@
     version += changed ? 1 : 0;
     entries.set(item.facts.vm, {
       facts: item.facts,
-      heardAt: Math.max(known?.heardAt ?? -Infinity, now - item.ageMs),
+      lastSeenAt: Math.max(known?.lastSeenAt ?? -Infinity, now - item.ageMs),
       sequence: item.sequence,
       version: changed ? version : known.version,
     });
@@ -85,7 +85,7 @@
     if (vm !== state.self) {
       entries.set(vm, {
         ...entry,
-        heardAt: lost.has(vm) ? Math.min(entry.heardAt, now - VM_LOST_AFTER_MS) : now,
+        lastSeenAt: lost.has(vm) ? Math.min(entry.lastSeenAt, now - VM_LOST_AFTER_MS) : now,
       });
     }
   }
@@ -106,12 +106,14 @@
   const known = state.entries.get(state.self)!;
   const changed = !sameFacts(known.facts, facts);
   const version = state.version + (changed ? 1 : 0);
-  const entry = {facts, heardAt: now, sequence: known.sequence + 1, version};
+  const entry = {facts, lastSeenAt: now, sequence: known.sequence + 1, version};
   return {...state, entries: new Map(state.entries).set(state.self, entry), version};
 }
 
 function forgetOld(state: MembershipState, now: MonotonicMs): MembershipState {
-  const kept = [...state.entries].filter(([, entry]) => now - entry.heardAt < VM_REMOVE_AFTER_MS);
+  const kept = [...state.entries].filter(
+    ([, entry]) => now - entry.lastSeenAt < VM_REMOVE_AFTER_MS,
+  );
   return kept.length === state.entries.size ? state : {...state, entries: new Map(kept)};
 }
 
@@ -150,7 +152,7 @@
  * @param now monotonic time
  */
 export function isLive(entry: VmEntry, now: MonotonicMs): boolean {
-  return now - entry.heardAt < VM_LOST_AFTER_MS;
+  return now - entry.lastSeenAt < VM_LOST_AFTER_MS;
 }
 
 /**
@@ -226,5 +228,5 @@
 ): readonly VmUpdate[] {
   return [...state.entries.values()]
     .filter((entry) => entry.version > since)
-    .map(({facts, heardAt, sequence}) => ({ageMs: now - heardAt, facts, sequence}));
+    .map(({facts, lastSeenAt, sequence}) => ({ageMs: now - lastSeenAt, facts, sequence}));
 }
--- a/packages/stallpaddle-vm/src/VmStatus.ts
+++ b/packages/stallpaddle-vm/src/VmStatus.ts
@@ -127,7 +127,7 @@
     revision: config.revision,
     vm: sources.vm,
     vms: [...membership.entries.values()].map((entry) => ({
-      heardAgeMs: Math.round(now - entry.heardAt),
+      heardAgeMs: Math.round(now - entry.lastSeenAt),
       leaving: entry.facts.leaving || membership.platformLeaving.has(entry.facts.vm),
       live: isLive(entry, now),
       revision: entry.facts.revision,
