--- a/packages/stallpaddle-membership/src/MembershipView.ts
+++ b/packages/stallpaddle-membership/src/MembershipView.ts
@@ -221,7 +221,7 @@
  * @param now monotonic time
  * @param since version that the other VM has seen; 0 for all
  */
-export function newsSince(
+export function updatesSince(
   state: MembershipState,
   now: MonotonicMs,
   since: number,
--- a/packages/stallpaddle-membership/src/__tests__/unit/MembershipView.test.ts
+++ b/packages/stallpaddle-membership/src/__tests__/unit/MembershipView.test.ts
@@ -11,10 +11,10 @@
 import {
   addressesFor,
   lostVms,
-  newsSince,
   startMembership,
   stayingVms,
   stepMembership,
+  updatesSince,
 } from '../../MembershipView';
 
 function facts(vm: string, changes: Partial<VmMetadata> = {}): VmMetadata {
@@ -96,9 +96,9 @@
   test('tells only what changed since', () => {
     const state = hear(start(), [news('a', 1), news('b', 1)], 0);
     const again = hear(state, [news('a', 2)], 1);
-    expect(newsSince(again, 1, state.version)).toEqual([]);
+    expect(updatesSince(again, 1, state.version)).toEqual([]);
     const leaving = hear(again, [news('a', 3, {leaving: true})], 2);
-    expect(newsSince(leaving, 2, state.version).map((one) => one.facts.vm)).toEqual(['a']);
+    expect(updatesSince(leaving, 2, state.version).map((one) => one.facts.vm)).toEqual(['a']);
   });
 });
 
--- a/packages/stallpaddle-membership/src/index.ts
+++ b/packages/stallpaddle-membership/src/index.ts
@@ -20,8 +20,8 @@
   isLive,
   liveVms,
   lostVms,
-  newsSince,
   startMembership,
   stayingVms,
   stepMembership,
+  updatesSince,
 } from './MembershipView';
--- a/packages/stallpaddle-vm/src/VmBeats.ts
+++ b/packages/stallpaddle-vm/src/VmBeats.ts
@@ -16,7 +16,7 @@
 
 import {decodeValue, delay, encodeValue, rendezvousOrder} from 'stallpaddle';
 import {changesAfter} from 'stallpaddle-control';
-import {HEARTBEAT_INTERVAL_MS, liveVms, lostVms, newsSince} from 'stallpaddle-membership';
+import {HEARTBEAT_INTERVAL_MS, liveVms, lostVms, updatesSince} from 'stallpaddle-membership';
 
 import type {ConfigNews, ConfigView} from './VmConfigView';
 import type {VmGroups} from './VmGroups';
@@ -128,7 +128,7 @@
       heldMs: now - receivedAt,
       loads: loads(),
       lost: beat.tellsAll ? [] : lostVms(membership(), now),
-      news: newsSince(membership(), now, beat.tellsAll ? 0 : beat.since),
+      news: updatesSince(membership(), now, beat.tellsAll ? 0 : beat.since),
       revision,
       version: membership().version,
       waitingModels: this.options.groups?.waitingModels() ?? [],
@@ -206,7 +206,7 @@
     const selfNews: VmUpdate = {ageMs: 0, facts: this.options.self(), sequence: self.sequence};
     const message: BeatMessage = {
       loads: loads(),
-      news: tellsAll ? newsSince(membership(), sentAt, 0) : [selfNews],
+      news: tellsAll ? updatesSince(membership(), sentAt, 0) : [selfNews],
       revision: basis,
       since: this.seen.get(target) ?? 0,
       tellsAll,
