--- a/packages/stallpaddle-gateway/src/__tests__/unit/GatewayFixtures.ts
+++ b/packages/stallpaddle-gateway/src/__tests__/unit/GatewayFixtures.ts
@@ -4,7 +4,7 @@
 import {seededRandom, silentLogger} from 'stallpaddle';
 import {EMPTY_CONFIG} from 'stallpaddle-control';
 import {EngineLanes} from 'stallpaddle-engine';
-import {startMembership} from 'stallpaddle-membership';
+import {initialMembership} from 'stallpaddle-membership';
 import {EMPTY_ROUTING, stepRouting} from 'stallpaddle-routing';
 import {parseSettings} from 'stallpaddle-settings';
 
@@ -74,7 +74,7 @@
     ledger: {all: [], forCustomer: unused},
     limits: settings.limits,
     logger: silentLogger,
-    membership: () => startMembership(facts, 0),
+    membership: () => initialMembership(facts, 0),
     metrics: new GatewayMetrics(),
     onRouting: (event) => {
       routing = stepRouting(routing, event, 0);
--- a/packages/stallpaddle-membership/src/MembershipView.ts
+++ b/packages/stallpaddle-membership/src/MembershipView.ts
@@ -22,7 +22,7 @@
  * @param self this VM's facts
  * @param now monotonic time
  */
-export function startMembership(self: VmMetadata, now: MonotonicMs): MembershipState {
+export function initialMembership(self: VmMetadata, now: MonotonicMs): MembershipState {
   return {
     entries: new Map([[self.vm, {facts: self, lastSeenAt: now, sequence: 1, version: 1}]]),
     platformLeaving: new Set(),
--- a/packages/stallpaddle-membership/src/__tests__/unit/MembershipView.test.ts
+++ b/packages/stallpaddle-membership/src/__tests__/unit/MembershipView.test.ts
@@ -10,8 +10,8 @@
 import {VM_LOST_AFTER_MS} from '../../MembershipConstants';
 import {
   addressesFor,
+  initialMembership,
   lostVms,
-  startMembership,
   stayingVms,
   stepMembership,
   updatesSince,
@@ -45,7 +45,7 @@
   return stepMembership(state, {kind: 'newsHeard', news: items}, now);
 }
 
-const start = (): MembershipState => startMembership(facts('self'), 0);
+const start = (): MembershipState => initialMembership(facts('self'), 0);
 
 describe('stepMembership', () => {
   test(
--- a/packages/stallpaddle-membership/src/index.ts
+++ b/packages/stallpaddle-membership/src/index.ts
@@ -17,10 +17,10 @@
 export {
   type AddressAnswer,
   addressesFor,
+  initialMembership,
   isLive,
   liveVms,
   lostVms,
-  startMembership,
   stayingVms,
   stepMembership,
   updatesSince,
--- a/packages/stallpaddle-vm/src/VmMembership.ts
+++ b/packages/stallpaddle-vm/src/VmMembership.ts
@@ -4,7 +4,7 @@
 import type {Clock} from 'stallpaddle';
 import type {MembershipEvent, MembershipState, VmMetadata} from 'stallpaddle-membership';
 
-import {startMembership, stepMembership} from 'stallpaddle-membership';
+import {initialMembership, stepMembership} from 'stallpaddle-membership';
 
 /** The view, changed by events only. */
 export class VmMembership {
@@ -18,7 +18,7 @@
     private readonly clock: Clock,
     self: VmMetadata,
   ) {
-    this.view = startMembership(self, clock.monotonicMs());
+    this.view = initialMembership(self, clock.monotonicMs());
   }
 
   /** The view at present. */
