--- a/packages/stallpaddle-gateway/src/GatewayOnline.ts
+++ b/packages/stallpaddle-gateway/src/GatewayOnline.ts
@@ -16,7 +16,7 @@
 } from 'stallpaddle';
 import {BackendError, readBody} from 'stallpaddle-engine';
 import {LimitShare} from 'stallpaddle-limits';
-import {stayingVms} from 'stallpaddle-membership';
+import {activeVms} from 'stallpaddle-membership';
 import {countRequest, FULL_RETRY_BUDGET, placeOnline, takeRetry} from 'stallpaddle-routing';
 
 import type {CustomerCaller} from './GatewayAuth';
@@ -96,7 +96,7 @@
       return;
     }
     const now = this.context.clock.monotonicMs();
-    const vms = Math.max(1, stayingVms(this.context.membership(), now).length);
+    const vms = Math.max(1, activeVms(this.context.membership(), now).length);
     const ratePerSecond = record.requestsPerSecond;
     const limit = {burst: ratePerSecond * BURST_SECONDS, customer, ratePerSecond};
     const answer = this.share.ask(limit, vms, now);
--- a/packages/stallpaddle-membership/src/MembershipView.ts
+++ b/packages/stallpaddle-membership/src/MembershipView.ts
@@ -161,7 +161,7 @@
  * @param state the view
  * @param now monotonic time
  */
-export function stayingVms(state: MembershipState, now: MonotonicMs): readonly VmMetadata[] {
+export function activeVms(state: MembershipState, now: MonotonicMs): readonly VmMetadata[] {
   return [...state.entries.values()]
     .filter((entry) => isLive(entry, now))
     .map(({facts}) => facts)
@@ -204,7 +204,7 @@
   zone: ZoneId | undefined,
   now: MonotonicMs,
 ): readonly AddressAnswer[] {
-  const staying = new Map(stayingVms(state, now).map((facts) => [facts.vm, facts]));
+  const staying = new Map(activeVms(state, now).map((facts) => [facts.vm, facts]));
   const order = rendezvousOrder(caller, [...staying.keys()]).map((vm) => staying.get(vm)!);
   const near = order.filter((facts) => facts.zone === zone);
   const far = order.filter((facts) => facts.zone !== zone);
--- a/packages/stallpaddle-membership/src/__tests__/unit/MembershipView.test.ts
+++ b/packages/stallpaddle-membership/src/__tests__/unit/MembershipView.test.ts
@@ -9,10 +9,10 @@
 
 import {VM_LOST_AFTER_MS} from '../../MembershipConstants';
 import {
+  activeVms,
   addressesFor,
   initialMembership,
   lostVms,
-  stayingVms,
   stepMembership,
   updatesSince,
 } from '../../MembershipView';
@@ -81,7 +81,7 @@
 
   test('loses a VM that was silent, and finds it again', () => {
     let state = hear(start(), [news('a', 1)], 0);
-    expect(stayingVms(state, VM_LOST_AFTER_MS - 1).map(({vm}) => vm)).toContain('a');
+    expect(activeVms(state, VM_LOST_AFTER_MS - 1).map(({vm}) => vm)).toContain('a');
     expect(lostVms(state, VM_LOST_AFTER_MS)).toContain('a');
     state = hear(state, [news('a', 2)], VM_LOST_AFTER_MS + 5);
     expect(lostVms(state, VM_LOST_AFTER_MS + 10)).not.toContain('a');
@@ -90,7 +90,7 @@
   test('takes the word of a VM with a disk on who is lost', () => {
     const state = hear(start(), [news('a', 1), news('b', 1)], 0);
     const later = stepMembership(state, {kind: 'lossesHeard', lost: ['b']}, 5000);
-    expect(stayingVms(later, 5000).map(({vm}) => vm)).toEqual(['a']);
+    expect(activeVms(later, 5000).map(({vm}) => vm)).toEqual(['a']);
   });
 
   test('tells only what changed since', () => {
--- a/packages/stallpaddle-membership/src/index.ts
+++ b/packages/stallpaddle-membership/src/index.ts
@@ -15,13 +15,13 @@
   VmUpdate,
 } from './MembershipTypes';
 export {
+  activeVms,
   type AddressAnswer,
   addressesFor,
   initialMembership,
   isLive,
   liveVms,
   lostVms,
-  stayingVms,
   stepMembership,
   updatesSince,
 } from './MembershipView';
--- a/packages/stallpaddle-vm/src/Vm.ts
+++ b/packages/stallpaddle-vm/src/Vm.ts
@@ -15,7 +15,7 @@
 import {EngineLanes} from 'stallpaddle-engine';
 import {GatewayMetrics, GatewayServer} from 'stallpaddle-gateway';
 import {shardOfCustomer} from 'stallpaddle-ledger';
-import {liveVms, stayingVms} from 'stallpaddle-membership';
+import {activeVms, liveVms} from 'stallpaddle-membership';
 import {loadIdentity} from 'stallpaddle-replication';
 import {onlineStreams} from 'stallpaddle-routing';
 import {startRpcServer} from 'stallpaddle-rpc';
@@ -100,7 +100,7 @@
     this.owners = new VmOwners({
       clock: this.clock,
       config: () => this.configView.config,
-      stayingVms: () => stayingVms(membership.state, this.clock.monotonicMs()).map(({vm}) => vm),
+      stayingVms: () => activeVms(membership.state, this.clock.monotonicMs()).map(({vm}) => vm),
       vm: settings.vm,
     });
     this.engines = new VmEngines(this.clock, () => this.owners.own);
