--- a/packages/stallpaddle-membership/src/MembershipView.ts
+++ b/packages/stallpaddle-membership/src/MembershipView.ts
@@ -183,7 +183,7 @@
 }
 
 /** Addresses for one caller, and how long to keep them. */
-export interface AddressAnswer {
+export interface CallerAddress {
   readonly vm: VmId;
   readonly zone: ZoneId;
   readonly host: string;
@@ -203,7 +203,7 @@
   caller: string,
   zone: ZoneId | undefined,
   now: MonotonicMs,
-): readonly AddressAnswer[] {
+): readonly CallerAddress[] {
   const staying = new Map(activeVms(state, now).map((facts) => [facts.vm, facts]));
   const order = rendezvousOrder(caller, [...staying.keys()]).map((vm) => staying.get(vm)!);
   const near = order.filter((facts) => facts.zone === zone);
--- a/packages/stallpaddle-membership/src/index.ts
+++ b/packages/stallpaddle-membership/src/index.ts
@@ -16,8 +16,8 @@
 } from './MembershipTypes';
 export {
   activeVms,
-  type AddressAnswer,
   addressesFor,
+  type CallerAddress,
   initialMembership,
   isLive,
   liveVms,
