--- a/packages/stallpaddle-control/src/ControlConfig.ts
+++ b/packages/stallpaddle-control/src/ControlConfig.ts
@@ -65,7 +65,7 @@
  *
  * @param config a configuration
  */
-export function changesOf(config: FleetConfig): readonly ConfigChange[] {
+export function configToChanges(config: FleetConfig): readonly ConfigChange[] {
   const rows = <Table extends ConfigChange['table']>(table: Table): readonly ConfigChange[] =>
     [...(config[table] as ImmutableMap<string, never>)].map(
       ([key, record]) => ({key, record, table}) as unknown as ConfigChange,
--- a/packages/stallpaddle-control/src/ControlMachine.ts
+++ b/packages/stallpaddle-control/src/ControlMachine.ts
@@ -18,7 +18,7 @@
   WallMs,
 } from './ControlTypes';
 
-import {applyChanges, changesOf, EMPTY_CONFIG} from './ControlConfig';
+import {applyChanges, configToChanges, EMPTY_CONFIG} from './ControlConfig';
 import {planIntent} from './ControlPlanner';
 
 /** Audit lines kept in memory; at 600 changes a day this is more than a week. */
@@ -225,7 +225,7 @@
 ): {readonly changes: readonly ConfigChange[]; readonly whole: boolean} {
   const first = state.history.first()?.revision ?? state.revision + 1;
   if (revision + 1 < first || revision > state.revision) {
-    return {changes: changesOf(state.config), whole: true};
+    return {changes: configToChanges(state.config), whole: true};
   }
   const changes = state.history
     .filter((known) => known.revision > revision)
@@ -262,7 +262,7 @@
     const encoded: EncodedControl = {
       audit: state.audit.toArray(),
       auditCount: state.auditCount,
-      changes: changesOf(state.config),
+      changes: configToChanges(state.config),
       history: state.history.toArray(),
       plans: [...state.plans.values()],
       revision: state.revision,
--- a/packages/stallpaddle-control/src/__tests__/unit/ControlMachine.test.ts
+++ b/packages/stallpaddle-control/src/__tests__/unit/ControlMachine.test.ts
@@ -8,7 +8,7 @@
  */
 import type {ControlAnswer, ControlCommand, ControlState, Intent} from '../../ControlTypes';
 
-import {applyChanges, changesOf, EMPTY_CONFIG} from '../../ControlConfig';
+import {applyChanges, configToChanges, EMPTY_CONFIG} from '../../ControlConfig';
 import {changesAfter, controlMachine, EMPTY_CONTROL} from '../../ControlMachine';
 
 const OPERATORS = ['ines', 'joao'] as const;
@@ -201,7 +201,7 @@
     expect(changesAfter(control.state, 1100).whole).toBe(false);
     expect(changesAfter(control.state, 3).whole).toBe(true);
     const rebuilt = applyChanges(EMPTY_CONFIG, changesAfter(control.state, 0).changes);
-    expect(changesOf(rebuilt)).toEqual(changesOf(control.state.config));
+    expect(configToChanges(rebuilt)).toEqual(configToChanges(control.state.config));
     expect(rebuilt.vms.get('vm-2')).toEqual({draining: true});
     expect(rebuilt.vms.has('vm-1')).toBe(false);
   });
--- a/packages/stallpaddle-control/src/index.ts
+++ b/packages/stallpaddle-control/src/index.ts
@@ -1,7 +1,7 @@
 /** Control group: configuration, plans, orders to engines, audit trail. */
 export {
   applyChanges,
-  changesOf,
+  configToChanges,
   currentEngines,
   EMPTY_CONFIG,
   engineTarget,
--- a/packages/stallpaddle-vm/src/VmFirstConfig.ts
+++ b/packages/stallpaddle-vm/src/VmFirstConfig.ts
@@ -4,7 +4,7 @@
 import type {ConfigChange} from 'stallpaddle-control';
 import type {VmSettings} from 'stallpaddle-settings';
 
-import {applyChanges, changesOf, EMPTY_CONFIG} from 'stallpaddle-control';
+import {applyChanges, configToChanges, EMPTY_CONFIG} from 'stallpaddle-control';
 
 /**
  * The changes that make the first configuration.
@@ -30,5 +30,5 @@
       table: 'services',
     })),
   ];
-  return changesOf(applyChanges(EMPTY_CONFIG, changes));
+  return configToChanges(applyChanges(EMPTY_CONFIG, changes));
 }
