--- a/packages/stallpaddle-control/src/ControlMachine.ts
+++ b/packages/stallpaddle-control/src/ControlMachine.ts
@@ -9,8 +9,8 @@
 import type {
   AuditEntry,
   ConfigChange,
-  ControlAnswer,
   ControlCommand,
+  ControlCommandResult,
   ControlState,
   PlanRecord,
   PlanState,
@@ -67,7 +67,7 @@
 }
 
 interface Outcome {
-  readonly answer: ControlAnswer;
+  readonly answer: ControlCommandResult;
   readonly state: ControlState;
 }
 
@@ -208,7 +208,7 @@
 export function updateControl(
   state: ControlState,
   command: ControlCommand,
-): MachineResult<ControlState> & {readonly result: ControlAnswer} {
+): MachineResult<ControlState> & {readonly result: ControlCommandResult} {
   const {answer, state: next} = run(state, command);
   return {blobs: [], result: answer, state: next};
 }
--- a/packages/stallpaddle-control/src/ControlQueries.ts
+++ b/packages/stallpaddle-control/src/ControlQueries.ts
@@ -5,8 +5,8 @@
 
 import type {
   AuditEntry,
-  ControlAnswer,
   ControlCommand,
+  ControlCommandResult,
   ControlState,
   PlanRecord,
 } from './ControlTypes';
@@ -30,7 +30,7 @@
    *
    * @throws {RefusalError} `unavailable` when no leader takes it in time
    */
-  readonly command: (command: ControlCommand) => Promise<ControlAnswer>;
+  readonly command: (command: ControlCommand) => Promise<ControlCommandResult>;
   /** Asks the leader. */
   readonly query: <Type extends ControlQuery['type']>(
     query: Extract<ControlQuery, {type: Type}>,
--- a/packages/stallpaddle-control/src/ControlTypes.ts
+++ b/packages/stallpaddle-control/src/ControlTypes.ts
@@ -242,7 +242,7 @@
     };
 
 /** Answers to commands. */
-export type ControlAnswer =
+export type ControlCommandResult =
   | {readonly kind: 'ok'}
   | {readonly kind: 'plan'; readonly plan: PlanRecord}
   | {
--- a/packages/stallpaddle-control/src/__tests__/unit/ControlMachine.test.ts
+++ b/packages/stallpaddle-control/src/__tests__/unit/ControlMachine.test.ts
@@ -6,7 +6,7 @@
 /**
  * Plans and confirms of racing operators, beside a naive version; restarts; the audit trail.
  */
-import type {ControlAnswer, ControlCommand, ControlState, Intent} from '../../ControlTypes';
+import type {ControlCommand, ControlCommandResult, ControlState, Intent} from '../../ControlTypes';
 
 import {applyChanges, configToChanges, EMPTY_CONFIG} from '../../ControlConfig';
 import {changesAfter, controlMachine, EMPTY_CONTROL} from '../../ControlMachine';
@@ -28,10 +28,10 @@
 class ControlUnderTest {
   state: ControlState = EMPTY_CONTROL;
 
-  apply(command: ControlCommand): ControlAnswer {
+  apply(command: ControlCommand): ControlCommandResult {
     const {result, state} = controlMachine.apply(this.state, encodeValue(command), 0);
     this.state = state;
-    return result as ControlAnswer;
+    return result as ControlCommandResult;
   }
 
   start(): void {
@@ -49,16 +49,16 @@
     this.state = controlMachine.decode(controlMachine.encode(this.state));
   }
 
-  plan(planId: string, operator: string, intent: Intent): ControlAnswer {
+  plan(planId: string, operator: string, intent: Intent): ControlCommandResult {
     return this.apply({intent, now: 0, operator, planId, type: 'plan'});
   }
 
-  confirm(planId: string, operator: string): ControlAnswer {
+  confirm(planId: string, operator: string): ControlCommandResult {
     return this.apply({now: 1, operator, planId, type: 'confirm'});
   }
 }
 
-function outcomeOf(answer: ControlAnswer): string {
+function outcomeOf(answer: ControlCommandResult): string {
   return answer.kind === 'plan' ? answer.plan.state.kind : answer.kind;
 }
 
--- a/packages/stallpaddle-gateway/src/GatewayAdmin.ts
+++ b/packages/stallpaddle-gateway/src/GatewayAdmin.ts
@@ -2,7 +2,7 @@
  * Operators' interface: intents, plans, audit trail, status.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import type {ControlAnswer, PlanRecord} from 'stallpaddle-control';
+import type {ControlCommandResult, PlanRecord} from 'stallpaddle-control';
 import type {LedgerPort} from 'stallpaddle-ledger';
 
 import {generateId, refuse} from 'stallpaddle';
@@ -19,7 +19,7 @@
 const DEFAULT_AUDIT_LINES = 200;
 const MAX_AUDIT_LINES = 5000;
 
-function planOf(answer: ControlAnswer): PlanRecord {
+function planOf(answer: ControlCommandResult): PlanRecord {
   switch (answer.kind) {
     case 'ok':
       throw refuse('internal', 'the control group gave an answer of another kind');
--- a/packages/stallpaddle-vm/src/VmGroupClient.ts
+++ b/packages/stallpaddle-vm/src/VmGroupClient.ts
@@ -2,7 +2,7 @@
  * Calls to a group from any VM: finds the leader, and tries again while that can do no harm.
  */
 import type {Clock, GroupId, VmId} from 'stallpaddle';
-import type {ControlAnswer, ControlPort} from 'stallpaddle-control';
+import type {ControlCommandResult, ControlPort} from 'stallpaddle-control';
 import type {LedgerAnswer, LedgerPort} from 'stallpaddle-ledger';
 import type {BlobRef} from 'stallpaddle-storage';
 
@@ -162,7 +162,7 @@
  */
 export function controlPort(client: VmGroupClient): ControlPort {
   return {
-    command: async (command) => (await client.call(command, false)) as ControlAnswer,
+    command: async (command) => (await client.call(command, false)) as ControlCommandResult,
     query: async (query) => (await client.call(query, true)) as never,
   };
 }
