--- a/packages/stallpaddle-control/src/ControlQueries.ts
+++ b/packages/stallpaddle-control/src/ControlQueries.ts
@@ -18,7 +18,7 @@
   | {readonly type: 'revision'};
 
 /** Answers. */
-export type ControlReply =
+export type ControlQueryResult =
   | {readonly entries: readonly AuditEntry[]; readonly type: 'audit'}
   | {readonly plan: PlanRecord | undefined; readonly type: 'plan'}
   | {readonly revision: number; readonly type: 'revision'};
@@ -34,7 +34,7 @@
   /** Asks the leader. */
   readonly query: <Type extends ControlQuery['type']>(
     query: Extract<ControlQuery, {type: Type}>,
-  ) => Promise<Extract<ControlReply, {type: Type}>>;
+  ) => Promise<Extract<ControlQueryResult, {type: Type}>>;
 }
 
 /**
@@ -43,7 +43,7 @@
  * @param state the control state
  * @param query the question
  */
-export function queryControl(state: ControlState, query: ControlQuery): ControlReply {
+export function queryControl(state: ControlState, query: ControlQuery): ControlQueryResult {
   switch (query.type) {
     case 'audit': {
       const newer = state.audit.filter((entry) => entry.number > query.after);
--- a/packages/stallpaddle-control/src/index.ts
+++ b/packages/stallpaddle-control/src/index.ts
@@ -24,7 +24,7 @@
 export {
   type ControlPort,
   type ControlQuery,
-  type ControlReply,
+  type ControlQueryResult,
   queryControl,
 } from './ControlQueries';
 export type {
