--- a/packages/stallpaddle-control/src/ControlOrders.ts
+++ b/packages/stallpaddle-control/src/ControlOrders.ts
@@ -90,6 +90,6 @@
  * @param term term in which the issuer leads
  * @param order the order's number in that term, from 0
  */
-export function fencingNumber(term: number, order: number): number {
+export function fencingToken(term: number, order: number): number {
   return term * ORDERS_PER_TERM + (order % ORDERS_PER_TERM);
 }
--- a/packages/stallpaddle-control/src/__tests__/unit/ControlOrders.test.ts
+++ b/packages/stallpaddle-control/src/__tests__/unit/ControlOrders.test.ts
@@ -8,7 +8,7 @@
 import type {FleetConfig} from '../../ControlTypes';
 
 import {applyChanges, EMPTY_CONFIG, engineTarget} from '../../ControlConfig';
-import {type EngineOrder, fencingNumber, MAX_LOADS_AT_ONCE, nextOrders} from '../../ControlOrders';
+import {type EngineOrder, fencingToken, MAX_LOADS_AT_ONCE, nextOrders} from '../../ControlOrders';
 
 const ENGINES = ['e1', 'e2', 'e3'] as const;
 
@@ -135,7 +135,7 @@
   });
 
   test('numbers rise with the term, then with the order', () => {
-    expect(fencingNumber(2, 0)).toBeGreaterThan(fencingNumber(1, 999_999));
-    expect(fencingNumber(2, 1)).toBeGreaterThan(fencingNumber(2, 0));
+    expect(fencingToken(2, 0)).toBeGreaterThan(fencingToken(1, 999_999));
+    expect(fencingToken(2, 1)).toBeGreaterThan(fencingToken(2, 0));
   });
 });
--- a/packages/stallpaddle-control/src/index.ts
+++ b/packages/stallpaddle-control/src/index.ts
@@ -16,7 +16,7 @@
 export {
   type EngineOrder,
   type EngineReport,
-  fencingNumber,
+  fencingToken,
   MAX_LOADS_AT_ONCE,
   nextOrders,
 } from './ControlOrders';
--- a/packages/stallpaddle-vm/src/VmOrders.ts
+++ b/packages/stallpaddle-vm/src/VmOrders.ts
@@ -5,7 +5,7 @@
 import type {ControlPort, EngineOrder, EngineReport, FleetConfig} from 'stallpaddle-control';
 import type {EngineAdapter} from 'stallpaddle-engine';
 
-import {fencingNumber, nextOrders} from 'stallpaddle-control';
+import {fencingToken, nextOrders} from 'stallpaddle-control';
 
 import type {VmGroups} from './VmGroups';
 
@@ -83,7 +83,7 @@
     if (adapter === undefined || !this.mayOrder(config, engine)) {
       return;
     }
-    const fencing = fencingNumber(this.term, this.issued++);
+    const fencing = fencingToken(this.term, this.issued++);
     const outcome = await adapter.order(target, fencing);
     const detail = `${engine} shall hold ${target.join(', ') || 'nothing'} (${fencing}): ${outcome.kind}`;
     this.options.logger.info('An order was sent.', {engine, fencing, outcome: outcome.kind});
