--- a/packages/stallpaddle-control/src/ControlOrders.ts
+++ b/packages/stallpaddle-control/src/ControlOrders.ts
@@ -25,7 +25,7 @@
 }
 
 /** Loads that may run at once, so that the weight store's rate is kept. */
-export const MAX_LOADS_AT_ONCE = 2;
+export const MAX_CONCURRENT_LOADS = 2;
 
 function sameNames(a: readonly string[], b: readonly string[]): boolean {
   return a.length === b.length && a.every((name) => b.includes(name));
@@ -69,7 +69,7 @@
       continue;
     }
     const mustLoad = target.some((name) => !held.includes(name));
-    if (mustLoad && loads >= MAX_LOADS_AT_ONCE) {
+    if (mustLoad && loads >= MAX_CONCURRENT_LOADS) {
       continue;
     }
     loads += mustLoad ? 1 : 0;
--- a/packages/stallpaddle-control/src/__tests__/unit/ControlOrders.test.ts
+++ b/packages/stallpaddle-control/src/__tests__/unit/ControlOrders.test.ts
@@ -8,7 +8,12 @@
 import type {FleetConfig} from '../../ControlTypes';
 
 import {applyChanges, EMPTY_CONFIG, engineTarget} from '../../ControlConfig';
-import {type EngineOrder, fencingToken, MAX_LOADS_AT_ONCE, nextOrders} from '../../ControlOrders';
+import {
+  type EngineOrder,
+  fencingToken,
+  MAX_CONCURRENT_LOADS,
+  nextOrders,
+} from '../../ControlOrders';
 
 const ENGINES = ['e1', 'e2', 'e3'] as const;
 
@@ -127,7 +132,7 @@
   test("keeps to the weight store's rate", () => {
     const config = configOf([[0, 1, 2]]);
     const idle = ENGINES.map((engine) => ({engine, loaded: [], loading: []}));
-    expect(nextOrders(config, idle)).toHaveLength(MAX_LOADS_AT_ONCE);
+    expect(nextOrders(config, idle)).toHaveLength(MAX_CONCURRENT_LOADS);
   });
 
   test('says nothing to an engine that did not report', () => {
--- a/packages/stallpaddle-control/src/index.ts
+++ b/packages/stallpaddle-control/src/index.ts
@@ -17,7 +17,7 @@
   type EngineOrder,
   type EngineReport,
   fencingToken,
-  MAX_LOADS_AT_ONCE,
+  MAX_CONCURRENT_LOADS,
   nextOrders,
 } from './ControlOrders';
 export {planIntent, type PlanRefusal, type PlanResult} from './ControlPlanner';
