--- a/packages/stallpaddle-bench/src/BenchControl.ts
+++ b/packages/stallpaddle-bench/src/BenchControl.ts
@@ -3,7 +3,12 @@
  */
 import type {ConfigChange} from 'stallpaddle-control';
 
-import {applyChanges, controlMachine, EMPTY_CONFIG, EMPTY_CONTROL} from 'stallpaddle-control';
+import {
+  applyChanges,
+  controlMachine,
+  EMPTY_CONFIG,
+  INITIAL_CONTROL_STATE,
+} from 'stallpaddle-control';
 
 /** Cost of a number of records. */
 export interface ControlCost {
@@ -49,7 +54,7 @@
   changes.length = 0;
   globalThis.gc?.();
   const heap = process.memoryUsage().heapUsed - before;
-  const snapshot = controlMachine.encode({...EMPTY_CONTROL, config});
+  const snapshot = controlMachine.encode({...INITIAL_CONTROL_STATE, config});
   return {
     heapBytesPerRecord: Math.round(heap / records),
     records,
--- a/packages/stallpaddle-control/src/ControlMachine.ts
+++ b/packages/stallpaddle-control/src/ControlMachine.ts
@@ -29,7 +29,7 @@
 const PLANS_KEPT = 2_000;
 
 /** A control group that has decided nothing. */
-export const EMPTY_CONTROL: ControlState = {
+export const INITIAL_CONTROL_STATE: ControlState = {
   audit: List<AuditEntry>(),
   auditCount: 0,
   config: EMPTY_CONFIG,
@@ -269,5 +269,5 @@
     };
     return encodeValue(encoded);
   },
-  initial: () => EMPTY_CONTROL,
+  initial: () => INITIAL_CONTROL_STATE,
 };
--- a/packages/stallpaddle-control/src/__tests__/unit/ControlMachine.test.ts
+++ b/packages/stallpaddle-control/src/__tests__/unit/ControlMachine.test.ts
@@ -9,7 +9,7 @@
 import type {ControlCommand, ControlCommandResult, ControlState, Intent} from '../../ControlTypes';
 
 import {applyChanges, configToChanges, EMPTY_CONFIG} from '../../ControlConfig';
-import {changesAfter, controlMachine, EMPTY_CONTROL} from '../../ControlMachine';
+import {changesAfter, controlMachine, INITIAL_CONTROL_STATE} from '../../ControlMachine';
 
 const OPERATORS = ['ines', 'joao'] as const;
 
@@ -26,7 +26,7 @@
 
 /** The control group behind its replicated form. */
 class ControlUnderTest {
-  state: ControlState = EMPTY_CONTROL;
+  state: ControlState = INITIAL_CONTROL_STATE;
 
   apply(command: ControlCommand): ControlCommandResult {
     const {result, state} = controlMachine.apply(this.state, encodeValue(command), 0);
--- a/packages/stallpaddle-control/src/index.ts
+++ b/packages/stallpaddle-control/src/index.ts
@@ -12,7 +12,7 @@
   weightsName,
 } from './ControlConfig';
 export {intentSchema} from './ControlIntentSchema';
-export {changesAfter, controlMachine, EMPTY_CONTROL, updateControl} from './ControlMachine';
+export {changesAfter, controlMachine, INITIAL_CONTROL_STATE, updateControl} from './ControlMachine';
 export {
   type EngineOrder,
   type EngineReport,
