--- a/packages/stallpaddle/src/index.ts
+++ b/packages/stallpaddle/src/index.ts
@@ -1,6 +1,4 @@
 export {AdaptiveTimeout, type TimeoutBounds} from './AdaptiveTimeout';
-/** Shared vocabulary of all packages: identifiers, time, errors, verdicts, hashing, logs. */
-export {registerResetDetector} from './Answers';
 export {
   type Clock,
   type Deadline,
@@ -11,6 +9,8 @@
   systemClock,
 } from './Clock';
 export {decodeValue, encodeValue} from './Codec';
+/** Shared vocabulary of all packages: identifiers, time, errors, verdicts, hashing, logs. */
+export {registerResetDetector} from './ConnectionReset';
 export {type ErrorCode, errorMessage, type RefusalDetails, RefusalError, refuse} from './Errors';
 export {hash32, rendezvousOrder, rendezvousOwner} from './Hash';
 export {
