--- a/packages/stallpaddle-control/src/ControlConfig.ts
+++ b/packages/stallpaddle-control/src/ControlConfig.ts
@@ -1,5 +1,5 @@
 /**
- * Reading and changing a configuration.
+ * Operations on the fleet configuration.
  */
 import type {EngineId} from 'stallpaddle';
 
@@ -16,7 +16,7 @@
   VmConfig,
 } from './ControlTypes';
 
-/** A configuration that names nothing. */
+/** The configuration without any records. */
 export const EMPTY_CONFIG: FleetConfig = {
   customers: ImmutableMap<string, CustomerConfig>(),
   engines: ImmutableMap<string, EngineConfig>(),
@@ -25,7 +25,7 @@
   vms: ImmutableMap<string, VmConfig>(),
 };
 
-function put<Row>(
+function setOrRemove<Row>(
   table: ImmutableMap<string, Row>,
   key: string,
   record: Row | null,
@@ -36,34 +36,34 @@
 function applyChange(config: FleetConfig, change: ConfigChange): FleetConfig {
   switch (change.table) {
     case 'customers':
-      return {...config, customers: put(config.customers, change.key, change.record)};
+      return {...config, customers: setOrRemove(config.customers, change.key, change.record)};
     case 'engines':
-      return {...config, engines: put(config.engines, change.key, change.record)};
+      return {...config, engines: setOrRemove(config.engines, change.key, change.record)};
     case 'replacements':
-      return {...config, replacements: put(config.replacements, change.key, change.record)};
+      return {...config, replacements: setOrRemove(config.replacements, change.key, change.record)};
     case 'services':
-      return {...config, services: put(config.services, change.key, change.record)};
+      return {...config, services: setOrRemove(config.services, change.key, change.record)};
     case 'vms':
-      return {...config, vms: put(config.vms, change.key, change.record)};
+      return {...config, vms: setOrRemove(config.vms, change.key, change.record)};
     default:
       return unreachable(change);
   }
 }
 
 /**
- * Applies changes in order.
+ * Applies changes in order and returns the new configuration.
  *
- * @param config present configuration
- * @param changes records to put or remove
+ * @param config configuration to change
+ * @param changes records to set or remove
  */
 export function applyChanges(config: FleetConfig, changes: readonly ConfigChange[]): FleetConfig {
   return changes.reduce(applyChange, config);
 }
 
 /**
- * The changes that build a configuration from nothing.
+ * Returns the changes that build a configuration from the empty one.
  *
- * @param config a configuration
+ * @param config configuration to convert
  */
 export function configToChanges(config: FleetConfig): readonly ConfigChange[] {
   const rows = <Table extends ConfigChange['table']>(table: Table): readonly ConfigChange[] =>
@@ -80,19 +80,19 @@
 }
 
 /**
- * Name of a model version as engines know it.
+ * Name of a model version in calls to engines.
  *
- * @param model name of the weights
- * @param version its version
+ * @param model name of the model
+ * @param version version of the model
  */
 export function weightsName(model: string, version: string): string {
   return `${model}@${version}`;
 }
 
 /**
- * Everything that an engine shall hold, sorted.
+ * Names of all weights and adapters that an engine should hold, sorted.
  *
- * @param config a configuration
+ * @param config configuration in force
  * @param engine the engine
  */
 export function engineTarget(config: FleetConfig, engine: EngineId): readonly string[] {
@@ -112,10 +112,10 @@
 }
 
 /**
- * Slots of the engines that serve a service's current version.
+ * Total slots of the engines that serve a service's current version.
  *
- * @param config a configuration
- * @param name the service
+ * @param config configuration in force
+ * @param name name of the service
  */
 export function serviceSlots(config: FleetConfig, name: string): number {
   return currentEngines(config, name).reduce((sum, id) => {
@@ -125,10 +125,10 @@
 }
 
 /**
- * Engines that shall serve a service's current version, whatever their role.
+ * Engines that should serve a service's current version, regardless of their role.
  *
- * @param config a configuration
- * @param name the service
+ * @param config configuration in force
+ * @param name name of the service
  */
 export function currentEngines(config: FleetConfig, name: string): readonly EngineId[] {
   const service = config.services.get(name);
@@ -138,23 +138,23 @@
   return service.versions.find(({version}) => version === service.current)?.engines ?? [];
 }
 
-/** What a model name that a caller sent stands for. */
+/** Service, weights and engines that a caller's model name resolves to. */
 export interface ResolvedModel {
-  /** Engines that shall serve it. */
+  /** Engines that should serve the model. */
   readonly engines: readonly EngineId[];
   readonly service: string;
-  /** Name of the weights as engines know them. */
+  /** Name of the weights in calls to engines. */
   readonly weights: string;
 }
 
-/** Separates a service from one of its adapters in the model names of callers. */
+/** Separates service and adapter in model names sent by callers. */
 const ADAPTER_SEPARATOR = ':';
 
 /**
- * Finds what a caller's model name stands for: `service`, or `service:adapter`.
+ * Resolves a caller's model name of the form `service` or `service:adapter`.
  *
  * @param config configuration in force
- * @param name model name as sent
+ * @param name model name as sent by the caller
  */
 export function resolveModel(config: FleetConfig, name: string): ResolvedModel | undefined {
   const [serviceName = '', adapter] = name.split(ADAPTER_SEPARATOR, 2);
--- a/packages/stallpaddle-control/src/ControlIntentSchema.ts
+++ b/packages/stallpaddle-control/src/ControlIntentSchema.ts
@@ -1,5 +1,5 @@
 /**
- * Checks intents that come from outside.
+ * Validation of intents received from operators.
  */
 import {z} from 'zod';
 
--- a/packages/stallpaddle-control/src/ControlMachine.ts
+++ b/packages/stallpaddle-control/src/ControlMachine.ts
@@ -1,5 +1,5 @@
 /**
- * The control group as a pure state machine: plans, confirms, revisions, audit trail.
+ * Replicated state machine of the control group: plans, confirmations, revisions and the audit trail.
  */
 import type {MachineResult, ReplicaMachine} from 'stallpaddle-replication';
 
@@ -21,14 +21,14 @@
 import {applyChanges, configToChanges, EMPTY_CONFIG} from './ControlConfig';
 import {planIntent} from './ControlPlanner';
 
-/** Audit lines kept in memory; at 600 changes a day this is more than a week. */
-const AUDIT_KEPT = 20_000;
-/** Revisions kept for VMs that lag; one that lags more gets the whole configuration. */
-const HISTORY_KEPT = 1_000;
-/** Plans kept, for resent confirms. */
-const PLANS_KEPT = 2_000;
+/** Most audit entries kept in the state. */
+const MAX_AUDIT_ENTRIES = 20_000;
+/** Most revisions kept for incremental updates; a VM further behind gets the whole configuration. */
+const MAX_HISTORY_REVISIONS = 1_000;
+/** Most plans kept, so that a repeated confirmation gets the original outcome. */
+const MAX_PLANS = 2_000;
 
-/** A control group that has decided nothing. */
+/** State of a control group before its first command. */
 export const INITIAL_CONTROL_STATE: ControlState = {
   audit: List<AuditEntry>(),
   auditCount: 0,
@@ -38,13 +38,15 @@
   revision: 0,
 };
 
-type Note = Pick<AuditEntry, 'action' | 'actor' | 'at' | 'detail'> & {readonly planId?: string};
+type AuditNote = Pick<AuditEntry, 'action' | 'actor' | 'at' | 'detail'> & {
+  readonly planId?: string;
+};
 
-function withNote(state: ControlState, note: Note): ControlState {
+function withAuditEntry(state: ControlState, note: AuditNote): ControlState {
   const {action, actor, at, detail, planId = null} = note;
   const number = state.auditCount + 1;
   const entry: AuditEntry = {action, actor, at, detail, number, planId, revision: state.revision};
-  return {...state, audit: state.audit.push(entry).takeLast(AUDIT_KEPT), auditCount: number};
+  return {...state, audit: state.audit.push(entry).takeLast(MAX_AUDIT_ENTRIES), auditCount: number};
 }
 
 function withRevision(state: ControlState, changes: readonly ConfigChange[]): ControlState {
@@ -52,22 +54,22 @@
   return {
     ...state,
     config: applyChanges(state.config, changes),
-    history: state.history.push({changes, revision}).takeLast(HISTORY_KEPT),
+    history: state.history.push({changes, revision}).takeLast(MAX_HISTORY_REVISIONS),
     revision,
   };
 }
 
 function withPlan(state: ControlState, plan: PlanRecord): ControlState {
   let plans = state.plans.set(plan.id, plan);
-  if (plans.size > PLANS_KEPT) {
-    const oldest = plans.valueSeq().minBy((known) => known.at)!;
+  if (plans.size > MAX_PLANS) {
+    const oldest = plans.valueSeq().minBy((stored) => stored.at)!;
     plans = plans.remove(oldest.id);
   }
   return {...state, plans};
 }
 
 interface Outcome {
-  readonly answer: ControlCommandResult;
+  readonly result: ControlCommandResult;
   readonly state: ControlState;
 }
 
@@ -76,29 +78,32 @@
   code: 'badRequest' | 'conflict' | 'notFound',
   message: string,
 ): Outcome {
-  return {answer: {code, kind: 'refused', message}, state};
+  return {result: {code, kind: 'refused', message}, state};
 }
 
-function plan(state: ControlState, command: Extract<ControlCommand, {type: 'plan'}>): Outcome {
+function createPlan(
+  state: ControlState,
+  command: Extract<ControlCommand, {type: 'plan'}>,
+): Outcome {
   const {intent, now, operator, planId} = command;
-  const known = state.plans.get(planId);
-  if (known !== undefined) {
-    return {answer: {kind: 'plan', plan: known}, state};
+  const stored = state.plans.get(planId);
+  if (stored !== undefined) {
+    return {result: {kind: 'plan', plan: stored}, state};
   }
-  const result = planIntent(state.config, intent);
-  if (result.kind === 'refused') {
+  const planned = planIntent(state.config, intent);
+  if (planned.kind === 'refused') {
     const note = {
       action: 'refuse' as const,
       actor: operator,
       at: now,
-      detail: `${intent.kind}: ${result.reason}`,
+      detail: `${intent.kind}: ${planned.reason}`,
     };
-    return refused(withNote(state, note), 'badRequest', result.reason);
+    return refused(withAuditEntry(state, note), 'badRequest', planned.reason);
   }
   const record: PlanRecord = {
     at: now,
     basis: state.revision,
-    content: result.content,
+    content: planned.content,
     id: planId,
     intent,
     operator,
@@ -111,57 +116,63 @@
     detail: JSON.stringify(intent),
     planId,
   };
-  return {answer: {kind: 'plan', plan: record}, state: withNote(withPlan(state, record), note)};
+  return {
+    result: {kind: 'plan', plan: record},
+    state: withAuditEntry(withPlan(state, record), note),
+  };
 }
 
-/** Who changed what since a revision, for the operator who lost a race. */
-function changesSince(state: ControlState, revision: number): string {
+/** Lists the plans confirmed since a revision, for the operator whose plan is out of date. */
+function listChangesSince(state: ControlState, revision: number): string {
   return [...state.plans.values()]
-    .flatMap((known) =>
-      known.state.kind === 'confirmed' && known.state.revision > revision
-        ? [`revision ${known.state.revision} by ${known.state.by}: ${known.intent.kind}`]
+    .flatMap((stored) =>
+      stored.state.kind === 'confirmed' && stored.state.revision > revision
+        ? [`revision ${stored.state.revision} by ${stored.state.by}: ${stored.intent.kind}`]
         : [],
     )
     .join('; ');
 }
 
-function confirm(
+function confirmPlan(
   state: ControlState,
   command: Extract<ControlCommand, {type: 'confirm'}>,
 ): Outcome {
   const {now, operator, planId} = command;
-  const known = state.plans.get(planId);
-  if (known === undefined) {
+  const stored = state.plans.get(planId);
+  if (stored === undefined) {
     return refused(state, 'notFound', `no plan ${planId}`);
   }
-  // A resent confirm gets the first one's outcome.
-  if (known.state.kind !== 'proposed') {
-    return {answer: {kind: 'plan', plan: known}, state};
+  // A repeated confirmation returns the outcome of the first one.
+  if (stored.state.kind !== 'proposed') {
+    return {result: {kind: 'plan', plan: stored}, state};
   }
-  const fresh = known.basis === state.revision;
-  const outcome: PlanState = fresh
+  const isCurrent = stored.basis === state.revision;
+  const outcome: PlanState = isCurrent
     ? {at: now, by: operator, kind: 'confirmed', revision: state.revision + 1}
     : {
         at: now,
         by: operator,
         kind: 'refused',
-        reason: `made on revision ${known.basis}, now ${state.revision} (${changesSince(state, known.basis)})`,
+        reason: `made on revision ${stored.basis}, now ${state.revision} (${listChangesSince(state, stored.basis)})`,
       };
-  const ended: PlanRecord = {...known, state: outcome};
-  const next = fresh ? withRevision(state, known.content.changes) : state;
-  const note: Note = {
-    action: fresh ? 'confirm' : 'refuse',
+  const decided: PlanRecord = {...stored, state: outcome};
+  const next = isCurrent ? withRevision(state, stored.content.changes) : state;
+  const note: AuditNote = {
+    action: isCurrent ? 'confirm' : 'refuse',
     actor: operator,
     at: now,
-    detail: outcome.kind === 'refused' ? outcome.reason : known.intent.kind,
+    detail: outcome.kind === 'refused' ? outcome.reason : stored.intent.kind,
     planId,
   };
-  return {answer: {kind: 'plan', plan: ended}, state: withNote(withPlan(next, ended), note)};
+  return {
+    result: {kind: 'plan', plan: decided},
+    state: withAuditEntry(withPlan(next, decided), note),
+  };
 }
 
 function bootstrap(state: ControlState, changes: readonly ConfigChange[], now: WallMs): Outcome {
   if (state.revision > 0) {
-    return {answer: {kind: 'ok'}, state};
+    return {result: {kind: 'ok'}, state};
   }
   const next = withRevision(state, changes);
   const note = {
@@ -170,30 +181,30 @@
     at: now,
     detail: 'first configuration',
   };
-  return {answer: {kind: 'ok'}, state: withNote(next, note)};
+  return {result: {kind: 'ok'}, state: withAuditEntry(next, note)};
 }
 
 function endReplacement(state: ControlState, key: string, now: WallMs): Outcome {
   if (!state.config.replacements.has(key)) {
-    return {answer: {kind: 'ok'}, state};
+    return {result: {kind: 'ok'}, state};
   }
   const next = withRevision(state, [{key, record: null, table: 'replacements'}]);
   const note = {action: 'replaced' as const, actor: 'control', at: now, detail: key};
-  return {answer: {kind: 'ok'}, state: withNote(next, note)};
+  return {result: {kind: 'ok'}, state: withAuditEntry(next, note)};
 }
 
-function run(state: ControlState, command: ControlCommand): Outcome {
+function applyCommand(state: ControlState, command: ControlCommand): Outcome {
   switch (command.type) {
     case 'bootstrap':
       return bootstrap(state, command.changes, command.now);
     case 'confirm':
-      return confirm(state, command);
+      return confirmPlan(state, command);
     case 'endReplacement':
       return endReplacement(state, command.key, command.now);
     case 'note':
-      return {answer: {kind: 'ok'}, state: withNote(state, {...command, at: command.now})};
+      return {result: {kind: 'ok'}, state: withAuditEntry(state, {...command, at: command.now})};
     case 'plan':
-      return plan(state, command);
+      return createPlan(state, command);
     default:
       return unreachable(command);
   }
@@ -203,21 +214,22 @@
  * Applies one command.
  *
  * @param state current state
- * @param command what to change
+ * @param command command to apply
  */
 export function updateControl(
   state: ControlState,
   command: ControlCommand,
 ): MachineResult<ControlState> & {readonly result: ControlCommandResult} {
-  const {answer, state: next} = run(state, command);
-  return {blobs: [], result: answer, state: next};
+  const {result, state: next} = applyCommand(state, command);
+  return {blobs: [], result, state: next};
 }
 
 /**
- * Changes that bring a VM from a revision to the present one, or all of them when it lags too much.
+ * Returns the changes from a revision to the current one, or the whole configuration when the history no longer covers
+ * them.
  *
  * @param state the control state
- * @param revision what the VM has
+ * @param revision revision that the VM has
  */
 export function changesAfter(
   state: ControlState,
@@ -228,8 +240,8 @@
     return {changes: configToChanges(state.config), whole: true};
   }
   const changes = state.history
-    .filter((known) => known.revision > revision)
-    .flatMap((known) => known.changes)
+    .filter((entry) => entry.revision > revision)
+    .flatMap((entry) => entry.changes)
     .toArray();
   return {changes, whole: false};
 }
@@ -243,7 +255,7 @@
   readonly revision: number;
 }
 
-/** The control group as a replicated state machine. */
+/** The control group as a state machine for a replication group. */
 export const controlMachine: ReplicaMachine<ControlState> = {
   apply: (state, command) => updateControl(state, decodeValue<ControlCommand>(command)),
   blobEnd: () => 0,
@@ -254,7 +266,7 @@
       auditCount: encoded.auditCount,
       config: applyChanges(EMPTY_CONFIG, encoded.changes),
       history: List(encoded.history),
-      plans: ImmutableMap(encoded.plans.map((known) => [known.id, known])),
+      plans: ImmutableMap(encoded.plans.map((stored) => [stored.id, stored])),
       revision: encoded.revision,
     };
   },
--- a/packages/stallpaddle-control/src/ControlOrders.ts
+++ b/packages/stallpaddle-control/src/ControlOrders.ts
@@ -1,6 +1,6 @@
 /**
- * Which orders bring the engines to what the configuration says. Pure; the issuer must hold the
- * control group's lease while it sends them.
+ * Orders that tell engines which weights to hold. Pure functions; the sender must hold the control group's leader lease
+ * while it sends the orders.
  */
 import type {EngineId} from 'stallpaddle';
 
@@ -8,23 +8,23 @@
 
 import {engineTarget} from './ControlConfig';
 
-/** What an engine last said of itself. */
+/** Latest status report of an engine. */
 export interface EngineReport {
   readonly engine: EngineId;
-  /** Weights that it can serve now. */
+  /** Weights that the engine can serve. */
   readonly loaded: readonly string[];
-  /** Weights that it is loading. */
+  /** Weights that the engine is loading. */
   readonly loading: readonly string[];
 }
 
-/** An order to one engine. It names the absolute target, so that a doubled order does no harm. */
+/** An order to one engine. It holds the complete target, so that a duplicate is harmless. */
 export interface EngineOrder {
   readonly engine: EngineId;
-  /** Weights that the engine shall hold, sorted. */
+  /** Weights that the engine should hold, sorted. */
   readonly target: readonly string[];
 }
 
-/** Loads that may run at once, so that the weight store's rate is kept. */
+/** Engines that may load weights at the same time; protects the bandwidth of the weight store. */
 export const MAX_CONCURRENT_LOADS = 2;
 
 function sameNames(a: readonly string[], b: readonly string[]): boolean {
@@ -32,10 +32,10 @@
 }
 
 /**
- * Weights that must stay although the target no longer names them: the engine is the last one that
- * has them loaded, and some service still answers by them.
+ * Weights that the engine must keep although its target no longer contains them: a service still uses them, and no
+ * other engine has loaded them.
  */
-function neededHere(
+function requiredWeights(
   config: FleetConfig,
   report: EngineReport,
   reports: readonly EngineReport[],
@@ -51,10 +51,10 @@
 }
 
 /**
- * The orders to send now. An engine that did not report gets none.
+ * Computes the orders to send now. Engines without a report get none.
  *
  * @param config configuration in force
- * @param reports what the engines say
+ * @param reports latest reports of the engines
  */
 export function nextOrders(
   config: FleetConfig,
@@ -73,7 +73,7 @@
       continue;
     }
     loads += mustLoad ? 1 : 0;
-    const kept = [...new Set([...target, ...neededHere(config, report, reports)])].sort();
+    const kept = [...new Set([...target, ...requiredWeights(config, report, reports)])].sort();
     if (!sameNames(held, kept)) {
       orders.push({engine: report.engine, target: kept});
     }
@@ -81,14 +81,14 @@
   return orders;
 }
 
-/** Orders that one term may number. */
+/** Range of order numbers reserved for each term. */
 const ORDERS_PER_TERM = 1_000_000;
 
 /**
- * Fencing number of an order: rises with the control group's term, then with the order.
+ * Fencing token of an order: increases with the control group's term, then with the order's number.
  *
- * @param term term in which the issuer leads
- * @param order the order's number in that term, from 0
+ * @param term term in which the sender is leader
+ * @param order number of the order in that term, from 0
  */
 export function fencingToken(term: number, order: number): number {
   return term * ORDERS_PER_TERM + (order % ORDERS_PER_TERM);
--- a/packages/stallpaddle-control/src/ControlPlanner.ts
+++ b/packages/stallpaddle-control/src/ControlPlanner.ts
@@ -1,5 +1,6 @@
 /**
- * Works out what an intent would do to a configuration. Pure: it changes nothing.
+ * Computes the plan for an intent. Steps, warnings and reasons are stored in the replicated state, so the same
+ * intent must produce the same texts on every replica.
  */
 import {unreachable} from 'stallpaddle';
 
@@ -16,13 +17,13 @@
 
 import {applyChanges, currentEngines, serviceSlots, weightsName} from './ControlConfig';
 
-/** An intent that can't be planned. */
+/** Refusal of an intent that can't be planned. */
 export interface PlanRefusal {
   readonly kind: 'refused';
   readonly reason: string;
 }
 
-/** A plan's content, or why there is none. */
+/** The plan's content, or a refusal. */
 export type PlanResult = PlanRefusal | {readonly content: PlanContent; readonly kind: 'planned'};
 
 type ModelService = Extract<ServiceConfig, {kind: 'model'}>;
@@ -45,7 +46,10 @@
   return {description, targets};
 }
 
-function missingEngines(config: FleetConfig, engines: readonly string[]): PlanRefusal | undefined {
+function refuseMissingEngines(
+  config: FleetConfig,
+  engines: readonly string[],
+): PlanRefusal | undefined {
   if (engines.length === 0) {
     return refused('at least one engine must be named');
   }
@@ -64,7 +68,7 @@
   if (config.services.has(intent.service)) {
     return refused(`service ${intent.service} exists`);
   }
-  const missing = missingEngines(config, intent.engines);
+  const missing = refuseMissingEngines(config, intent.engines);
   if (missing !== undefined) {
     return missing;
   }
@@ -120,48 +124,48 @@
   config: FleetConfig,
   intent: Extract<Intent, {kind: 'addModelVersion'}>,
 ): Draft | PlanRefusal {
-  const known = modelService(config, intent.service);
-  if (known.kind === 'refused') {
-    return known;
+  const existing = modelService(config, intent.service);
+  if (existing.kind === 'refused') {
+    return existing;
   }
-  const missing = missingEngines(config, intent.engines);
+  const missing = refuseMissingEngines(config, intent.engines);
   if (missing !== undefined) {
     return missing;
   }
   const {engines, makeCurrent, service, version} = intent;
-  if (known.versions.some((other) => other.version === version)) {
+  if (existing.versions.some((other) => other.version === version)) {
     return refused(`service ${service} has version ${version}`);
   }
   const added: ModelVersion = {engines, version};
   const record: ModelService = {
-    ...known,
-    current: makeCurrent ? version : known.current,
-    versions: [...known.versions, added],
+    ...existing,
+    current: makeCurrent ? version : existing.current,
+    versions: [...existing.versions, added],
   };
-  const load = step(`load ${weightsName(known.model, version)}`, engines);
-  const turn = step(`answer service ${service} by version ${version}`, engines);
-  return {changes: [putService(service, record)], steps: makeCurrent ? [load, turn] : [load]};
+  const load = step(`load ${weightsName(existing.model, version)}`, engines);
+  const route = step(`answer service ${service} by version ${version}`, engines);
+  return {changes: [putService(service, record)], steps: makeCurrent ? [load, route] : [load]};
 }
 
 function planRemoveModelVersion(
   config: FleetConfig,
   intent: Extract<Intent, {kind: 'removeModelVersion'}>,
 ): Draft | PlanRefusal {
-  const known = modelService(config, intent.service);
-  if (known.kind === 'refused') {
-    return known;
+  const existing = modelService(config, intent.service);
+  if (existing.kind === 'refused') {
+    return existing;
   }
-  const removed = known.versions.find(({version}) => version === intent.version);
+  const removed = existing.versions.find(({version}) => version === intent.version);
   if (removed === undefined) {
     return refused(`service ${intent.service} has no version ${intent.version}`);
   }
-  if (known.current === intent.version) {
+  if (existing.current === intent.version) {
     return refused(`version ${intent.version} answers service ${intent.service}`);
   }
-  const versions = known.versions.filter((version) => version !== removed);
+  const versions = existing.versions.filter((version) => version !== removed);
   return {
-    changes: [putService(intent.service, {...known, versions})],
-    steps: [step(`unload ${weightsName(known.model, intent.version)}`, removed.engines)],
+    changes: [putService(intent.service, {...existing, versions})],
+    steps: [step(`unload ${weightsName(existing.model, intent.version)}`, removed.engines)],
   };
 }
 
@@ -169,15 +173,15 @@
   config: FleetConfig,
   intent: Extract<Intent, {kind: 'addAdapter'}>,
 ): Draft | PlanRefusal {
-  const known = modelService(config, intent.service);
-  if (known.kind === 'refused') {
-    return known;
+  const existing = modelService(config, intent.service);
+  if (existing.kind === 'refused') {
+    return existing;
   }
-  if (known.adapters.includes(intent.adapter)) {
+  if (existing.adapters.includes(intent.adapter)) {
     return refused(`service ${intent.service} has adapter ${intent.adapter}`);
   }
-  const engines = [...new Set(known.versions.flatMap((version) => version.engines))];
-  const record = {...known, adapters: [...known.adapters, intent.adapter]};
+  const engines = [...new Set(existing.versions.flatMap((version) => version.engines))];
+  const record = {...existing, adapters: [...existing.adapters, intent.adapter]};
   return {
     changes: [putService(intent.service, record)],
     steps: [step(`load adapter ${intent.adapter}`, engines)],
@@ -188,14 +192,14 @@
   config: FleetConfig,
   intent: Extract<Intent, {kind: 'setEngineRole'}>,
 ): Draft | PlanRefusal {
-  const known = config.engines.get(intent.engine);
-  if (known === undefined) {
+  const existing = config.engines.get(intent.engine);
+  if (existing === undefined) {
     return refused(`no engine ${intent.engine}`);
   }
-  if (known.role === intent.role) {
+  if (existing.role === intent.role) {
     return refused(`engine ${intent.engine} has role ${intent.role}`);
   }
-  const record = {...known, role: intent.role};
+  const record = {...existing, role: intent.role};
   return {
     changes: [{key: intent.engine, record, table: 'engines'}],
     steps: [step(`use for ${intent.role} from now on`, [intent.engine])],
@@ -204,16 +208,16 @@
 }
 
 function lastServerWarnings(config: FleetConfig, engine: string, role: string): readonly string[] {
-  const serves = (id: string): boolean => {
-    const known = config.engines.get(id);
-    return known !== undefined && (known.role === 'all' || known.role === 'online');
+  const servesOnline = (id: string): boolean => {
+    const candidate = config.engines.get(id);
+    return candidate !== undefined && (candidate.role === 'all' || candidate.role === 'online');
   };
   if (role === 'all' || role === 'online') {
     return [];
   }
   return [...config.services.keys()]
     .filter((name) => currentEngines(config, name).includes(engine))
-    .filter((name) => !currentEngines(config, name).some((id) => id !== engine && serves(id)))
+    .filter((name) => !currentEngines(config, name).some((id) => id !== engine && servesOnline(id)))
     .map((name) => `${engine} is the last engine that answers online requests of ${name}`);
 }
 
@@ -241,9 +245,11 @@
   intent: Extract<Intent, {kind: 'replaceReplica'}>,
 ): Draft | PlanRefusal {
   const {group, joining, leaving} = intent;
-  const busy = [...config.replacements.values()].find((known) => known.group === group);
-  if (busy !== undefined) {
-    return refused(`group ${group} is replacing ${busy.leaving} by ${busy.joining}`);
+  const ongoing = [...config.replacements.values()].find(
+    (replacement) => replacement.group === group,
+  );
+  if (ongoing !== undefined) {
+    return refused(`group ${group} is replacing ${ongoing.leaving} by ${ongoing.joining}`);
   }
   return {
     changes: [
@@ -260,7 +266,7 @@
   };
 }
 
-function draftOf(config: FleetConfig, intent: Intent): Draft | PlanRefusal {
+function draftPlan(config: FleetConfig, intent: Intent): Draft | PlanRefusal {
   switch (intent.kind) {
     case 'addAdapter':
       return planAddAdapter(config, intent);
@@ -308,22 +314,22 @@
 }
 
 /**
- * Plans an intent.
+ * Computes the plan for an intent, or refuses it.
  *
- * @param config configuration that the plan is made on
- * @param intent what the operator wants
+ * @param config configuration that the plan is based on
+ * @param intent intent of the operator
  */
 export function planIntent(config: FleetConfig, intent: Intent): PlanResult {
-  const draft = draftOf(config, intent);
+  const draft = draftPlan(config, intent);
   if (isRefusal(draft)) {
     return draft;
   }
   const after = applyChanges(config, draft.changes);
   const capacity = capacityChanges(config, after);
-  const emptied = capacity
+  const noCapacity = capacity
     .filter((change) => change.after === 0 && change.before > 0)
     .map((change) => `no engine is left for ${change.model}`);
-  const warnings = [...(draft.warnings ?? []), ...emptied];
+  const warnings = [...(draft.warnings ?? []), ...noCapacity];
   const {changes, steps} = draft;
   return {content: {capacity, changes, steps, warnings}, kind: 'planned'};
 }
--- a/packages/stallpaddle-control/src/ControlQueries.ts
+++ b/packages/stallpaddle-control/src/ControlQueries.ts
@@ -1,5 +1,5 @@
 /**
- * What may be asked of the control group, and how other parts reach it.
+ * Queries to the control group, and the interface by which other packages reach it.
  */
 import {unreachable} from 'stallpaddle';
 
@@ -11,37 +11,37 @@
   PlanRecord,
 } from './ControlTypes';
 
-/** Questions to the control group. */
+/** Queries to the control group. */
 export type ControlQuery =
   | {readonly after: number; readonly limit: number; readonly type: 'audit'}
   | {readonly planId: string; readonly type: 'plan'}
   | {readonly type: 'revision'};
 
-/** Answers. */
+/** Result of a query. */
 export type ControlQueryResult =
   | {readonly entries: readonly AuditEntry[]; readonly type: 'audit'}
   | {readonly plan: PlanRecord | undefined; readonly type: 'plan'}
   | {readonly revision: number; readonly type: 'revision'};
 
-/** The control group, wherever its leader is. */
+/** Client interface of the control group; finds the leader. */
 export interface ControlPort {
   /**
-   * Applies a command; resolves once a majority has it on disk.
+   * Submits a command; resolves once a majority has stored it on disk.
    *
-   * @throws {RefusalError} `unavailable` when no leader takes it in time
+   * @throws {RefusalError} `unavailable` when no leader accepts it in time
    */
   readonly command: (command: ControlCommand) => Promise<ControlCommandResult>;
-  /** Asks the leader. */
+  /** Runs a query on the leader. */
   readonly query: <Type extends ControlQuery['type']>(
     query: Extract<ControlQuery, {type: Type}>,
   ) => Promise<Extract<ControlQueryResult, {type: Type}>>;
 }
 
 /**
- * Answers a question.
+ * Runs a query on the control state.
  *
  * @param state the control state
- * @param query the question
+ * @param query the query
  */
 export function queryControl(state: ControlState, query: ControlQuery): ControlQueryResult {
   switch (query.type) {
--- a/packages/stallpaddle-control/src/ControlTypes.ts
+++ b/packages/stallpaddle-control/src/ControlTypes.ts
@@ -1,30 +1,30 @@
 /**
- * Configuration of the fleet, intents of operators, plans and the audit trail.
+ * Types of the fleet configuration, operators' intents, plans and the audit trail.
  */
 import type {Map as ImmutableMap, List} from 'immutable';
 import type {CustomerId, EngineId, GroupId, ReplicaId, VmId, ZoneId} from 'stallpaddle';
 
-/** Number of an accepted configuration; only rises. */
+/** Number of an accepted configuration; increases by one with each change. */
 export type Revision = number;
-/** Milliseconds since 1970. */
+/** Wall time, in milliseconds since 1970. */
 export type WallMs = number;
 
-/** What an engine may be used for. */
+/** Kinds of requests that an engine may run. */
 export type EngineRole = 'all' | 'batch' | 'off' | 'online';
 
 /** A backend server that runs models. */
 export interface EngineConfig {
-  /** Whether the engine refuses an order with an old fencing number. */
+  /** Whether the engine refuses an order with a stale fencing token. */
   readonly checksFencing: boolean;
   readonly host: string;
   readonly port: number;
   readonly role: EngineRole;
-  /** Streams that it runs at once. */
+  /** Number of requests that the engine runs concurrently. */
   readonly slots: number;
   readonly zone: ZoneId;
 }
 
-/** A version of a model and the engines that shall hold it. */
+/** A version of a model and the engines that should hold it. */
 export interface ModelVersion {
   readonly engines: readonly EngineId[];
   readonly version: string;
@@ -36,57 +36,57 @@
   readonly port: number;
 }
 
-/** Something that callers can use. */
+/** A service that callers can send requests to. */
 export type ServiceConfig =
   | {
       readonly adapters: readonly string[];
-      /** Version that answers; one of `versions`. */
+      /** Version that serves requests; one of `versions`. */
       readonly current: string;
       readonly kind: 'model';
-      /** Name of the weights; callers use the service's name. */
+      /** Name of the model; callers use the service's name instead. */
       readonly model: string;
       readonly versions: readonly ModelVersion[];
     }
   | {
       readonly kind: 'plain';
-      /** Whether its calls may be repeated unless a header says otherwise. */
+      /** Whether requests may be retried unless a header says otherwise. */
       readonly repeatable: boolean;
       readonly servers: readonly PlainServer[];
     };
 
-/** What a customer may use. */
+/** Key and limits of a customer. */
 export interface CustomerConfig {
-  /** SHA-256 of its key, in hexadecimal. */
+  /** SHA-256 of the API key, in hexadecimal. */
   readonly keyHash: string;
-  /** Most requests a second over all VMs, or null for no limit of its own. */
+  /** Most requests per second across all VMs; null for no limit. */
   readonly requestsPerSecond: number | null;
-  /** Share relative to others when there is not enough for all. */
+  /** Relative share of the capacity under overload. */
   readonly weight: number;
 }
 
-/** What operators decided about a VM. */
+/** Settings of a VM that operators control. */
 export interface VmConfig {
   readonly draining: boolean;
 }
 
-/** Decided replacement of a replica whose disk was lost. */
+/** Replacement of a replica whose disk was lost, in progress. */
 export interface ReplacementConfig {
   readonly group: GroupId;
   readonly joining: ReplicaId;
   readonly leaving: ReplicaId;
 }
 
-/** The configuration, as named records so that a change names what it touches. */
+/** The fleet configuration: tables of records, so that a change touches single records. */
 export interface FleetConfig {
   readonly customers: ImmutableMap<CustomerId, CustomerConfig>;
   readonly engines: ImmutableMap<EngineId, EngineConfig>;
-  /** By group and leaving replica. */
+  /** Keyed by group and leaving replica. */
   readonly replacements: ImmutableMap<string, ReplacementConfig>;
   readonly services: ImmutableMap<string, ServiceConfig>;
   readonly vms: ImmutableMap<VmId, VmConfig>;
 }
 
-/** One record put or removed (null). */
+/** Sets one record, or removes it (null). */
 export type ConfigChange =
   | {readonly key: string; readonly record: CustomerConfig | null; readonly table: 'customers'}
   | {readonly key: string; readonly record: EngineConfig | null; readonly table: 'engines'}
@@ -98,13 +98,13 @@
   | {readonly key: string; readonly record: ServiceConfig | null; readonly table: 'services'}
   | {readonly key: string; readonly record: VmConfig | null; readonly table: 'vms'};
 
-/** What leads from one revision to the next. */
+/** The changes that produced a revision from the previous one. */
 export interface RevisionChange {
   readonly changes: readonly ConfigChange[];
   readonly revision: Revision;
 }
 
-/** What an operator wants. */
+/** A change that an operator requests. */
 export type Intent =
   | {
       readonly adapters?: readonly string[];
@@ -140,20 +140,20 @@
       readonly leaving: ReplicaId;
     };
 
-/** One thing that will be done, in order. */
+/** One step of a plan, as shown to operators. */
 export interface PlanStep {
   readonly description: string;
   readonly targets: readonly string[];
 }
 
-/** Slots that serve a model before and after. */
+/** Slots of a service before and after a plan. */
 export interface CapacityChange {
   readonly after: number;
   readonly before: number;
   readonly model: string;
 }
 
-/** What an intent would do. */
+/** Effects of an intent on the configuration. */
 export interface PlanContent {
   readonly capacity: readonly CapacityChange[];
   readonly changes: readonly ConfigChange[];
@@ -161,7 +161,7 @@
   readonly warnings: readonly string[];
 }
 
-/** What became of a plan. */
+/** State of a plan: proposed, confirmed or refused. */
 export type PlanState =
   | {
       readonly at: WallMs;
@@ -172,10 +172,10 @@
   | {readonly at: WallMs; readonly by: string; readonly kind: 'refused'; readonly reason: string}
   | {readonly kind: 'proposed'};
 
-/** A plan as kept. */
+/** A stored plan. */
 export interface PlanRecord {
   readonly at: WallMs;
-  /** Revision that the plan was made on. */
+  /** Revision that the plan is based on. */
   readonly basis: Revision;
   readonly content: PlanContent;
   readonly id: string;
@@ -184,7 +184,7 @@
   readonly state: PlanState;
 }
 
-/** One line of the audit trail. */
+/** One entry of the audit trail. */
 export interface AuditEntry {
   readonly action: 'cancelJob' | 'confirm' | 'order' | 'plan' | 'refuse' | 'replaced' | 'start';
   readonly actor: string;
@@ -195,23 +195,23 @@
   readonly revision: Revision;
 }
 
-/** Everything that the control group decides. */
+/** Replicated state of the control group. */
 export interface ControlState {
   readonly audit: List<AuditEntry>;
   readonly auditCount: number;
   readonly config: FleetConfig;
-  /** The latest changes, for VMs that lag a little. */
+  /** The latest changes, for incremental updates of VMs that are a few revisions behind. */
   readonly history: List<RevisionChange>;
   readonly plans: ImmutableMap<string, PlanRecord>;
   readonly revision: Revision;
 }
 
-/** Changes to the control state. */
+/** Commands to the control state machine. */
 export type ControlCommand =
   | {
       readonly changes: readonly ConfigChange[];
       readonly now: WallMs;
-      /** First configuration, from the settings; taken once, on revision 0. */
+      /** Sets the initial configuration from the settings; ignored unless the revision is 0. */
       readonly type: 'bootstrap';
     }
   | {
@@ -222,7 +222,7 @@
       readonly type: 'note';
     }
   | {
-      /** Key of a replacement whose members have all been changed. */
+      /** Key of the finished replacement. */
       readonly key: string;
       readonly now: WallMs;
       readonly type: 'endReplacement';
@@ -241,7 +241,7 @@
       readonly type: 'confirm';
     };
 
-/** Answers to commands. */
+/** Result of a command. */
 export type ControlCommandResult =
   | {readonly kind: 'ok'}
   | {readonly kind: 'plan'; readonly plan: PlanRecord}
--- a/packages/stallpaddle-control/src/__tests__/unit/ControlMachine.test.ts
+++ b/packages/stallpaddle-control/src/__tests__/unit/ControlMachine.test.ts
@@ -4,7 +4,7 @@
 import {describe, expect, test} from 'vitest';
 
 /**
- * Plans and confirms of racing operators, beside a naive version; restarts; the audit trail.
+ * Concurrent plans and confirmations compared with a reference model, restarts from a snapshot, and the audit trail.
  */
 import type {ControlCommand, ControlCommandResult, ControlState, Intent} from '../../ControlTypes';
 
@@ -24,7 +24,7 @@
   };
 }
 
-/** The control group behind its replicated form. */
+/** Drives the control state machine through encoded commands and snapshots. */
 class ControlUnderTest {
   state: ControlState = INITIAL_CONTROL_STATE;
 
@@ -58,8 +58,8 @@
   }
 }
 
-function outcomeOf(answer: ControlCommandResult): string {
-  return answer.kind === 'plan' ? answer.plan.state.kind : answer.kind;
+function outcomeOf(result: ControlCommandResult): string {
+  return result.kind === 'plan' ? result.plan.state.kind : result.kind;
 }
 
 const step = fc.oneof(
@@ -80,12 +80,12 @@
 
 describe('updateControl', () => {
   test(
-    'lets exactly one of racing plans through, and answers resends alike',
+    'confirms exactly one of several concurrent plans, and repeats the outcome for repeated commands',
     async () => {
       const property = fc.property(fc.array(step, {maxLength: 60, size: 'max'}), (steps) => {
         const control = new ControlUnderTest();
         control.start();
-        // The naive version: what was asked for, on which revision, and the first outcome.
+        // Reference model: the requested change, its base revision and the first outcome of each plan.
         const plans = new Map<
           number,
           {basis: number; draining: boolean; outcome: string; vm: string}
@@ -112,7 +112,7 @@
             case 'plan': {
               const vm = `vm-${next.vm}`;
               const kind = next.draining ? 'drainVm' : 'undrainVm';
-              const answer = control.plan(`p${next.plan}`, OPERATORS[next.operator]!, {kind, vm});
+              const result = control.plan(`p${next.plan}`, OPERATORS[next.operator]!, {kind, vm});
               const possible = draining.has(vm) !== next.draining;
               if (!plans.has(next.plan) && possible) {
                 plans.set(next.plan, {
@@ -122,7 +122,7 @@
                   vm,
                 });
               }
-              expect(outcomeOf(answer)).toBe(plans.get(next.plan)?.outcome ?? 'refused');
+              expect(outcomeOf(result)).toBe(plans.get(next.plan)?.outcome ?? 'refused');
               break;
             }
             case 'restart':
@@ -138,18 +138,18 @@
     fuzzTimeoutMs(),
   );
 
-  test('changes nothing before the confirm', () => {
+  test('changes nothing until the plan is confirmed', () => {
     const control = new ControlUnderTest();
     control.start();
     const before = control.state.config;
-    const answer = control.plan('p', 'ines', {
+    const result = control.plan('p', 'ines', {
       engines: ['e1'],
       kind: 'createService',
       model: 'm',
       service: 's',
       version: '1',
     });
-    expect(outcomeOf(answer)).toBe('proposed');
+    expect(outcomeOf(result)).toBe('proposed');
     expect(control.state.config).toBe(before);
     expect(control.state.revision).toBe(1);
     control.confirm('p', 'ines');
@@ -157,19 +157,19 @@
     expect(control.state.revision).toBe(2);
   });
 
-  test('tells the operator who lost a race by whom and what was changed', () => {
+  test('names the intervening change and its operator when a plan is out of date', () => {
     const control = new ControlUnderTest();
     control.start();
     control.plan('a', 'ines', {kind: 'drainVm', vm: 'vm-1'});
     control.plan('b', 'joao', {kind: 'drainVm', vm: 'vm-2'});
     expect(outcomeOf(control.confirm('a', 'ines'))).toBe('confirmed');
-    const lost = control.confirm('b', 'joao');
-    expect(lost).toMatchObject({plan: {state: {kind: 'refused'}}});
-    expect(JSON.stringify(lost)).toContain('revision 2 by ines: drainVm');
+    const refused = control.confirm('b', 'joao');
+    expect(refused).toMatchObject({plan: {state: {kind: 'refused'}}});
+    expect(JSON.stringify(refused)).toContain('revision 2 by ines: drainVm');
     expect(control.state.config.vms.has('vm-2')).toBe(false);
   });
 
-  test('keeps every plan, confirm and refusal in the audit trail, through restarts', () => {
+  test('records every plan, confirmation and refusal in the audit trail, across restarts', () => {
     const control = new ControlUnderTest();
     control.start();
     control.plan('a', 'ines', {kind: 'drainVm', vm: 'vm-1'});
@@ -186,7 +186,7 @@
     expect(lines.map(({number}) => number)).toEqual([1, 2, 3, 4]);
   });
 
-  test('brings a VM from any revision to the present one, after a thousand changes too', () => {
+  test('updates a VM from any revision, also beyond the kept history', () => {
     const control = new ControlUnderTest();
     control.start();
     for (let number = 0; number < 1200; number++) {
@@ -206,7 +206,7 @@
     expect(rebuilt.vms.has('vm-1')).toBe(false);
   });
 
-  test('warns of the last engine of a service, and counts slots before and after', () => {
+  test('warns about the last engine of a service, and reports its slots before and after', () => {
     const control = new ControlUnderTest();
     control.start();
     control.plan('s', 'ines', {
@@ -217,8 +217,8 @@
       version: '1',
     });
     control.confirm('s', 'ines');
-    const answer = control.plan('off', 'ines', {engine: 'e1', kind: 'setEngineRole', role: 'off'});
-    expect(answer).toMatchObject({
+    const result = control.plan('off', 'ines', {engine: 'e1', kind: 'setEngineRole', role: 'off'});
+    expect(result).toMatchObject({
       plan: {
         content: {
           capacity: [{after: 0, before: 4, model: 's'}],
--- a/packages/stallpaddle-control/src/__tests__/unit/ControlOrders.test.ts
+++ b/packages/stallpaddle-control/src/__tests__/unit/ControlOrders.test.ts
@@ -3,7 +3,7 @@
 import {describe, expect, test} from 'vitest';
 
 /**
- * Orders bring engines to their target, whatever is lost, doubled or late on the way.
+ * Orders bring engines to their target although some are lost, duplicated or delayed.
  */
 import type {FleetConfig} from '../../ControlTypes';
 
@@ -44,12 +44,12 @@
   return applyChanges(EMPTY_CONFIG, [...engines, ...services]);
 }
 
-/** An engine that does whatever the last order it saw said, and checks no number. */
+/** Engine model that follows the latest order it received and checks no fencing token. */
 class NaiveEngine {
   loaded: readonly string[] = [];
   loading: readonly string[] = [];
 
-  take(order: EngineOrder): void {
+  apply(order: EngineOrder): void {
     this.loaded = this.loaded.filter((name) => order.target.includes(name));
     this.loading = order.target.filter((name) => !this.loaded.includes(name));
   }
@@ -65,7 +65,7 @@
 
 describe('nextOrders', () => {
   test(
-    'reaches the target although orders are lost, doubled and come late',
+    'reaches the target although orders are lost, duplicated or delayed',
     async () => {
       const history = fc.array(
         fc.record({
@@ -88,10 +88,10 @@
             if (fate === 'late') {
               late.push(order);
             } else if (fate !== 'lost') {
-              engines.get(order.engine)!.take(order);
+              engines.get(order.engine)!.apply(order);
             }
           }
-          arriving.forEach((order) => engines.get(order.engine)!.take(order));
+          arriving.forEach((order) => engines.get(order.engine)!.apply(order));
         };
         for (const {change, fate, loads} of steps) {
           config = change === null ? config : configOf(change);
@@ -129,17 +129,17 @@
     expect(nextOrders(config, after)).toEqual([{engine: 'e1', target: []}]);
   });
 
-  test("keeps to the weight store's rate", () => {
+  test('limits the number of concurrent loads', () => {
     const config = configOf([[0, 1, 2]]);
     const idle = ENGINES.map((engine) => ({engine, loaded: [], loading: []}));
     expect(nextOrders(config, idle)).toHaveLength(MAX_CONCURRENT_LOADS);
   });
 
-  test('says nothing to an engine that did not report', () => {
+  test('sends no order to an engine without a report', () => {
     expect(nextOrders(configOf([[0]]), [])).toEqual([]);
   });
 
-  test('numbers rise with the term, then with the order', () => {
+  test('fencing tokens increase with the term, then with the order', () => {
     expect(fencingToken(2, 0)).toBeGreaterThan(fencingToken(1, 999_999));
     expect(fencingToken(2, 1)).toBeGreaterThan(fencingToken(2, 0));
   });
--- a/packages/stallpaddle-control/src/index.ts
+++ b/packages/stallpaddle-control/src/index.ts
@@ -1,4 +1,4 @@
-/** Control group: configuration, plans, orders to engines, audit trail. */
+/** Control group: fleet configuration, plans, orders to engines and the audit trail. */
 export {
   applyChanges,
   configToChanges,
