--- a/packages/stallpaddle-membership/src/MembershipTypes.ts
+++ b/packages/stallpaddle-membership/src/MembershipTypes.ts
@@ -1,5 +1,5 @@
 /**
- * What VMs know of one another. All of it is advisory: nothing that must hold rests on it.
+ * Types of the membership view. Membership is advisory: no safety property may depend on it.
  */
 import type {MonotonicMs, VmId, ZoneId} from 'stallpaddle';
 
@@ -9,69 +9,72 @@
   readonly port: number;
 }
 
-/** What a VM says of itself; changes seldom. */
+/** What a VM announces about itself; changes rarely. */
 export interface VmMetadata {
+  /** Address for callers. */
   readonly callers: Address;
   /** Wall time of the process's start, in milliseconds; a later process replaces an earlier one. */
   readonly epoch: number;
   readonly hasDisk: boolean;
-  /** Takes no new work and will go. */
+  /** The VM accepts no new work and is about to shut down. */
   readonly leaving: boolean;
+  /** Address for other VMs. */
   readonly peers: Address;
-  /** Configuration in force on the VM. */
+  /** Revision of the configuration that the VM applies. */
   readonly revision: number;
   readonly vm: VmId;
   readonly zone: ZoneId;
 }
 
-/** Load of an engine as its owner last saw it. Tuples keep beats small. */
+/** Load of an engine as its owner last saw it. A tuple, to keep heartbeats small. */
 export type EngineLoadTuple = readonly [
   engine: string,
   online: number,
   batch: number,
   queued: number,
-  /** Milliseconds per token as the owner measures, in tenths. */
+  /** Time per token as measured by the owner, in tenths of a millisecond. */
   tokenTenthsMs: number,
-  /** Age of the report when it was sent on, in milliseconds. */
+  /** Age of the report when it was forwarded, in milliseconds. */
   ageMs: number,
   weights: readonly string[],
 ];
 
-/** One VM as seen from here. */
+/** One VM in the local view. */
 export interface VmEntry {
   readonly facts: VmMetadata;
-  /** Latest sign of life, on this VM's clock. */
+  /** Time of the latest heartbeat, on this VM's clock. */
   readonly lastSeenAt: MonotonicMs;
-  /** Rises with each beat of the VM's process. */
+  /** Increases with each heartbeat of the VM's process. */
   readonly sequence: number;
-  /** Version of the view in which the facts last changed. */
+  /** Version of the view in which the metadata last changed. */
   readonly version: number;
 }
 
-/** One VM as told to another. */
+/** Status of one VM as sent to another VM. */
 export interface VmUpdate {
+  /** Time since the VM's latest heartbeat, in milliseconds. */
   readonly ageMs: number;
   readonly facts: VmMetadata;
   readonly sequence: number;
 }
 
-/** Everything that a VM knows of the others and itself. */
+/** A VM's view of the fleet, including itself. */
 export interface MembershipState {
   readonly entries: ReadonlyMap<VmId, VmEntry>;
-  /** VMs that the platform's list calls leaving. */
+  /** VMs that the platform lists as leaving. */
   readonly platformLeaving: ReadonlySet<VmId>;
   readonly self: VmId;
-  /** Rises with each change of any VM's facts. */
+  /** Increases with each change of any VM's metadata. */
   readonly version: number;
 }
 
-/** What can happen to a membership view. */
+/** An event that changes the membership view. */
 export type MembershipEvent =
   | {readonly facts: VmMetadata; readonly kind: 'selfChanged'}
   | {readonly kind: 'beatDue'}
   | {readonly kind: 'newsHeard'; readonly news: readonly VmUpdate[]}
   | {
-      /** VMs that the teller holds for lost; all others that are known here were heard. */
+      /** VMs that the sender considers lost; it considers every other known VM live. */
       readonly kind: 'lossesHeard';
       readonly lost: readonly VmId[];
     }
--- a/packages/stallpaddle-membership/src/MembershipView.ts
+++ b/packages/stallpaddle-membership/src/MembershipView.ts
@@ -1,5 +1,5 @@
 /**
- * The membership view as a pure state machine, and what is read from it.
+ * Pure state machine of the membership view, and queries on it.
  */
 import type {MonotonicMs, VmId, ZoneId} from 'stallpaddle';
 
@@ -17,9 +17,9 @@
 import {MAX_ADDRESSES, VM_LOST_AFTER_MS, VM_REMOVE_AFTER_MS} from './MembershipConstants';
 
 /**
- * A view that knows only its own VM.
+ * Returns a view that contains only this VM.
  *
- * @param self this VM's facts
+ * @param self this VM's metadata
  * @param now monotonic time
  */
 export function initialMembership(self: VmMetadata, now: MonotonicMs): MembershipState {
@@ -31,7 +31,7 @@
   };
 }
 
-function sameFacts(a: VmMetadata, b: VmMetadata): boolean {
+function hasSameMetadata(a: VmMetadata, b: VmMetadata): boolean {
   return (
     a.epoch === b.epoch &&
     a.leaving === b.leaving &&
@@ -43,39 +43,42 @@
   );
 }
 
-function isNewer(known: VmEntry | undefined, news: VmUpdate): boolean {
-  if (known === undefined || news.facts.epoch !== known.facts.epoch) {
-    return known === undefined || news.facts.epoch > known.facts.epoch;
+function isNewer(known: VmEntry | undefined, update: VmUpdate): boolean {
+  if (known === undefined || update.facts.epoch !== known.facts.epoch) {
+    return known === undefined || update.facts.epoch > known.facts.epoch;
   }
-  return news.sequence > known.sequence;
+  return update.sequence > known.sequence;
 }
 
-function merge(
+function applyUpdates(
   state: MembershipState,
-  news: readonly VmUpdate[],
+  updates: readonly VmUpdate[],
   now: MonotonicMs,
 ): MembershipState {
   const entries = new Map(state.entries);
   let {version} = state;
-  for (const item of news) {
-    const known = entries.get(item.facts.vm);
-    if (item.facts.vm === state.self || !isNewer(known, item)) {
+  for (const update of updates) {
+    const known = entries.get(update.facts.vm);
+    if (update.facts.vm === state.self || !isNewer(known, update)) {
       continue;
     }
-    const changed = known === undefined || !sameFacts(known.facts, item.facts);
+    const changed = known === undefined || !hasSameMetadata(known.facts, update.facts);
     version += changed ? 1 : 0;
-    entries.set(item.facts.vm, {
-      facts: item.facts,
-      lastSeenAt: Math.max(known?.lastSeenAt ?? -Infinity, now - item.ageMs),
-      sequence: item.sequence,
+    entries.set(update.facts.vm, {
+      facts: update.facts,
+      lastSeenAt: Math.max(known?.lastSeenAt ?? -Infinity, now - update.ageMs),
+      sequence: update.sequence,
       version: changed ? version : known.version,
     });
   }
   return {...state, entries, version};
 }
 
-/** A VM without a disk hears of the others through one with a disk, and takes its word. */
-function hearLosses(
+/**
+ * Adopts the sender's view of which VMs are lost. VMs without a disk exchange heartbeats only with a VM that has one,
+ * and rely on its view.
+ */
+function applyLosses(
   state: MembershipState,
   lost: ReadonlySet<VmId>,
   now: MonotonicMs,
@@ -93,7 +96,7 @@
 }
 
 /**
- * VMs that are known but were not heard lately.
+ * Known VMs whose heartbeats have stopped.
  *
  * @param state the view
  * @param now monotonic time
@@ -102,15 +105,15 @@
   return [...state.entries].filter(([, entry]) => !isLive(entry, now)).map(([vm]) => vm);
 }
 
-function putSelf(state: MembershipState, facts: VmMetadata, now: MonotonicMs): MembershipState {
+function updateSelf(state: MembershipState, facts: VmMetadata, now: MonotonicMs): MembershipState {
   const known = state.entries.get(state.self)!;
-  const changed = !sameFacts(known.facts, facts);
+  const changed = !hasSameMetadata(known.facts, facts);
   const version = state.version + (changed ? 1 : 0);
   const entry = {facts, lastSeenAt: now, sequence: known.sequence + 1, version};
   return {...state, entries: new Map(state.entries).set(state.self, entry), version};
 }
 
-function forgetOld(state: MembershipState, now: MonotonicMs): MembershipState {
+function removeExpired(state: MembershipState, now: MonotonicMs): MembershipState {
   const kept = [...state.entries].filter(
     ([, entry]) => now - entry.lastSeenAt < VM_REMOVE_AFTER_MS,
   );
@@ -118,10 +121,10 @@
 }
 
 /**
- * Takes in one event.
+ * Applies one event.
  *
  * @param state current view
- * @param event what happened
+ * @param event event to apply
  * @param now monotonic time of the event
  */
 export function stepMembership(
@@ -131,22 +134,22 @@
 ): MembershipState {
   switch (event.kind) {
     case 'beatDue':
-      return forgetOld(putSelf(state, state.entries.get(state.self)!.facts, now), now);
+      return removeExpired(updateSelf(state, state.entries.get(state.self)!.facts, now), now);
     case 'lossesHeard':
-      return hearLosses(state, new Set(event.lost), now);
+      return applyLosses(state, new Set(event.lost), now);
     case 'newsHeard':
-      return merge(state, event.news, now);
+      return applyUpdates(state, event.news, now);
     case 'platformListed':
       return {...state, platformLeaving: new Set(event.leaving)};
     case 'selfChanged':
-      return putSelf(state, event.facts, now);
+      return updateSelf(state, event.facts, now);
     default:
       return unreachable(event);
   }
 }
 
 /**
- * Whether a VM was heard lately.
+ * Whether a VM sent a heartbeat recently.
  *
  * @param entry the VM
  * @param now monotonic time
@@ -156,7 +159,7 @@
 }
 
 /**
- * VMs that were heard lately and will stay, sorted by name.
+ * Live VMs that are not leaving, sorted by name.
  *
  * @param state the view
  * @param now monotonic time
@@ -170,7 +173,7 @@
 }
 
 /**
- * All VMs that were heard lately, leaving ones too.
+ * All live VMs, including leaving ones, sorted by name.
  *
  * @param state the view
  * @param now monotonic time
@@ -182,7 +185,7 @@
     .sort((a, b) => (a.vm < b.vm ? -1 : 1));
 }
 
-/** Addresses for one caller, and how long to keep them. */
+/** Address of one VM that a caller may connect to. */
 export interface CallerAddress {
   readonly vm: VmId;
   readonly zone: ZoneId;
@@ -191,11 +194,11 @@
 }
 
 /**
- * Addresses for a caller: staying VMs, those of its availability zone first, spread by caller.
+ * Addresses for a caller: active VMs, those of its availability zone first, in an order that differs by caller.
  *
  * @param state the view
- * @param caller anything that differs between callers; spreads them
- * @param zone the caller's availability zone, where known
+ * @param caller value that differs between callers and spreads them over the VMs
+ * @param zone the caller's availability zone, if known
  * @param now monotonic time
  */
 export function addressesFor(
@@ -204,22 +207,22 @@
   zone: ZoneId | undefined,
   now: MonotonicMs,
 ): readonly CallerAddress[] {
-  const staying = new Map(activeVms(state, now).map((facts) => [facts.vm, facts]));
-  const order = rendezvousOrder(caller, [...staying.keys()]).map((vm) => staying.get(vm)!);
-  const near = order.filter((facts) => facts.zone === zone);
-  const far = order.filter((facts) => facts.zone !== zone);
-  return [...near, ...far].slice(0, MAX_ADDRESSES).map((facts) => {
+  const active = new Map(activeVms(state, now).map((facts) => [facts.vm, facts]));
+  const order = rendezvousOrder(caller, [...active.keys()]).map((vm) => active.get(vm)!);
+  const sameZone = order.filter((facts) => facts.zone === zone);
+  const otherZones = order.filter((facts) => facts.zone !== zone);
+  return [...sameZone, ...otherZones].slice(0, MAX_ADDRESSES).map((facts) => {
     const {host, port}: Address = facts.callers;
     return {host, port, vm: facts.vm, zone: facts.zone};
   });
 }
 
 /**
- * What to tell another VM: everything that changed since a version, and signs of life.
+ * Updates to send to another VM: every VM whose metadata changed since a version.
  *
  * @param state the view
  * @param now monotonic time
- * @param since version that the other VM has seen; 0 for all
+ * @param since version that the other VM has already received; 0 for all
  */
 export function updatesSince(
   state: MembershipState,
