--- a/packages/stallpaddle/src/AdaptiveTimeout.ts
+++ b/packages/stallpaddle/src/AdaptiveTimeout.ts
@@ -1,34 +1,33 @@
 /**
- * A limit on how long something may take, learned from how long it takes: mean plus four times the mean deviation,
- * as TCP learns its retransmission timeout (RFC 6298).
+ * Timeout that adapts to observed durations.
  */
 
-/** Weight of the newest observation in the mean (RFC 6298). */
+/** Weight of the newest observation in the smoothed mean (RFC 6298). */
 const MEAN_GAIN = 1 / 8;
-/** Weight of the newest deviation from the mean (RFC 6298). */
+/** Weight of the newest deviation in the smoothed mean deviation (RFC 6298). */
 const DEVIATION_GAIN = 1 / 4;
-/** Deviations above the mean at which the limit lies (RFC 6298). */
+/** Number of mean deviations that the timeout exceeds the mean by (RFC 6298). */
 const DEVIATIONS = 4;
 
-/** Bounds of a limit, in milliseconds. */
+/** Bounds and initial mean of a timeout, in milliseconds. */
 export interface TimeoutBounds {
   readonly minMs: number;
   readonly maxMs: number;
-  /** Mean while nothing was observed. */
+  /** Mean until the first observation. */
   readonly initialMeanMs: number;
 }
 
-/** See the module's comment. */
+/** Computes a timeout like TCP's retransmission timeout (RFC 6298): mean plus four times the mean deviation. */
 export class AdaptiveTimeout {
   private deviation = 0;
   private mean: number | undefined;
 
   /**
-   * @param bounds what the limit never leaves; its upper bound holds until something was observed
+   * @param bounds bounds of the timeout; the upper bound applies until the first observation
    */
   constructor(private readonly bounds: TimeoutBounds) {}
 
-  /** Longest time that is usual, in milliseconds. */
+  /** Current timeout, in milliseconds. */
   get timeoutMs(): number {
     const {maxMs, minMs} = this.bounds;
     if (this.mean === undefined) {
@@ -37,15 +36,15 @@
     return Math.min(maxMs, Math.max(minMs, this.mean + DEVIATIONS * this.deviation));
   }
 
-  /** Mean time, in milliseconds. */
+  /** Smoothed mean duration, in milliseconds. */
   get meanMs(): number {
     return this.mean ?? this.bounds.initialMeanMs;
   }
 
   /**
-   * Learns from one observation.
+   * Updates the timeout with one observation.
    *
-   * @param ms how long it took, in milliseconds
+   * @param ms observed duration, in milliseconds
    */
   observe(ms: number): void {
     if (this.mean === undefined) {
--- a/packages/stallpaddle/src/Clock.ts
+++ b/packages/stallpaddle/src/Clock.ts
@@ -1,11 +1,11 @@
 /**
- * Time, injected everywhere so that tests can drive it.
+ * Clocks, delays and deadlines. Clocks are injected so that tests can control time.
  */
 
-/** Milliseconds from an arbitrary origin; never goes back. */
+/** Milliseconds from an arbitrary origin; never decreases. */
 export type MonotonicMs = number;
 
-/** Source of both kinds of time. */
+/** Source of monotonic and wall time. */
 export interface Clock {
   /** Monotonic time for leases, timeouts and measurements. */
   readonly monotonicMs: () => MonotonicMs;
@@ -13,7 +13,7 @@
   readonly wallMs: () => number;
 }
 
-/** The machine's own clocks. */
+/** The clocks of the operating system. */
 export const systemClock: Clock = {
   monotonicMs: () => performance.now(),
   wallMs: () => Date.now(),
@@ -23,7 +23,7 @@
  * Resolves after a delay.
  *
  * @param ms delay in milliseconds
- * @param signal ends the wait early
+ * @param signal ends the delay early
  */
 export function delay(ms: number, signal?: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
@@ -41,36 +41,36 @@
 }
 
 /**
- * Calls back after a time, once what had come by then was taken in. Timers run before sockets are read, so a process that was
- * held up would else take its own lateness for others' silence.
+ * Calls a listener after a time, once data that arrived by then has been read. Timers run before sockets are read, so
+ * a process that was paused itself would otherwise report a timeout although the data had arrived.
  *
  * @param ms time in milliseconds
- * @param listener what to call
- * @returns ends the wait
+ * @param listener function to call
+ * @returns cancels the timeout
  */
 export function registerTimeout(ms: number, listener: () => void): () => void {
-  let looked: NodeJS.Immediate | undefined;
+  let immediate: NodeJS.Immediate | undefined;
   const timer = setTimeout(() => {
-    looked = setImmediate(listener);
+    immediate = setImmediate(listener);
   }, ms);
   return () => {
     clearTimeout(timer);
-    clearImmediate(looked);
+    clearImmediate(immediate);
   };
 }
 
-/** A signal that fires after a time, unless it is disposed of first. */
+/** A signal that aborts after a time, unless it is disposed of first. */
 export interface Deadline {
-  /** Must be called once the work has ended, so that no timer is left. */
+  /** Clears the timer; must be called once the work has ended. */
   readonly dispose: () => void;
   readonly signal: AbortSignal;
 }
 
 /**
- * Makes a signal that fires after a time or with another signal.
+ * Creates a signal that aborts after a time or together with another signal.
  *
  * @param ms time in milliseconds
- * @param parent fires it earlier
+ * @param parent signal that aborts it earlier
  */
 export function startDeadline(ms: number, parent?: AbortSignal): Deadline {
   const aborter = new AbortController();
--- a/packages/stallpaddle/src/Codec.ts
+++ b/packages/stallpaddle/src/Codec.ts
@@ -1,5 +1,5 @@
 /**
- * Binary encoding of log commands, snapshots and messages between VMs.
+ * MessagePack encoding of log commands, snapshots and messages between VMs.
  */
 import {decode, encode} from '@msgpack/msgpack';
 
@@ -13,8 +13,8 @@
 }
 
 /**
- * Decodes what {@link encodeValue} wrote. Only for bytes that one of our own processes wrote and
- * whose checksum or sender was checked before.
+ * Decodes the output of {@link encodeValue}. The type isn't validated: use it only for bytes written by a process of
+ * this system whose checksum or sender has been verified.
  *
  * @param bytes encoded value
  */
--- a/packages/stallpaddle/src/ConnectionReset.ts
+++ b/packages/stallpaddle/src/ConnectionReset.ts
@@ -1,41 +1,40 @@
 /**
- * Answers of other servers without a length: they end with their connection, and must not pass for whole when that
- * was reset.
+ * Detects reset connections under HTTP responses without a content length. Such a response ends with its connection, so
+ * a response that was cut off by a reset would otherwise look complete.
  */
 import type {ClientRequest, IncomingMessage} from 'node:http';
 import type {Socket} from 'node:net';
 
 /**
- * Whether a connection that ended was reset. When bytes and a reset wait together, libuv reports the bytes and
- * then an ordinary end (13 of 400 resets beside a busy client). A socket that was reset has no peer any more; one
- * that the other side closed still has.
+ * Whether an ended connection was reset. When unread data and a reset are pending together, libuv reports the data and
+ * then an ordinary end. A socket that was reset has no remote address any more; one that the peer closed still has.
  */
 function wasReset(socket: Socket): boolean {
   return socket.remoteAddress === undefined;
 }
 
 /**
- * Makes an answer fail whose connection is reset before its end.
+ * Makes the response of a request fail when its connection is reset before the response is complete.
  *
- * @param req the request, just made, on a connection of its own
- * @returns ends the watch
+ * @param req a request that was just created and doesn't share its connection
+ * @returns removes the listeners
  */
 export function registerResetDetector(req: ClientRequest): () => void {
-  let answer: IncomingMessage | undefined;
+  let response: IncomingMessage | undefined;
   const onResponse = (res: IncomingMessage): void => {
-    answer = res;
+    response = res;
   };
-  // Before the parser hears of the end, which it takes for that of an answer without a length.
+  // Must run before the parser's own listener, which treats the end as the end of a response without a length.
   const onSocket = (socket: Socket): void => {
     socket.prependListener('end', () => {
-      if (answer?.complete === false && wasReset(socket)) {
-        answer.destroy(new Error('the connection was reset'));
+      if (response?.complete === false && wasReset(socket)) {
+        response.destroy(new Error('the connection was reset'));
       }
     });
   };
-  // The parser takes such an answer for whole also when the reset was reported as an error.
+  // The parser also treats such a response as complete when the reset was reported as an error.
   const onError = (err: Error): void => {
-    answer?.destroy(err);
+    response?.destroy(err);
   };
   req.prependListener('response', onResponse);
   req.on('socket', onSocket);
--- a/packages/stallpaddle/src/Errors.ts
+++ b/packages/stallpaddle/src/Errors.ts
@@ -1,9 +1,9 @@
 /**
- * Typed errors that cross package borders.
+ * Typed errors shared between packages.
  */
 import {joinVerdicts, type Verdict} from './Verdict';
 
-/** Machine-readable reason of a refusal; stable across releases. */
+/** Machine-readable reason for a refusal; stable across releases. */
 export type ErrorCode =
   | 'alreadyFinal'
   | 'badRequest'
@@ -45,25 +45,25 @@
   unavailable: 503,
 };
 
-/** Optional facts that a caller can act on. */
+/** Optional details that a caller can act on. */
 export interface RefusalDetails {
-  /** Line of the input at fault, from 1. */
+  /** Invalid line of the input, from 1. */
   readonly line?: number;
-  /** Setting or field at fault, such as `roles.0`. */
+  /** Invalid setting or field, such as `roles.0`. */
   readonly path?: string;
-  /** When to come back, in milliseconds from now. */
+  /** Time after which to retry, in milliseconds. */
   readonly retryAfterMs?: number;
 }
 
-/** A request that ends without an answer from a backend server, or with a broken one. */
+/** Error of a request that got no response from a backend server, or an incomplete one. */
 export class RefusalError extends Error {
   override readonly name = 'RefusalError';
 
   /**
    * @param code stable reason
    * @param verdict whether the request may have run
-   * @param message one sentence for a person
-   * @param details facts that a caller can act on
+   * @param message human-readable sentence
+   * @param details optional details for the caller
    */
   constructor(
     readonly code: ErrorCode,
@@ -75,27 +75,27 @@
   }
 
   /**
-   * The same refusal after earlier attempts.
+   * Returns the same refusal with the verdict of earlier attempts included.
    *
-   * @param earlier verdict of the attempts before
+   * @param earlier joint verdict of the earlier attempts
    */
   after(earlier: Verdict): RefusalError {
     const verdict = joinVerdicts(earlier, this.verdict);
     return new RefusalError(this.code, verdict, this.message, this.details);
   }
 
-  /** HTTP status that stands for the code. */
+  /** HTTP status of the code. */
   get status(): number {
     return HTTP_STATUS[this.code];
   }
 }
 
 /**
- * Builds a refusal of a request that no backend server saw.
+ * Creates a refusal of a request that reached no backend server.
  *
  * @param code stable reason
- * @param message one sentence for a person
- * @param details facts that a caller can act on
+ * @param message human-readable sentence
+ * @param details optional details for the caller
  */
 export function refuse(
   code: ErrorCode,
@@ -106,7 +106,7 @@
 }
 
 /**
- * Text of anything that was thrown.
+ * Returns the message of any thrown value.
  *
  * @param err the caught value
  */
--- a/packages/stallpaddle/src/Hash.ts
+++ b/packages/stallpaddle/src/Hash.ts
@@ -6,7 +6,7 @@
 const FNV_PRIME = 0x01000193;
 
 /**
- * 32-bit FNV-1a with a final mix, the same on every VM and in every release.
+ * 32-bit FNV-1a with a final mix. The result must stay the same on every VM and in every release.
  *
  * @param text input
  * @returns unsigned 32-bit integer
@@ -22,11 +22,11 @@
 }
 
 /**
- * Orders nodes by rendezvous weight for a key: when a node goes, only its keys move.
+ * Orders nodes by rendezvous weight for a key: when a node is removed, only its keys move.
  *
- * @param key what is placed
+ * @param key key to place
  * @param nodes candidates
- * @returns the nodes, best first
+ * @returns the nodes, highest weight first
  */
 export function rendezvousOrder(key: string, nodes: readonly string[]): readonly string[] {
   return nodes
@@ -36,9 +36,9 @@
 }
 
 /**
- * The node with the highest rendezvous weight for a key.
+ * Returns the node with the highest rendezvous weight for a key.
  *
- * @param key what is placed
+ * @param key key to place
  * @param nodes candidates
  */
 export function rendezvousOwner(key: string, nodes: readonly string[]): string | undefined {
--- a/packages/stallpaddle/src/Ids.ts
+++ b/packages/stallpaddle/src/Ids.ts
@@ -1,5 +1,5 @@
 /**
- * Names of things, and how random ones are drawn.
+ * Identifier types, and generation of random identifiers.
  */
 import {randomBytes} from 'node:crypto';
 
@@ -9,28 +9,28 @@
 export type ZoneId = string;
 /** A customer, as named in the settings. */
 export type CustomerId = string;
-/** A backend server: a model engine or a plain service's server. */
+/** A backend server: a model engine or a server of a plain service. */
 export type EngineId = string;
-/** A replicated log and its state machine. */
+/** A replication group: one replicated log and its state machine. */
 export type GroupId = string;
-/** One disk's life as a replica: `vm/incarnation`. */
+/** A replica, in the form `vm/incarnation`; a new disk is a new incarnation. */
 export type ReplicaId = string;
 
 const ID_BYTES = 12;
 
 /**
- * Draws an identifier that no other process will draw.
+ * Generates a random identifier that is unique across processes.
  *
- * @param prefix what the identifier names, such as `batch`
+ * @param prefix kind of the identified object, such as `batch`
  */
 export function generateId(prefix: string): string {
   return `${prefix}_${randomBytes(ID_BYTES).toString('hex')}`;
 }
 
 /**
- * The VM part of a replica's name.
+ * Returns the VM of a replica.
  *
- * @param replica name of the form `vm/incarnation`
+ * @param replica identifier of the form `vm/incarnation`
  */
 export function vmOfReplica(replica: ReplicaId): VmId {
   return replica.slice(0, replica.lastIndexOf('/'));
--- a/packages/stallpaddle/src/Invariant.ts
+++ b/packages/stallpaddle/src/Invariant.ts
@@ -1,8 +1,8 @@
 /**
- * Assertions for conditions that the code itself must uphold.
+ * Assertions of internal invariants.
  */
 
-/** Raised when the program's own assumptions do not hold; never caused by input. */
+/** Thrown when an internal invariant is violated; never caused by input. */
 export class InvariantError extends Error {
   override readonly name = 'InvariantError';
 }
@@ -10,7 +10,7 @@
 /**
  * Throws unless the condition holds.
  *
- * @param condition what must be true
+ * @param condition condition that must hold
  * @param message text in which each `%s` is replaced by the next argument
  */
 export function invariant(
@@ -28,7 +28,7 @@
 /**
  * Marks a branch that an exhaustive switch can never reach.
  *
- * @param value the variant that no case took
+ * @param value the unhandled variant
  */
 export function unreachable(value: never): never {
   throw new InvariantError(`unexpected variant ${JSON.stringify(value)}`);
--- a/packages/stallpaddle/src/LineWriter.ts
+++ b/packages/stallpaddle/src/LineWriter.ts
@@ -1,50 +1,49 @@
 /**
- * Writes lines to a file descriptor without ever holding the process up: a reader that is slow costs
- * lines, which are counted, and not time.
+ * Non-blocking output of lines to a file descriptor.
  */
 import {writeSync} from 'node:fs';
 import {Socket} from 'node:net';
 
 import {delay} from './Clock';
 
-/** Most bytes of lines that wait for a slow reader: some seconds of a busy process's lines. */
-const WAITING_BYTES = 262_144;
-/** Time between looks whether everything has been written, in milliseconds. */
-const SETTLE_LOOK_MS = 1;
+/** Most bytes that are buffered for a slow reader. */
+const MAX_BUFFERED_BYTES = 262_144;
+/** Interval at which `drain` checks whether everything has been written, in milliseconds. */
+const DRAIN_POLL_MS = 1;
 
-/** Takes bytes, and says when others may follow. */
+/** Writes bytes and calls back once the next ones may be written. */
 type Sink = (bytes: Buffer, onWritten: () => void) => void;
 
 /**
- * Opens a file descriptor for writing within the process's own turn. Writes that go through the library's pool of threads
- * woke the process up once more for each line, which cost more than all that the line told of.
+ * Opens a file descriptor for writing on the event loop's thread. Asynchronous file writes would go through libuv's
+ * thread pool, which wakes the process once more for each write.
  */
 function openSink(fd: number): Sink {
   try {
-    // A pipe is written to at once while it has room, and else when it has some again.
+    // A pipe: a write completes at once while the pipe has room, and otherwise once it has room again.
     const socket = new Socket({fd, readable: false, writable: true});
-    // Nobody reads any more: the lines are lost, and the process goes on.
+    // The reader has closed the pipe: the lines are dropped and the process continues.
     socket.on('error', () => {});
     return (bytes, onWritten) => void socket.write(bytes, () => onWritten());
   } catch {
-    // No pipe but a file, which takes all at once.
+    // Not a pipe but a file, which can be written to synchronously.
     return (bytes, onWritten) => {
       try {
         writeSync(fd, bytes);
       } catch {
-        // The disk is full: the lines are lost, and the process goes on.
+        // The write failed, for example on a full disk: the lines are dropped and the process continues.
       }
       onWritten();
     };
   }
 }
 
-/** See the module's comment. */
+/** Writes lines without blocking the process; drops and counts lines when the reader is too slow. */
 export class LineWriter {
   private droppedLines = 0;
   private lines: string[] = [];
   private readonly sink: Sink;
-  private waiting = 0;
+  private unwrittenBytes = 0;
   private writing = false;
 
   /**
@@ -55,21 +54,21 @@
   }
 
   /**
-   * Writes a line soon, or drops it when too much waits.
+   * Buffers a line for writing, or drops it when the buffer is full.
    *
-   * @param line the line with its line feed
+   * @param line the line, including its line feed
    */
   add(line: string): void {
-    if (this.waiting > WAITING_BYTES) {
+    if (this.unwrittenBytes > MAX_BUFFERED_BYTES) {
       this.droppedLines++;
       return;
     }
     if (this.droppedLines > 0) {
-      const told = `{"message":"Lines were left out.","lines":${this.droppedLines}}\n`;
+      const notice = `{"message":"Lines were left out.","lines":${this.droppedLines}}\n`;
       this.droppedLines = 0;
-      this.add(told);
+      this.add(notice);
     }
-    this.waiting += line.length;
+    this.unwrittenBytes += line.length;
     this.lines.push(line);
     if (!this.writing) {
       this.writing = true;
@@ -77,10 +76,10 @@
     }
   }
 
-  /** Resolves once everything that was added has been written. */
+  /** Resolves once all buffered lines have been written. */
   async drain(): Promise<void> {
     while (this.writing) {
-      await delay(SETTLE_LOOK_MS);
+      await delay(DRAIN_POLL_MS);
     }
   }
 
@@ -91,7 +90,7 @@
   }
 
   private onWritten(): void {
-    this.waiting = this.lines.reduce((sum, {length}) => sum + length, 0);
+    this.unwrittenBytes = this.lines.reduce((sum, {length}) => sum + length, 0);
     this.writing = this.lines.length > 0;
     if (this.writing) {
       this.flush();
--- a/packages/stallpaddle/src/Logger.ts
+++ b/packages/stallpaddle/src/Logger.ts
@@ -1,7 +1,7 @@
 /**
- * Logs: short sentences, a fixed prefix for each part, no keys or prompts.
+ * Structured logs. Each line names the part of the system that wrote it; lines must not contain keys or prompts.
  */
-// Its core only: the rest formats lines for terminals, which is a sixth of the program that each process loads.
+// Only the core: the full package includes terminal formatting, which would be loaded by every process.
 import {createConsola, type LogObject} from 'consola/core';
 
 /** Parts of the system that write logs. */
@@ -19,23 +19,23 @@
   | 'store'
   | 'vm';
 
-/** Facts that go with a sentence. */
+/** Structured fields of a log line. */
 export type LogFields = Readonly<Record<string, boolean | number | string | undefined>>;
 
-/** Writes one part's logs. */
+/** Writes the logs of one part. */
 export interface Logger {
   readonly error: (message: string, fields?: LogFields) => void;
   readonly info: (message: string, fields?: LogFields) => void;
   readonly warn: (message: string, fields?: LogFields) => void;
 }
 
-/** How lines are written. */
+/** Output format of log lines. */
 export type LogFormat = 'json' | 'silent' | 'text';
 
-/** Takes a line with its line feed. */
+/** Writes a line, including its line feed. */
 export type WriteLine = (line: string) => void;
 
-/** Makes a logger for each part. */
+/** Creates the logger of a part. */
 export type LoggerFactory = (part: LogPart) => Logger;
 
 function textFields(fields: LogFields): string {
@@ -73,11 +73,11 @@
 };
 
 /**
- * Makes the process's logger factory.
+ * Creates the process's logger factory.
  *
- * @param format how lines are written; `silent` writes none
- * @param write takes the lines; by default they go to standard error
- * @param base facts that go with every JSON line, such as the VM's name
+ * @param format output format; `silent` writes nothing
+ * @param write writes the lines; standard error by default
+ * @param base fields of every JSON line, such as the VM's name
  */
 export function createLoggerFactory(
   format: LogFormat,
@@ -98,5 +98,5 @@
   };
 }
 
-/** Logger that drops everything; for tests and tools. */
+/** Logger that discards everything; for tests and tools. */
 export const silentLogger: Logger = {error: () => {}, info: () => {}, warn: () => {}};
--- a/packages/stallpaddle/src/Loop.ts
+++ b/packages/stallpaddle/src/Loop.ts
@@ -1,29 +1,29 @@
 /**
- * Work that is done again and again.
+ * Periodic background work.
  */
 import {delay} from './Clock';
 
 /**
- * Does something, waits, and does it again. The next round begins a pause after the last one ended.
+ * Runs a task periodically, with a pause before each run; runs never overlap.
  *
- * @param pauseMs pause before each round, in milliseconds
- * @param round one round; must not reject
- * @returns ends the loop; resolves once the round under way has ended
+ * @param pauseMs pause before each run, in milliseconds
+ * @param task the task; must not reject
+ * @returns stops the loop; resolves once a running task has finished
  */
-export function registerLoop(pauseMs: number, round: () => Promise<void>): () => Promise<void> {
-  const stopper = new AbortController();
+export function registerLoop(pauseMs: number, task: () => Promise<void>): () => Promise<void> {
+  const controller = new AbortController();
   const run = async (): Promise<void> => {
     for (;;) {
-      await delay(pauseMs, stopper.signal);
-      if (stopper.signal.aborted) {
+      await delay(pauseMs, controller.signal);
+      if (controller.signal.aborted) {
         return;
       }
-      await round();
+      await task();
     }
   };
   const ended = run();
   return async () => {
-    stopper.abort();
+    controller.abort();
     await ended;
   };
 }
--- a/packages/stallpaddle/src/Random.ts
+++ b/packages/stallpaddle/src/Random.ts
@@ -1,5 +1,5 @@
 /**
- * Seeded random numbers, so that every run can be repeated.
+ * Seeded random numbers, for reproducible runs.
  */
 
 /** Returns a number in [0, 1). */
@@ -8,7 +8,7 @@
 const UINT32_RANGE = 4_294_967_296;
 
 /**
- * Small, fast generator (mulberry32); not for secrets.
+ * Creates a small, fast generator (mulberry32). Not cryptographically secure.
  *
  * @param seed any integer
  */
@@ -23,10 +23,10 @@
 }
 
 /**
- * Draws a waiting time between independent events.
+ * Samples the exponentially distributed time between independent events.
  *
- * @param random source
- * @param ratePerSecond mean number of events a second
+ * @param random random source
+ * @param ratePerSecond mean number of events per second
  * @returns milliseconds
  */
 export function exponentialMs(random: Random, ratePerSecond: number): number {
--- a/packages/stallpaddle/src/Verdict.ts
+++ b/packages/stallpaddle/src/Verdict.ts
@@ -1,11 +1,11 @@
 /**
- * Whether a request may have reached a backend server. Every refusal carries one.
+ * Verdicts: whether a refused request may have run on a backend server.
  */
 
 /**
- * - `notRun`: no backend server saw the request; it is safe to send again.
- * - `ran`: a backend server took the request and its end is known.
- * - `mayHaveRun`: the request may have been taken; only a repeatable one may be sent again.
+ * - `notRun`: no backend server received the request; it is safe to retry.
+ * - `ran`: a backend server ran the request and its outcome is known.
+ * - `mayHaveRun`: a backend server may have run the request; only a repeatable one may be retried.
  */
 export type Verdict = 'mayHaveRun' | 'notRun' | 'ran';
 
@@ -15,10 +15,10 @@
 const CERTAINTY: Readonly<Record<Verdict, number>> = {mayHaveRun: 1, notRun: 0, ran: 2};
 
 /**
- * What holds of a request after several attempts: `notRun` only if it holds of each.
+ * Joint verdict of several attempts at one request: `notRun` only if every attempt is `notRun`.
  *
  * @param a verdict of some attempts
- * @param b verdict of others
+ * @param b verdict of other attempts
  */
 export function joinVerdicts(a: Verdict, b: Verdict): Verdict {
   return CERTAINTY[a] >= CERTAINTY[b] ? a : b;
--- a/packages/stallpaddle/src/__tests__/unit/LineWriter.test.ts
+++ b/packages/stallpaddle/src/__tests__/unit/LineWriter.test.ts
@@ -1,5 +1,5 @@
 /**
- * Lines on pipes and files: all of them while somebody reads; a reader that is slow costs lines, and never time.
+ * Writing to pipes and files: no line is lost while the reader keeps up, and a slow reader never blocks the process.
  */
 import {execFileSync} from 'node:child_process';
 import {closeSync, constants, mkdtempSync, openSync, readFileSync, readSync, rmSync} from 'node:fs';
@@ -10,11 +10,11 @@
 import {delay} from '../../Clock';
 import {LineWriter} from '../../LineWriter';
 
-/** Far more than a pipe and the writer together hold. */
+/** Far more than fits into the pipe's and the writer's buffers. */
 const LINES = 20_000;
 const LINE = `${'x'.repeat(99)}\n`;
-/** A writer that is held up never comes back; this is what a busy machine takes for the lines. */
-const MOST_MS = 2_000;
+/** Most time for adding all lines on a busy machine, in milliseconds; a blocked writer would never return. */
+const MAX_ADD_MS = 2_000;
 
 let folder: string;
 
@@ -26,7 +26,7 @@
   rmSync(folder, {force: true, recursive: true});
 });
 
-/** Both ends of a pipe that nobody reads by itself. */
+/** Opens a pipe and returns both ends. */
 function openPipe(): {readonly from: number; readonly to: number} {
   const file = path.join(folder, 'pipe');
   execFileSync('mkfifo', [file]);
@@ -42,12 +42,12 @@
       text += bytes.toString('utf8', 0, size);
     }
   } catch {
-    // Nothing is there now.
+    // The pipe is empty.
   }
   return text;
 }
 
-test('writes what is added, in order, to a file', async () => {
+test('writes added lines to a file in order', async () => {
   const file = path.join(folder, 'file');
   const fd = openSync(file, 'w');
   const writer = new LineWriter(fd);
@@ -60,7 +60,7 @@
   expect(readFileSync(file, 'utf8')).toBe('one\ntwo\nthree\n');
 });
 
-test('a pipe that nobody reads holds nothing up; what was left out is told once somebody reads', async () => {
+test('an unread pipe does not block the process, and the number of dropped lines is written later', async () => {
   const {from, to} = openPipe();
   const writer = new LineWriter(to);
   const startedAt = performance.now();
@@ -70,13 +70,13 @@
       await new Promise((resolve) => setImmediate(resolve));
     }
   }
-  expect(performance.now() - startedAt).toBeLessThan(MOST_MS);
+  expect(performance.now() - startedAt).toBeLessThan(MAX_ADD_MS);
   let text = '';
-  const settled = writer.drain().then(() => true);
+  const drained = writer.drain().then(() => true);
   for (
     let ended = false;
     !ended;
-    ended = await Promise.race([settled, delay(2).then(() => false)])
+    ended = await Promise.race([drained, delay(2).then(() => false)])
   ) {
     text += readAll(from);
   }
@@ -85,9 +85,9 @@
   text += readAll(from);
   closeSync(from);
   const lines = text.split('\n').slice(0, -1);
-  const told = lines.filter((line) => line.includes('left out')).map((line) => JSON.parse(line));
-  const leftOut = told.reduce((sum: number, {lines: count}) => sum + Number(count), 0);
-  expect(leftOut).toBeGreaterThan(0);
+  const notices = lines.filter((line) => line.includes('left out')).map((line) => JSON.parse(line));
+  const dropped = notices.reduce((sum: number, {lines: count}) => sum + Number(count), 0);
+  expect(dropped).toBeGreaterThan(0);
   expect(lines.at(-1)).toBe('last');
-  expect(lines.filter((line) => line === LINE.trim()).length + leftOut).toBe(LINES);
+  expect(lines.filter((line) => line === LINE.trim()).length + dropped).toBe(LINES);
 });
--- a/packages/stallpaddle/src/index.ts
+++ b/packages/stallpaddle/src/index.ts
@@ -9,7 +9,7 @@
   systemClock,
 } from './Clock';
 export {decodeValue, encodeValue} from './Codec';
-/** Shared vocabulary of all packages: identifiers, time, errors, verdicts, hashing, logs. */
+/** Shared basics of all packages: identifiers, time, errors, verdicts, hashing, encoding, logs. */
 export {registerResetDetector} from './ConnectionReset';
 export {type ErrorCode, errorMessage, type RefusalDetails, RefusalError, refuse} from './Errors';
 export {hash32, rendezvousOrder, rendezvousOwner} from './Hash';
