--- a/packages/stallpaddle-batch/src/BatchRunner.ts
+++ b/packages/stallpaddle-batch/src/BatchRunner.ts
@@ -5,7 +5,7 @@
 import type {EngineAdapter, EngineLanes} from 'stallpaddle-engine';
 import type {ItemReport} from 'stallpaddle-ledger';
 
-import {drawId, errorMessage, startDeadline} from 'stallpaddle';
+import {errorMessage, generateId, startDeadline} from 'stallpaddle';
 import {BackendError, readBody} from 'stallpaddle-engine';
 
 import type {LeasedItem} from './BatchChunkLease';
@@ -51,7 +51,7 @@
   target: ItemTarget,
   signal: AbortSignal,
 ): Promise<ItemOutcome> {
-  const attemptId = drawId('item');
+  const attemptId = generateId('item');
   const {customId} = leasedItem.parsed;
   const body = {...leasedItem.parsed.body, model: target.weights, stream: false};
   const response = await target.adapter.generate(
--- a/packages/stallpaddle-control/src/index.ts
+++ b/packages/stallpaddle-control/src/index.ts
@@ -1,7 +1,7 @@
-/** Control group: configuration, plans, orders to engines, audit trail. */
+/** Control group: fleet configuration, plans, orders to engines and the audit trail. */
 export {
   applyChanges,
-  changesOf,
+  configToChanges,
   currentEngines,
   EMPTY_CONFIG,
   engineTarget,
@@ -12,27 +12,27 @@
   weightsName,
 } from './ControlConfig';
 export {intentSchema} from './ControlIntentSchema';
-export {changesAfter, controlMachine, EMPTY_CONTROL, updateControl} from './ControlMachine';
+export {changesAfter, controlMachine, INITIAL_CONTROL_STATE, updateControl} from './ControlMachine';
 export {
   type EngineOrder,
   type EngineReport,
-  fencingNumber,
-  MAX_LOADS_AT_ONCE,
+  fencingToken,
+  MAX_CONCURRENT_LOADS,
   nextOrders,
 } from './ControlOrders';
 export {planIntent, type PlanRefusal, type PlanResult} from './ControlPlanner';
 export {
   type ControlPort,
   type ControlQuery,
-  type ControlReply,
+  type ControlQueryResult,
   queryControl,
 } from './ControlQueries';
 export type {
   AuditEntry,
   CapacityChange,
   ConfigChange,
-  ControlAnswer,
   ControlCommand,
+  ControlCommandResult,
   ControlState,
   CustomerConfig,
   EngineConfig,
--- a/packages/stallpaddle-gateway/src/GatewayAdmin.ts
+++ b/packages/stallpaddle-gateway/src/GatewayAdmin.ts
@@ -2,10 +2,10 @@
  * Operators' interface: plans, audit trail, status, jobs and files of all customers.
  */
 import type {IncomingMessage, ServerResponse} from 'node:http';
-import type {ControlAnswer, PlanRecord} from 'stallpaddle-control';
+import type {ControlCommandResult, PlanRecord} from 'stallpaddle-control';
 import type {LedgerPort} from 'stallpaddle-ledger';
 
-import {drawId, refuse} from 'stallpaddle';
+import {generateId, refuse} from 'stallpaddle';
 import {intentSchema} from 'stallpaddle-control';
 import {liveVms} from 'stallpaddle-membership';
 
@@ -19,7 +19,7 @@
 const DEFAULT_AUDIT_ENTRIES = 200;
 const MAX_AUDIT_ENTRIES = 5000;
 
-function planOf(answer: ControlAnswer): PlanRecord {
+function planOf(answer: ControlCommandResult): PlanRecord {
   switch (answer.kind) {
     case 'ok':
       throw refuse('internal', 'unexpected kind of answer from the control group');
@@ -57,7 +57,7 @@
       intentSchema,
     );
     const key = idempotencyKey(req);
-    const planId = key === null ? drawId('plan') : `plan_${operator}_${key}`;
+    const planId = key === null ? generateId('plan') : `plan_${operator}_${key}`;
     const answer = await control.command({
       intent,
       now: clock.wallMs(),
--- a/packages/stallpaddle-gateway/src/GatewayOnlineForwarder.ts
+++ b/packages/stallpaddle-gateway/src/GatewayOnlineForwarder.ts
@@ -6,10 +6,17 @@
 import type {BackendAnswer} from 'stallpaddle-engine';
 import type {EngineOutcome, RetryBudget} from 'stallpaddle-routing';
 
-import {drawId, errorMessage, joinVerdicts, RefusalError, refuse, startDeadline} from 'stallpaddle';
+import {
+  errorMessage,
+  generateId,
+  joinVerdicts,
+  RefusalError,
+  refuse,
+  startDeadline,
+} from 'stallpaddle';
 import {BackendError, readBody} from 'stallpaddle-engine';
 import {LimitShare} from 'stallpaddle-limits';
-import {stayingVms} from 'stallpaddle-membership';
+import {activeVms} from 'stallpaddle-membership';
 import {countRequest, FULL_RETRY_BUDGET, placeOnline, takeRetry} from 'stallpaddle-routing';
 
 import type {CustomerCaller} from './GatewayAuth';
@@ -90,7 +97,7 @@
       return;
     }
     const now = this.context.clock.monotonicMs();
-    const vms = Math.max(1, stayingVms(this.context.membership(), now).length);
+    const vms = Math.max(1, activeVms(this.context.membership(), now).length);
     const ratePerSecond = record.requestsPerSecond;
     const limit = {burst: ratePerSecond * BURST_SECONDS, customer, ratePerSecond};
     const answer = this.share.ask(limit, vms, now);
@@ -230,7 +237,7 @@
     if (adapter === undefined || slots === undefined) {
       throw new BackendError('notRun', `engine ${engine} is unknown`);
     }
-    const attemptId = drawId('req');
+    const attemptId = generateId('req');
     const timeoutMs = deadlineAt - clock.monotonicMs();
     const deadline = startDeadline(timeoutMs, signal);
     onRouting({engine, kind: 'started', work: 'online'});
--- a/packages/stallpaddle-membership/src/index.ts
+++ b/packages/stallpaddle-membership/src/index.ts
@@ -1,9 +1,9 @@
 /** Which VMs are there, which will stay, and which addresses callers get. */
 export {
-  ADDRESSES_LIFETIME_MS,
-  BEAT_INTERVAL_MS,
-  FRESHNESS_BOUND_MS,
-  VM_LOST_MS,
+  ADDRESSES_TTL_MS,
+  HEARTBEAT_INTERVAL_MS,
+  MAX_CONFIG_AGE_MS,
+  VM_LOST_AFTER_MS,
 } from './MembershipConstants';
 export type {
   Address,
@@ -11,17 +11,17 @@
   MembershipEvent,
   MembershipState,
   VmEntry,
-  VmFacts,
-  VmNews,
+  VmMetadata,
+  VmUpdate,
 } from './MembershipTypes';
 export {
-  type AddressAnswer,
+  activeVms,
   addressesFor,
+  type CallerAddress,
+  initialMembership,
   isLive,
   liveVms,
   lostVms,
-  newsSince,
-  startMembership,
-  stayingVms,
   stepMembership,
+  updatesSince,
 } from './MembershipView';
--- a/packages/stallpaddle-node/src/NodeEntry.ts
+++ b/packages/stallpaddle-node/src/NodeEntry.ts
@@ -4,7 +4,7 @@
 import type {LogFields} from 'stallpaddle';
 import type {FleetHeartbeat, FleetView} from 'stallpaddle-fleet';
 
-import {drawId, errorMessage, RefusalError, refuse, unreachable} from 'stallpaddle';
+import {errorMessage, generateId, RefusalError, refuse, unreachable} from 'stallpaddle';
 import {
   type RelayCaller,
   type RelayContext,
@@ -85,7 +85,7 @@
     this.reporter = new NodeOnlineReporter(
       jobs,
       online,
-      drawId('e'),
+      generateId('e'),
       () => watch.view.news.entries.length,
     );
     this.jobCalls = new NodeJobCalls(jobs, wire, this.log, clock);
--- a/packages/stallpaddle-node/src/NodeOnlineHandler.ts
+++ b/packages/stallpaddle-node/src/NodeOnlineHandler.ts
@@ -4,7 +4,7 @@
 import type {EngineId} from 'stallpaddle';
 import type {JobsDispatcher, JobsRequest, OnlineCountsAnswer} from 'stallpaddle-jobs';
 
-import {drawId} from 'stallpaddle';
+import {generateId} from 'stallpaddle';
 
 type OnlineReport = Extract<JobsRequest, {kind: 'tellOnline'}>;
 
@@ -21,7 +21,7 @@
  * the changes of the other VMs' counts since the sender's last report.
  */
 export class NodeOnlineHandler {
-  private readonly epoch = drawId('n');
+  private readonly epoch = generateId('n');
 
   /**
    * Records a VM's counts, and returns those of the others.
--- a/packages/stallpaddle-relay/src/RelayStallDetector.ts
+++ b/packages/stallpaddle-relay/src/RelayStallDetector.ts
@@ -1,7 +1,7 @@
 /**
  * Detection of engines that stall during an attempt.
  */
-import type {Clock, LearnedLimit, LogFields, MonotonicMs} from 'stallpaddle';
+import type {AdaptiveTimeout, Clock, LogFields, MonotonicMs} from 'stallpaddle';
 
 import {registerTimeout} from 'stallpaddle';
 
@@ -68,9 +68,9 @@
     const {clock, latencies} = this.options;
     const now = clock.monotonicMs();
     if (this.hasData) {
-      latencies.gap.note(now - this.lastDataAt);
+      latencies.gap.observe(now - this.lastDataAt);
     } else if (this.hadFreeSlot) {
-      latencies.firstEvent.note(now - this.lastDataAt);
+      latencies.firstEvent.observe(now - this.lastDataAt);
     }
     this.hasData = true;
     this.lastDataAt = now;
@@ -86,9 +86,9 @@
     return this.options.clock.monotonicMs() - this.lastDataAt;
   }
 
-  private watch(limit: LearnedLimit, maxMs: number): void {
+  private watch(limit: AdaptiveTimeout, maxMs: number): void {
     if (this.options.isResumable) {
-      this.scheduleCheck(Math.min(limit.limitMs, maxMs), maxMs);
+      this.scheduleCheck(Math.min(limit.timeoutMs, maxMs), maxMs);
     }
   }
 
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
@@ -288,7 +288,7 @@
     // All engines are equally full; a request that moves starts at the end of the next queue.
     const engines = await startEngines(2);
     const context = contextOf(engines, false);
-    Array.from({length: 20}, () => context.latencies.firstEvent.note(20));
+    Array.from({length: 20}, () => context.latencies.firstEvent.observe(20));
     context.online.registerRequest('e1');
     engines[0]!.manners = [{kind: 'mute'}];
     const {port} = await startRelay(context, routeOf());
@@ -324,8 +324,8 @@
   function learnedContext(engines: readonly StreamEngine[]): RelayContext {
     const context = contextOf(engines);
     Array.from({length: 20}, () => {
-      context.latencies.firstEvent.note(20);
-      context.latencies.gap.note(5);
+      context.latencies.firstEvent.observe(20);
+      context.latencies.gap.observe(5);
     });
     return context;
   }
@@ -417,9 +417,9 @@
     const {port} = await startRelay(context, routeOf());
     await sendRequest(port);
     const {connect, firstEvent, gap} = context.latencies;
-    expect(connect.limitMs).toBeLessThan(250);
-    expect(firstEvent.limitMs).toBeLessThan(1_200);
-    expect(gap.limitMs).toBeLessThan(700);
+    expect(connect.timeoutMs).toBeLessThan(250);
+    expect(firstEvent.timeoutMs).toBeLessThan(1_200);
+    expect(gap.timeoutMs).toBeLessThan(700);
   });
 
   test('never extends a queue for a request that has missed its objective', async () => {
--- a/packages/stallpaddle-vm/src/Vm.ts
+++ b/packages/stallpaddle-vm/src/Vm.ts
@@ -4,7 +4,7 @@
 import type {EngineId, GroupId, Logger, LoggerFactory, RefusalError, VmId} from 'stallpaddle';
 import type {ControlPort} from 'stallpaddle-control';
 import type {LedgerPorts} from 'stallpaddle-ledger';
-import type {VmFacts} from 'stallpaddle-membership';
+import type {VmMetadata} from 'stallpaddle-membership';
 import type {RoutingEvent} from 'stallpaddle-routing';
 import type {RpcServer} from 'stallpaddle-rpc';
 import type {VmSettings} from 'stallpaddle-settings';
@@ -15,7 +15,7 @@
 import {EngineLanes} from 'stallpaddle-engine';
 import {GatewayMetrics, GatewayServer} from 'stallpaddle-gateway';
 import {shardOfCustomer} from 'stallpaddle-ledger';
-import {liveVms, stayingVms} from 'stallpaddle-membership';
+import {activeVms, liveVms} from 'stallpaddle-membership';
 import {loadIdentity} from 'stallpaddle-replication';
 import {onlineStreams} from 'stallpaddle-routing';
 import {startRpcServer} from 'stallpaddle-rpc';
@@ -68,7 +68,7 @@
   readonly settings: VmSettings;
 }
 
-function firstFacts(settings: VmSettings): VmFacts {
+function firstFacts(settings: VmSettings): VmMetadata {
   const {callers, disk, peers, vm, zone} = settings;
   const hasDisk = disk !== undefined;
   return {callers, epoch: Date.now(), hasDisk, leaving: false, peers, revision: 0, vm, zone};
@@ -100,7 +100,7 @@
     this.owners = new VmOwners({
       clock: this.clock,
       config: () => this.configView.config,
-      stayingVms: () => stayingVms(membership.state, this.clock.monotonicMs()).map(({vm}) => vm),
+      stayingVms: () => activeVms(membership.state, this.clock.monotonicMs()).map(({vm}) => vm),
       vm: settings.vm,
     });
     this.engines = new VmEngines(this.clock, () => this.owners.own);
@@ -338,7 +338,7 @@
     });
   }
 
-  private facts(): VmFacts {
+  private facts(): VmMetadata {
     const {membership, settings} = this.parts;
     const known = membership.state.entries.get(settings.vm)!.facts;
     return {...known, leaving: this.isLeaving(), revision: this.configView.revision};
--- a/packages/stallpaddle-vm/src/VmBeats.ts
+++ b/packages/stallpaddle-vm/src/VmBeats.ts
@@ -9,14 +9,14 @@
   EngineLoadTuple,
   MembershipEvent,
   MembershipState,
-  VmFacts,
-  VmNews,
+  VmMetadata,
+  VmUpdate,
 } from 'stallpaddle-membership';
 import type {VmSettings} from 'stallpaddle-settings';
 
 import {decodeValue, delay, encodeValue, rendezvousOrder} from 'stallpaddle';
 import {changesAfter} from 'stallpaddle-control';
-import {BEAT_INTERVAL_MS, liveVms, lostVms, newsSince} from 'stallpaddle-membership';
+import {HEARTBEAT_INTERVAL_MS, liveVms, lostVms, updatesSince} from 'stallpaddle-membership';
 
 import type {ConfigNews, ConfigView} from './VmConfigView';
 import type {VmGroups} from './VmGroups';
@@ -27,7 +27,7 @@
 /** A beat as sent. */
 export interface BeatMessage {
   readonly loads: readonly EngineLoadTuple[];
-  readonly news: readonly VmNews[];
+  readonly news: readonly VmUpdate[];
   /** Revision in force on the sender. */
   readonly revision: number;
   /** Version of the receiver's view that the sender has seen. */
@@ -47,7 +47,7 @@
   readonly heldMs: number;
   readonly loads: readonly EngineLoadTuple[];
   readonly lost: readonly VmId[];
-  readonly news: readonly VmNews[];
+  readonly news: readonly VmUpdate[];
   /** Newest revision that the answering VM knows. */
   readonly revision: number;
   /** Version of the answering VM's view. */
@@ -67,7 +67,7 @@
   readonly onLoads: (loads: readonly EngineLoadTuple[]) => void;
   readonly onMembership: (event: MembershipEvent) => void;
   readonly peers: VmPeers;
-  readonly self: () => VmFacts;
+  readonly self: () => VmMetadata;
   readonly settings: VmSettings;
 }
 
@@ -128,7 +128,7 @@
       heldMs: now - receivedAt,
       loads: loads(),
       lost: beat.tellsAll ? [] : lostVms(membership(), now),
-      news: newsSince(membership(), now, beat.tellsAll ? 0 : beat.since),
+      news: updatesSince(membership(), now, beat.tellsAll ? 0 : beat.since),
       revision,
       version: membership().version,
       waitingModels: this.options.groups?.waitingModels() ?? [],
@@ -176,7 +176,7 @@
       const ok = await this.beat(target, BEAT_WAIT_MS, false);
       failures = ok ? failures : failures + 1;
       const tookMs = this.options.clock.monotonicMs() - startedAt;
-      await delay(Math.max(BEAT_PAUSE_MS, ok ? 0 : BEAT_INTERVAL_MS / 2 - tookMs));
+      await delay(Math.max(BEAT_PAUSE_MS, ok ? 0 : HEARTBEAT_INTERVAL_MS / 2 - tookMs));
     }
   }
 
@@ -186,7 +186,7 @@
       for (const vm of this.diskVms()) {
         void this.beat(vm, 0, true);
       }
-      await delay(BEAT_INTERVAL_MS);
+      await delay(HEARTBEAT_INTERVAL_MS);
     }
   }
 
@@ -203,10 +203,10 @@
     const sentAt = clock.monotonicMs();
     const basis = config().revision;
     const self = membership().entries.get(this.options.settings.vm)!;
-    const selfNews: VmNews = {ageMs: 0, facts: this.options.self(), sequence: self.sequence};
+    const selfNews: VmUpdate = {ageMs: 0, facts: this.options.self(), sequence: self.sequence};
     const message: BeatMessage = {
       loads: loads(),
-      news: tellsAll ? newsSince(membership(), sentAt, 0) : [selfNews],
+      news: tellsAll ? updatesSince(membership(), sentAt, 0) : [selfNews],
       revision: basis,
       since: this.seen.get(target) ?? 0,
       tellsAll,
--- a/packages/stallpaddle-vm/src/VmMembership.ts
+++ b/packages/stallpaddle-vm/src/VmMembership.ts
@@ -2,9 +2,9 @@
  * Holds this VM's membership view.
  */
 import type {Clock} from 'stallpaddle';
-import type {MembershipEvent, MembershipState, VmFacts} from 'stallpaddle-membership';
+import type {MembershipEvent, MembershipState, VmMetadata} from 'stallpaddle-membership';
 
-import {startMembership, stepMembership} from 'stallpaddle-membership';
+import {initialMembership, stepMembership} from 'stallpaddle-membership';
 
 /** The view, changed by events only. */
 export class VmMembership {
@@ -16,9 +16,9 @@
    */
   constructor(
     private readonly clock: Clock,
-    self: VmFacts,
+    self: VmMetadata,
   ) {
-    this.view = startMembership(self, clock.monotonicMs());
+    this.view = initialMembership(self, clock.monotonicMs());
   }
 
   /** The view at present. */
--- a/packages/stallpaddle/src/index.ts
+++ b/packages/stallpaddle/src/index.ts
@@ -1,5 +1,4 @@
-/** Shared vocabulary of all packages: identifiers, time, errors, verdicts, hashing, logs. */
-export {registerResetWatch} from './Answers';
+export {AdaptiveTimeout, type TimeoutBounds} from './AdaptiveTimeout';
 export {
   type Clock,
   type Deadline,
@@ -10,12 +9,14 @@
   systemClock,
 } from './Clock';
 export {decodeValue, encodeValue} from './Codec';
+/** Shared basics of all packages: identifiers, time, errors, verdicts, hashing, encoding, logs. */
+export {registerResetDetector} from './ConnectionReset';
 export {type ErrorCode, errorMessage, type RefusalDetails, RefusalError, refuse} from './Errors';
 export {hash32, rendezvousOrder, rendezvousOwner} from './Hash';
 export {
   type CustomerId,
-  drawId,
   type EngineId,
+  generateId,
   type GroupId,
   type ReplicaId,
   type VmId,
@@ -23,7 +24,6 @@
   type ZoneId,
 } from './Ids';
 export {invariant, InvariantError, unreachable} from './Invariant';
-export {LearnedLimit, type LimitBounds} from './LearnedLimit';
 export {LineWriter} from './LineWriter';
 export {
   createLoggerFactory,
