--- a/packages/stallpaddle-limits/src/LimitKeeper.ts
+++ b/packages/stallpaddle-limits/src/LimitOwnerBuckets.ts
@@ -36,7 +36,7 @@
 }
 
 /** See the module's comment. */
-export class LimitKeeper {
+export class LimitOwnerBuckets {
   private readonly buckets = new Map<string, LimitBucket>();
 
   /**
--- a/packages/stallpaddle-limits/src/LimitOwners.ts
+++ b/packages/stallpaddle-limits/src/LimitOwners.ts
@@ -14,7 +14,7 @@
  *
  * @param vms all entry VMs
  */
-export function limitKeepers(vms: readonly VmId[]): readonly VmId[] {
+export function limitOwnerCandidates(vms: readonly VmId[]): readonly VmId[] {
   const count = Math.max(FEWEST_KEEPERS, Math.ceil(vms.length / VMS_PER_KEEPER));
   return [...vms].sort((a, b) => hash32(a) - hash32(b) || (a < b ? -1 : 1)).slice(0, count);
 }
--- a/packages/stallpaddle-limits/src/__tests__/unit/LimitKeeper.test.ts
+++ b/packages/stallpaddle-limits/src/__tests__/unit/LimitOwnerBuckets.test.ts
@@ -9,8 +9,8 @@
 
 import type {RateLimit} from '../../LimitTypes';
 
-import {LimitKeeper} from '../../LimitKeeper';
-import {limitKeepers, limitOwners} from '../../LimitOwners';
+import {LimitOwnerBuckets} from '../../LimitOwnerBuckets';
+import {limitOwnerCandidates, limitOwners} from '../../LimitOwners';
 import {LimitShare} from '../../LimitShare';
 
 /** Any span of this length is counted, in milliseconds. */
@@ -54,7 +54,7 @@
 function grantsOf(
   limit: RateLimit,
   moments: readonly number[],
-  keeperAt: (at: number) => LimitKeeper,
+  keeperAt: (at: number) => LimitOwnerBuckets,
 ): readonly number[] {
   const granted = moments.flatMap((at) => {
     const answer = keeperAt(at).ask(limit, at);
@@ -63,7 +63,7 @@
   return granted.sort((a, b) => a - b);
 }
 
-describe('LimitKeeper', () => {
+describe('LimitOwnerBuckets', () => {
   test(
     'grants no more than the limit in any span, whatever comes and however often the owner changes',
     async () => {
@@ -76,11 +76,11 @@
           const limit = limitOf(rate);
           const random = seededRandom(seed);
           const owners = [...changes].sort((a, b) => a - b);
-          let keeper = new LimitKeeper();
+          let keeper = new LimitOwnerBuckets();
           const granted = grantsOf(limit, arrivals(rate * pressure, random), (at) => {
             while (owners[0] !== undefined && owners[0] <= at) {
               owners.shift();
-              keeper = new LimitKeeper();
+              keeper = new LimitOwnerBuckets();
             }
             return keeper;
           });
@@ -104,8 +104,8 @@
         (rate, pressure, away, awayMs, seed) => {
           // An owner that was suspended, or whose VM was out of the list for a while, keeps its counts of before.
           const limit = limitOf(rate);
-          const owner = new LimitKeeper();
-          const standIn = new LimitKeeper();
+          const owner = new LimitOwnerBuckets();
+          const standIn = new LimitOwnerBuckets();
           const moments = arrivals(rate * pressure, seededRandom(seed));
           const isAway = (at: number): boolean => at >= away && at < away + awayMs;
           const granted = grantsOf(limit, moments, (at) => (isAway(at) ? standIn : owner));
@@ -119,7 +119,7 @@
 
   test.each([0.2, 1, 5])('refuses nobody who comes at even times, %f a second', (rate) => {
     const limit = {...limitOf(rate), burst: 0};
-    const keeper = new LimitKeeper();
+    const keeper = new LimitOwnerBuckets();
     const gapMs = 1_000 / rate;
     const answers = Array.from({length: 100}, (_, at) => keeper.ask(limit, at * gapMs).kind);
     expect(answers.filter((kind) => kind === 'over')).toEqual([]);
@@ -127,7 +127,7 @@
 
   test.each([2, 10, 67])('refuses nobody who uses six tenths of %i a second', (rate) => {
     const limit = limitOf(rate);
-    const keeper = new LimitKeeper();
+    const keeper = new LimitOwnerBuckets();
     const moments = arrivals(rate * 0.6, seededRandom(rate));
     const refused = moments.filter((at) => keeper.ask(limit, at).kind === 'over');
     expect(refused).toEqual([]);
@@ -135,7 +135,7 @@
 
   test('takes back what no engine ran', () => {
     const limit = {...limitOf(1), burst: 0};
-    const keeper = new LimitKeeper();
+    const keeper = new LimitOwnerBuckets();
     while (keeper.ask(limit, 0).kind === 'granted');
     keeper.takeBack(limit);
     expect(keeper.ask(limit, 0).kind).toBe('granted');
@@ -152,7 +152,7 @@
     const limit = limitOf(ratePerSecond);
     const random = seededRandom(vms * ratePerSecond);
     const moments = arrivals(ratePerSecond * use, random);
-    const keeper = new LimitKeeper();
+    const keeper = new LimitOwnerBuckets();
     const shares = Array.from({length: vms}, () => new LimitShare());
     let owner = 0;
     let share = 0;
@@ -186,7 +186,7 @@
   const VMS = Array.from({length: 56}, (_, at) => `10.1.0.${at}`);
 
   test('spreads customers over few VMs, and moves those of a lost one only', () => {
-    const keepers = limitKeepers(VMS);
+    const keepers = limitOwnerCandidates(VMS);
     expect(keepers).toHaveLength(7);
     const [lost] = keepers;
     const after = keepers.filter((vm) => vm !== lost);
@@ -197,8 +197,8 @@
   });
 
   test('keeps nearly the same VMs when others come', () => {
-    const before = new Set(limitKeepers(VMS));
-    const after = limitKeepers([...VMS, '10.2.0.1', '10.2.0.2']);
+    const before = new Set(limitOwnerCandidates(VMS));
+    const after = limitOwnerCandidates([...VMS, '10.2.0.1', '10.2.0.2']);
     expect(after.filter((vm) => !before.has(vm)).length).toBeLessThanOrEqual(2);
   });
 });
--- a/packages/stallpaddle-limits/src/index.ts
+++ b/packages/stallpaddle-limits/src/index.ts
@@ -7,8 +7,8 @@
   returnToken,
   takeToken,
 } from './LimitBucket';
-export {LimitKeeper} from './LimitKeeper';
-export {limitKeepers, limitOwners} from './LimitOwners';
+export {LimitOwnerBuckets} from './LimitOwnerBuckets';
+export {limitOwnerCandidates, limitOwners} from './LimitOwners';
 export {LimitShare} from './LimitShare';
 export type {
   AskLimit,
--- a/packages/stallpaddle-node/src/NodeLimits.ts
+++ b/packages/stallpaddle-node/src/NodeLimits.ts
@@ -9,8 +9,8 @@
   type LimitAnswer,
   type LimitAsk,
   type LimitDecision,
-  LimitKeeper,
-  limitKeepers,
+  LimitOwnerBuckets,
+  limitOwnerCandidates,
   limitOwners,
   LimitShare,
   type RateLimit,
@@ -71,7 +71,7 @@
  */
 export class NodeLimits {
   /** Limits that this VM grants, as owner or deputy. */
-  private readonly owned = new LimitKeeper();
+  private readonly owned = new LimitOwnerBuckets();
   /** VMs among which limits are distributed. */
   private candidates: readonly VmId[] = [];
   /** Entry VMs from which `candidates` was computed. */
@@ -219,7 +219,7 @@
     const entries = this.options.entries();
     if (entries !== this.candidatesOf) {
       this.candidatesOf = entries;
-      this.candidates = limitKeepers(entries.map(({address}) => hostOf(address)));
+      this.candidates = limitOwnerCandidates(entries.map(({address}) => hostOf(address)));
       this.owned.keepOnly((other) => limitOwners(other, this.candidates)[0] === this.options.host);
     }
     return limitOwners(customer, this.candidates);
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeLimits.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeLimits.test.ts
@@ -5,7 +5,7 @@
 import type {TryOutcome, TryRequest} from 'stallpaddle-rpc';
 
 import {decodeValue, seededRandom, systemClock} from 'stallpaddle';
-import {limitKeepers, limitOwners} from 'stallpaddle-limits';
+import {limitOwnerCandidates, limitOwners} from 'stallpaddle-limits';
 import {tryLocal} from 'stallpaddle-rpc';
 import {describe, expect, test} from 'vitest';
 
@@ -47,7 +47,7 @@
   }
 
   get owners(): readonly VmId[] {
-    return limitOwners(LIMIT.customer, limitKeepers(this.hosts));
+    return limitOwners(LIMIT.customer, limitOwnerCandidates(this.hosts));
   }
 
   /** Sends a request to each reachable VM; returns how many were granted. */
