--- a/packages/stallpaddle-fleet/src/FleetConfigs.ts
+++ b/packages/stallpaddle-fleet/src/FleetConfigs.ts
@@ -1,13 +1,13 @@
 /**
- * Checks of a whole configuration, and the choice of a request's route.
+ * Validation of configurations and routing of requests by host and path.
  */
 import type {FleetConfig, FleetRoute} from './FleetTypes';
 
 import {findCustomerFault} from './FleetCustomers';
 
-/** Why a configuration was not taken. */
+/** Reason why a configuration was rejected. */
 export interface ConfigFault {
-  /** One sentence for a person. */
+  /** One sentence for the operator. */
   readonly message: string;
   /** Place in the configuration, such as `routes.2`. */
   readonly path: string;
@@ -29,7 +29,7 @@
 }
 
 /**
- * Finds the first fault of a configuration.
+ * Validates a configuration and returns its first fault.
  *
  * @param config the configuration
  */
@@ -54,7 +54,7 @@
     : {message: `A customer: ${fault.message}.`, path: `customers.${fault.index}`};
 }
 
-/** Routes by host, longest prefix first; made once for each configuration. */
+/** Looks up routes by host and longest path prefix; built once for each configuration. */
 export class RouteTable {
   private readonly byHost = new Map<string, FleetRoute[]>();
 
@@ -73,19 +73,19 @@
   }
 
   /**
-   * The route of a request, if there is one.
+   * Returns the route of a request, if any matches.
    *
-   * @param host what the request's Host header names
-   * @param path the request's path; a query may follow
+   * @param host host name of the request's Host header
+   * @param path the request's path, with or without a query
    */
   find(host: string, path: string): FleetRoute | undefined {
     return this.byHost.get(host)?.find(({pathPrefix}) => path.startsWith(pathPrefix));
   }
 
   /**
-   * Whether anybody may submit jobs to a host, and so ask for them.
+   * Whether callers without a customer key may submit and read jobs at a host.
    *
-   * @param host what a call's Host header names
+   * @param host host name of the call's Host header
    */
   takesJobsOfAnybody(host: string): boolean {
     const isOpen = ({isPublic, kind}: FleetRoute): boolean => kind === 'batch' && isPublic === true;
--- a/packages/stallpaddle-fleet/src/FleetCustomers.ts
+++ b/packages/stallpaddle-fleet/src/FleetCustomers.ts
@@ -1,13 +1,13 @@
 /**
- * Customers by their keys. Keys are told apart by digests, so that no process but those that give the operator's text back
- * holds a key.
+ * Customers and their keys. Keys are compared by digest, so that only the processes that store the operator's text hold
+ * the keys themselves.
  */
 import {createHash} from 'node:crypto';
 
 import type {FleetConfig, FleetCustomer, StoredConfig} from './FleetTypes';
 
-/** Digits of a key's digest that are kept: 132 bits, so that nobody finds another key with the same digest. */
-const DIGITS = 22;
+/** Base64url digits kept of a key's digest: 132 bits, which rules out finding a second key with the same digest. */
+const DIGEST_LENGTH = 22;
 
 /**
  * Digest of a customer's key.
@@ -15,16 +15,16 @@
  * @param key the key
  */
 export function keyDigest(key: string): string {
-  return createHash('sha256').update(key).digest('base64url').slice(0, DIGITS);
+  return createHash('sha256').update(key).digest('base64url').slice(0, DIGEST_LENGTH);
 }
 
 /**
- * A configuration as it is told to processes that need not give it back.
+ * Removes the operator's text, which contains the keys, from a configuration.
  *
  * @param config the configuration
  */
-export function withoutSource({source: _source, ...told}: StoredConfig): FleetConfig {
-  return told;
+export function withoutSource({source: _source, ...config}: StoredConfig): FleetConfig {
+  return config;
 }
 
 function* usedKeys(customers: readonly FleetCustomer[]): Generator<readonly [string, number]> {
@@ -36,10 +36,10 @@
 }
 
 /**
- * The first customer that can't be told apart from another one, or has terms that nobody can keep to.
+ * Finds the first customer with an empty or duplicate name, a duplicate key or an invalid limit.
  *
  * @param customers the customers
- * @returns its place and what is wrong with it
+ * @returns its index and a description of the fault
  */
 export function findCustomerFault(
   customers: readonly FleetCustomer[],
@@ -64,7 +64,7 @@
   return null;
 }
 
-/** Customers by the digests of their keys and by their names; made once for each configuration. */
+/** Looks up customers by key digest and by name; built once for each configuration. */
 export class CustomerTable {
   private readonly byKey = new Map<string, FleetCustomer>();
   private readonly byName = new Map<string, FleetCustomer>();
@@ -80,7 +80,7 @@
   }
 
   /**
-   * The customer that holds a key.
+   * Returns the customer that holds a key.
    *
    * @param digest the key's digest
    */
@@ -89,7 +89,7 @@
   }
 
   /**
-   * A customer by its name.
+   * Returns the customer of a name.
    *
    * @param name the name
    */
--- a/packages/stallpaddle-fleet/src/FleetDelta.ts
+++ b/packages/stallpaddle-fleet/src/FleetDelta.ts
@@ -1,37 +1,36 @@
 /**
- * What differs between two states of the news, so that a change of one engine or VM costs each process a line and not
- * the whole list: with 170 entry VMs, 52 engines and 30 stores the list has 18 KB. Pure.
+ * Deltas between fleet statuses, so that a change of one engine or VM doesn't resend the whole status. Pure functions.
  */
 import type {SuspectView} from './FleetSuspects';
 import type {EngineView, EntryView, FleetStatus, StoreView} from './FleetView';
 
-/** Lines of one list that are new, changed or gone. */
-export interface ListDelta<Line> {
+/** Changes of one list: items added or replaced, and names of items removed. */
+export interface ListDelta<Item> {
   readonly gone: readonly string[];
-  readonly put: readonly Line[];
+  readonly put: readonly Item[];
 }
 
-/** Everything that differs; what is left out is the same. */
+/** Changes from one fleet status to another; absent plain fields are unchanged. */
 export interface StatusDelta {
   readonly engines: ListDelta<EngineView>;
   readonly entries: ListDelta<EntryView>;
   readonly plain: Partial<Omit<FleetStatus, 'engines' | 'entries' | 'stores' | 'suspects'>>;
   readonly stores: ListDelta<StoreView>;
-  /** Leaders of releases before send none. */
+  /** Absent from leaders of earlier releases. */
   readonly suspects?: ListDelta<SuspectView>;
 }
 
-/** A part of an answer that brings news. */
+/** Part of an answer that updates the fleet status. */
 export type StatusUpdate =
-  /** The news under a number, given those under `from`. */
+  /** Applies to the status with the number `from`. */
   | {readonly delta: StatusDelta; readonly from: number; readonly kind: 'delta'}
   | {readonly kind: 'same'}
   | {readonly kind: 'whole'; readonly news: FleetStatus};
 
-/** A list, by the names of its lines. */
-interface StatusList<Line extends object> {
-  readonly nameOf: (line: Line) => string;
-  readonly of: (news: FleetStatus) => readonly Line[];
+/** Accesses one list of the fleet status and the names of its items. */
+interface StatusList<Item extends object> {
+  readonly nameOf: (item: Item) => string;
+  readonly of: (status: FleetStatus) => readonly Item[];
 }
 
 const ENGINES: StatusList<EngineView> = {nameOf: ({id}) => id, of: ({engines}) => engines};
@@ -42,14 +41,14 @@
   of: ({suspects}) => suspects,
 };
 
-/** The parts of the news that are no lists of lines with names. */
-const PLAIN = ['controls', 'entriesComplete', 'jobsFounders', 'jobsReplicas'] as const;
+/** Fields of the fleet status that are not lists of named items. */
+const PLAIN_FIELDS = ['controls', 'entriesComplete', 'jobsFounders', 'jobsReplicas'] as const;
 
-const NO_LINES: ListDelta<never> = {gone: [], put: []};
+const NO_CHANGES: ListDelta<never> = {gone: [], put: []};
 
-/** Whether two lines hold the same plain values. */
-function isSameLine<Line extends object>(a: Line, b: Line): boolean {
-  const keys = Object.keys(a) as (keyof Line)[];
+/** Whether two items have the same keys and values; values are compared by identity. */
+function isSameItem<Item extends object>(a: Item, b: Item): boolean {
+  const keys = Object.keys(a) as (keyof Item)[];
   return keys.length === Object.keys(b).length && keys.every((key) => a[key] === b[key]);
 }
 
@@ -57,23 +56,26 @@
   return a === b || (Array.isArray(a) && Array.isArray(b) && a.join() === b.join());
 }
 
-function byName<Line extends object>(list: StatusList<Line>, news: FleetStatus): Map<string, Line> {
-  return new Map(list.of(news).map((line) => [list.nameOf(line), line]));
+function byName<Item extends object>(
+  list: StatusList<Item>,
+  status: FleetStatus,
+): Map<string, Item> {
+  return new Map(list.of(status).map((item) => [list.nameOf(item), item]));
 }
 
-function diffList<Line extends object>(
-  list: StatusList<Line>,
+function diffList<Item extends object>(
+  list: StatusList<Item>,
   before: FleetStatus,
   after: FleetStatus,
-): ListDelta<Line> {
+): ListDelta<Item> {
   const known = byName(list, before);
-  const put: Line[] = [];
-  for (const line of list.of(after)) {
-    const name = list.nameOf(line);
+  const put: Item[] = [];
+  for (const item of list.of(after)) {
+    const name = list.nameOf(item);
     const old = known.get(name);
     known.delete(name);
-    if (old === undefined || !isSameLine(old, line)) {
-      put.push(line);
+    if (old === undefined || !isSameItem(old, item)) {
+      put.push(item);
     }
   }
   return {gone: [...known.keys()], put};
@@ -83,41 +85,41 @@
   return gone.length + put.length === 0;
 }
 
-function applyList<Line extends object>(
-  list: StatusList<Line>,
+function applyList<Item extends object>(
+  list: StatusList<Item>,
   before: FleetStatus,
-  delta: ListDelta<Line>,
-): readonly Line[] {
+  delta: ListDelta<Item>,
+): readonly Item[] {
   if (isEmpty(delta)) {
     return list.of(before);
   }
-  const lines = byName(list, before);
-  delta.gone.forEach((name) => lines.delete(name));
-  delta.put.forEach((line) => lines.set(list.nameOf(line), line));
-  return sortByName([...lines.values()], list.nameOf);
+  const items = byName(list, before);
+  delta.gone.forEach((name) => items.delete(name));
+  delta.put.forEach((item) => items.set(list.nameOf(item), item));
+  return sortByName([...items.values()], list.nameOf);
 }
 
 /**
- * Lines in the order in which all news hold them: by their names.
+ * Sorts items by name, which is their order in every fleet status.
  *
- * @param lines the lines
- * @param nameOf a line's name
+ * @param items the items
+ * @param nameOf returns an item's name
  */
-export function sortByName<Line>(
-  lines: readonly Line[],
-  nameOf: (line: Line) => string,
-): readonly Line[] {
-  return [...lines].sort((a, b) => (nameOf(a) < nameOf(b) ? -1 : 1));
+export function sortByName<Item>(
+  items: readonly Item[],
+  nameOf: (item: Item) => string,
+): readonly Item[] {
+  return [...items].sort((a, b) => (nameOf(a) < nameOf(b) ? -1 : 1));
 }
 
 /**
- * What differs.
+ * Computes the changes between two statuses.
  *
- * @param before news as a process holds them
- * @param after news as they are now
+ * @param before the status that a process holds
+ * @param after the current status
  */
 export function diffStatus(before: FleetStatus, after: FleetStatus): StatusDelta {
-  const changed = PLAIN.filter((key) => !isSamePlain(before[key], after[key]));
+  const changed = PLAIN_FIELDS.filter((key) => !isSamePlain(before[key], after[key]));
   return {
     engines: diffList(ENGINES, before, after),
     entries: diffList(ENTRIES, before, after),
@@ -128,20 +130,20 @@
 }
 
 /**
- * Whether two states of the news are the same.
+ * Whether a delta contains no changes.
  *
- * @param delta what differs
+ * @param delta the delta
  */
 export function isEmptyDelta(delta: StatusDelta): boolean {
-  const {engines, entries, plain, stores, suspects = NO_LINES} = delta;
+  const {engines, entries, plain, stores, suspects = NO_CHANGES} = delta;
   return [engines, entries, stores, suspects].every(isEmpty) && Object.keys(plain).length === 0;
 }
 
 /**
- * The later news.
+ * Applies a delta to a status.
  *
- * @param before the news from which the delta was made
- * @param delta what differs
+ * @param before the status from which the delta was computed
+ * @param delta the delta
  */
 export function applyStatusDelta(before: FleetStatus, delta: StatusDelta): FleetStatus {
   return {
@@ -150,6 +152,6 @@
     engines: applyList(ENGINES, before, delta.engines),
     entries: applyList(ENTRIES, before, delta.entries),
     stores: applyList(STORES, before, delta.stores),
-    suspects: applyList(SUSPECTS, before, delta.suspects ?? NO_LINES),
+    suspects: applyList(SUSPECTS, before, delta.suspects ?? NO_CHANGES),
   };
 }
--- a/packages/stallpaddle-fleet/src/FleetHistory.ts
+++ b/packages/stallpaddle-fleet/src/FleetHistory.ts
@@ -1,41 +1,40 @@
 /**
- * The last states of the news under their numbers, so that each process is told only what it lacks. The numbers belong
- * to one leader's term, and are the same at whoever passes the news on.
+ * Recent fleet statuses by number, from which updates are computed for processes that hold an earlier one.
  */
 import type {KnownVersions} from './FleetView';
 import type {FleetStatus} from './FleetView';
 
 import {diffStatus, type StatusUpdate} from './FleetDelta';
 
-/**
- * States that are kept: a process asks again within 1.3 s, and there are ten a second at most. Whoever is further behind
- * gets the whole.
- */
-const KEPT = 16;
+/** Number of statuses kept; a process that is further behind receives the whole status. */
+const MAX_STATUSES = 16;
 
-/** News under their number. */
+/** A fleet status with its number, which is unique within the term of the leader that published it. */
 export interface NumberedStatus {
   readonly fleet: number;
   readonly news: FleetStatus;
   readonly term: number;
 }
 
-/** See the module's comment. */
+/**
+ * Keeps the recent fleet statuses of one leader's term and computes updates between them. Numbers are the same at the
+ * leader and at replicas that forward the status, so a process may switch between them.
+ */
 export class FleetHistory {
   private current: NumberedStatus | undefined;
   private readonly kept = new Map<number, FleetStatus>();
-  /** What was worked out for processes that hold an earlier state; most hold the same one. */
+  /** Updates to the current status by the number they start from; most processes hold the same number. */
   private readonly updates = new Map<number, StatusUpdate>();
 
-  /** The latest state, once there is one. */
+  /** The latest status, once there is one. */
   get latest(): NumberedStatus | undefined {
     return this.current;
   }
 
   /**
-   * Adds a state. One of another term makes all earlier ones useless.
+   * Adds a status. A new term discards all earlier ones, because numbers restart with each term.
    *
-   * @param numbered the state
+   * @param numbered the status
    */
   put(numbered: NumberedStatus): void {
     if (this.current?.term !== numbered.term) {
@@ -45,15 +44,15 @@
     this.kept.set(numbered.fleet, numbered.news);
     this.updates.clear();
     const [oldest] = this.kept.keys();
-    if (oldest !== undefined && this.kept.size > KEPT) {
+    if (oldest !== undefined && this.kept.size > MAX_STATUSES) {
       this.kept.delete(oldest);
     }
   }
 
   /**
-   * What a process lacks; nothing when it holds this state or a later one.
+   * Computes the update that brings a process to the latest status; `same` when it holds that or a later one.
    *
-   * @param known what the process holds
+   * @param known versions that the process holds
    */
   updateFor({fleet, term}: KnownVersions): StatusUpdate {
     const {current} = this;
--- a/packages/stallpaddle-fleet/src/FleetMachine.ts
+++ b/packages/stallpaddle-fleet/src/FleetMachine.ts
@@ -1,5 +1,5 @@
 /**
- * The control group's state as a replicated state machine. All commands may be repeated without harm.
+ * The control group's replicated state machine. All commands are idempotent.
  */
 import type {EngineId} from 'stallpaddle';
 import type {GroupMs, MachineResult, ReplicaMachine} from 'stallpaddle-replication';
@@ -19,8 +19,8 @@
 import {afterEngineEnd, afterRelease, afterTick} from './FleetSuspects';
 import {UNKNOWN_START} from './FleetTypes';
 
-/** Ended engines that are remembered: at 290 restarts a day, more than a week of them. */
-const GONE_ENGINES_KEPT = 4_096;
+/** Bounds the memory of ended incarnations, which rejects late reports of removed engines. */
+const MAX_GONE_ENGINES = 4_096;
 
 const EMPTY_FLEET: FleetState = {
   clockMs: 0,
@@ -40,7 +40,7 @@
 
 const APPLIED: FleetAnswer = {kind: 'applied'};
 
-function unchanged(state: FleetState): FleetStep {
+function applied(state: FleetState): FleetStep {
   return {answer: APPLIED, state};
 }
 
@@ -49,11 +49,11 @@
   const gone = new Map(state.goneEngines);
   for (const [id, startedAtMs] of ended) {
     engines.delete(id);
-    // Last again, also when an earlier start stood further ahead.
+    // Deleting first moves the engine to the end of the insertion order.
     gone.delete(id);
     gone.set(id, startedAtMs);
   }
-  const goneEngines = new Map([...gone].slice(-GONE_ENGINES_KEPT));
+  const goneEngines = new Map([...gone].slice(-MAX_GONE_ENGINES));
   return {...state, engines, enginesRevision: state.enginesRevision + 1, goneEngines};
 }
 
@@ -66,47 +66,46 @@
   );
 }
 
-/** Other engines that have a report's address. */
-function othersAt(state: FleetState, {address, id}: EngineReport): readonly FleetEngine[] {
+/** Other engines registered at a report's address. */
+function otherEnginesAt(state: FleetState, {address, id}: EngineReport): readonly FleetEngine[] {
   return [...state.engines.values()].filter(
     (other) => other.address === address && other.id !== id,
   );
 }
 
-/** Whether a service is configured; while nothing is, every service may be. */
+/** Whether a service is configured; without a configuration, every service counts as configured. */
 function isConfigured({config}: FleetState, service: string): boolean {
   return config === null || config.services.some(({name}) => name === service);
 }
 
 /**
- * Whether a report is of a start that has ended: its engine is gone, or has started again since. A link that was cut may
- * bring such a report long after.
+ * Whether a report comes from an incarnation that has ended: its engine was removed, or has restarted since. A network
+ * partition may delay such reports.
  *
  * @param state the group's state
  * @param report the report
  */
 export function isOutdated(state: FleetState, {id, startedAtMs}: EngineReport): boolean {
   const endedAt = state.goneEngines.get(id);
-  const runsSince = state.engines.get(id)?.startedAtMs ?? startedAtMs;
-  return (endedAt !== undefined && startedAtMs <= endedAt) || startedAtMs < runsSince;
+  const currentStart = state.engines.get(id)?.startedAtMs ?? startedAtMs;
+  return (endedAt !== undefined && startedAtMs <= endedAt) || startedAtMs < currentStart;
 }
 
 /**
- * Engines that have a report's address and say that they started later. The report is late if one of them lives; but
- * engines may disagree on the time of day, so an address whose holder is silent may go to one that seems to be older.
+ * Engines registered at a report's address with a later start time. The report is late if one of them is alive; but
+ * engines' wall clocks may differ, so an engine that seems older may take the address of one that sends no reports.
  *
  * @param state the group's state
  * @param report the report
  */
 export function laterHolders(state: FleetState, report: EngineReport): readonly EngineId[] {
-  return othersAt(state, report)
+  return otherEnginesAt(state, report)
     .filter(({startedAtMs}) => report.startedAtMs < startedAtMs)
     .map(({id}) => id);
 }
 
 /**
- * Whether a report would change what is known of an engine, so that reports that tell nothing new need
- * not be recorded.
+ * Whether a report would change the state; other reports need not be replicated.
  *
  * @param state the group's state
  * @param report the report
@@ -119,54 +118,54 @@
   if (known === undefined || report.startedAtMs > known.startedAtMs) {
     return true;
   }
-  // No engine goes over to a service that nobody configured: such a report comes from somebody else.
+  // An engine cannot move to an unconfigured service: such a report comes from a different sender.
   const isOwn = known.service === report.service || isConfigured(state, report.service);
   return isOwn && report.sequence > known.sequence && !isSame(known, report);
 }
 
 function reportEngine(state: FleetState, report: EngineReport): FleetStep {
   if (!changesEngine(state, report)) {
-    return unchanged(state);
+    return applied(state);
   }
   const known = state.engines.get(report.id);
-  // An engine that leaves never comes back but by a new start: a report sent before may arrive after.
+  // Draining is final within one incarnation: a report sent before it began may arrive later.
   const hasLeft = known?.startedAtMs === report.startedAtMs && known.draining;
-  // A report for a service that is not configured names no engine to use, so it ends none either.
-  const reused = isConfigured(state, report.service) ? othersAt(state, report) : [];
-  const ended = new Map(reused.map(({id, startedAtMs}) => [id, startedAtMs]));
+  // A report for an unconfigured service registers no usable engine, so it must not remove one.
+  const replaced = isConfigured(state, report.service) ? otherEnginesAt(state, report) : [];
+  const ended = new Map(replaced.map(({id, startedAtMs}) => [id, startedAtMs]));
   const cleared = ended.size > 0 ? withoutEngines(state, ended) : state;
   const draining = report.draining || hasLeft;
   const engines = new Map(cleared.engines).set(report.id, {...report, draining});
-  return unchanged({...cleared, engines, enginesRevision: cleared.enginesRevision + 1});
+  return applied({...cleared, engines, enginesRevision: cleared.enginesRevision + 1});
 }
 
 function removeEngine(state: FleetState, {id, startedAtMs}: RemoveEngine): FleetStep {
   const running = state.engines.get(id)?.startedAtMs;
   const endedAt = state.goneEngines.get(id);
   const ending = startedAtMs ?? running ?? endedAt ?? UNKNOWN_START;
-  const isKnown = endedAt !== undefined && ending <= endedAt;
-  // The word of an earlier start may come after the next one has begun.
+  const isRecorded = endedAt !== undefined && ending <= endedAt;
+  // The removal of an earlier incarnation may arrive after the next one has registered.
   const isEarlier = running !== undefined && ending < running;
-  return unchanged(isKnown || isEarlier ? state : withoutEngines(state, new Map([[id, ending]])));
+  return applied(isRecorded || isEarlier ? state : withoutEngines(state, new Map([[id, ending]])));
 }
 
 function withSuspects(state: FleetState, suspects: FleetSuspects): FleetStep {
-  return unchanged(suspects === state.suspects ? state : {...state, suspects});
+  return applied(suspects === state.suspects ? state : {...state, suspects});
 }
 
 function step(state: FleetState, command: FleetCommand): FleetStep {
   switch (command.kind) {
     case 'foundJobs':
-      return unchanged(
+      return applied(
         state.jobsFounders === null ? {...state, jobsFounders: command.founders} : state,
       );
     case 'noteEngineEnd':
       return withSuspects(state, afterEngineEnd(state.suspects, command, state.clockMs));
     case 'putConfig': {
-      const held = state.config?.version ?? -Infinity;
-      return command.config.version > held
-        ? unchanged({...state, config: command.config})
-        : {answer: {kind: 'held', version: held}, state};
+      const current = state.config?.version ?? -Infinity;
+      return command.config.version > current
+        ? applied({...state, config: command.config})
+        : {answer: {kind: 'held', version: current}, state};
     }
     case 'releaseRequest':
       return withSuspects(state, afterRelease(state.suspects, command));
@@ -180,18 +179,18 @@
         return {answer: {kind: 'unknownStore'}, state};
       }
       const stores = new Map(state.stores).set(command.name, {...known, retiring: true});
-      return unchanged({...state, stores});
+      return applied({...state, stores});
     }
     case 'seeStore': {
       const {name, replica} = command;
       const known = state.stores.get(name);
-      // Another disk under the same name is a new VM, which nobody asked to empty.
+      // A different disk under the same name is a new VM, whose retirement was not requested.
       const retiring = known?.replica === replica && known.retiring;
       const stores = new Map(state.stores).set(name, {name, replica, retiring});
-      return unchanged({...state, stores});
+      return applied({...state, stores});
     }
     case 'tick':
-      return unchanged(state);
+      return applied(state);
     default:
       return unreachable(command);
   }
@@ -201,10 +200,10 @@
   FleetState,
   'clockMs' | 'engines' | 'goneEngines' | 'stores' | 'suspects'
 > {
-  /** Releases before wrote neither this nor suspects. */
+  /** Earlier releases wrote neither this nor suspects. */
   readonly clockMs?: GroupMs;
   readonly engines: readonly FleetEngine[];
-  /** With their last starts; releases before wrote the names alone. */
+  /** With their latest ended incarnations; earlier releases wrote only the IDs. */
   readonly goneEngines: readonly (EngineId | readonly [EngineId, number])[];
   readonly stores: readonly (FleetState['stores'] extends ReadonlyMap<string, infer S>
     ? S
@@ -212,7 +211,7 @@
   readonly suspects?: readonly FleetSuspect[];
 }
 
-/** What releases before wrote: their engines didn't say when they started. */
+/** Form written by earlier releases, whose engines did not report start times. */
 type WithOptionalStart<Report extends {readonly startedAtMs: number | null}> = Omit<
   Report,
   'startedAtMs'
@@ -233,7 +232,7 @@
     : command;
 }
 
-/** See the module's comment. */
+/** Applies registrations, removals, configurations and engine exits to the control group's state. */
 export const fleetMachine: ReplicaMachine<FleetState> = {
   apply: (state, command, elapsedMs): MachineResult<FleetState> => {
     const clockMs = state.clockMs + elapsedMs;
--- a/packages/stallpaddle-fleet/src/FleetSuspects.ts
+++ b/packages/stallpaddle-fleet/src/FleetSuspects.ts
@@ -1,114 +1,114 @@
 /**
- * Requests during whose runs engines ended, by their digests. A request may end every engine that begins to run it, and
- * come again at any VM; whoever only knows its attempts brings it to one engine after the other, and each takes all else
- * that runs there along. What stands beside it is cut off too, and comes again as well. So one end makes a request a suspect
- * and no more; a second end, in a run that began when the first was known, holds it off the engines for some time. Pure.
+ * Tracks requests that may crash engines, by digest. Callers retry such a request at any VM, and each crash interrupts
+ * all other requests of that engine, which are retried too. One exit therefore only makes a request a suspect; a second
+ * exit, in an attempt that started when the first was known, quarantines it for some time. Pure functions.
  */
 import type {EngineId} from 'stallpaddle';
 import type {GroupMs} from 'stallpaddle-replication';
 
-/** An engine has ended while it began to run a request. */
+/** Records that an engine exited while it was starting a request. */
 export interface NoteEngineEnd {
-  /** The request, whatever attempt it was. */
+  /** Identifies the request across its attempts. */
   readonly digest: string;
   readonly engine: EngineId;
   readonly kind: 'noteEngineEnd';
-  /** Level at which the request stood for its sender when the run began. */
+  /** Level of the request that the sender knew when the attempt started. */
   readonly known: number;
-  /** Which of the engine's starts has ended. */
+  /** The engine's incarnation that exited. */
   readonly startedAtMs: number;
 }
 
-/** An engine has run a suspect past its begin, so that it doesn't end every engine; or an operator lets it go. */
+/** Clears a suspect: an engine ran it past its start, so it doesn't crash every engine, or an operator released it. */
 export interface ReleaseRequest {
   readonly by: 'engine' | 'operator';
   readonly digest: string;
   readonly kind: 'releaseRequest';
 }
 
-/** A suspect as the group keeps it. */
+/** A suspect as stored in the replicated state. */
 export interface FleetSuspect {
   readonly digest: string;
-  /** Starts of engines that have ended, the last ones; an end that two VMs tell of is one. */
+  /** The latest engine incarnations that exited, so that an exit reported by two VMs counts once. */
   readonly ended: readonly string[];
-  /** How often it was held so far: each time twice as long. */
+  /** Number of times it was quarantined; each time doubles the duration. */
   readonly holds: number;
-  /** What senders knew when the runs began, each once: as many ends came one after the other, in whatever order they are told. */
+  /**
+   * Distinct levels that senders knew when their attempts started. Their number is a lower bound of consecutive exits
+   * that doesn't depend on the order in which exits are reported.
+   */
   readonly knowns: readonly number[];
-  /** Ends one after the other; {@link QUARANTINE_LEVEL} holds it off the engines. */
+  /** Number of consecutive exits; quarantined from {@link QUARANTINE_LEVEL} on. */
   readonly level: number;
   /** When the level is lowered, by the group's clock. */
   readonly until: GroupMs;
 }
 
-/** A suspect as all processes are told of it. */
+/** A suspect as published to all processes. */
 export interface SuspectView {
   readonly digest: string;
-  /** How long it is held in all, in milliseconds; 0 while it is not. */
+  /** Total duration of its quarantine, in milliseconds; 0 while not quarantined. */
   readonly holdMs: number;
   readonly level: number;
 }
 
-/** A suspect as an operator sees it. */
+/** A suspect as shown to an operator. */
 export interface SuspectDetails extends SuspectView {
-  /** Starts of engines that have ended, the last ones. */
+  /** The latest engine incarnations that exited. */
   readonly ended: readonly string[];
   /** Time until its level is lowered, in milliseconds. */
   readonly leftMs: number;
 }
 
-/** All suspects, those that were changed last behind the others. */
+/** Suspects by digest, the least recently changed first. */
 export type FleetSuspects = ReadonlyMap<string, FleetSuspect>;
 
 /**
- * Level from which on a request is held off the engines. A third run costs an engine for seconds with up to all its slots, and
- * brings one answer at best. The price is who only stood beside two ends: with one request that ends engines every 20 s (a model
- * of 400,000 requests, `npm run blame`) 44 such requests for 349 causes at 6 engines, 1 for 37 at 68, none at 740; with each
- * engine ending once a minute by itself 41, 3 and 3. They were cut off twice already.
+ * Level from which a request is quarantined: a third attempt risks another engine for at most one response. Innocent
+ * requests that were interrupted by two consecutive exits are quarantined too; `npm run blame` estimates how many.
  */
 export const QUARANTINE_LEVEL = 2;
 
-/** Time for which one end counts, in milliseconds: callers that come again do so within seconds. */
-const SUSPECT_MS = 60_000;
+/** Time for which one exit counts, in milliseconds; callers retry within seconds. */
+const SUSPECT_TTL_MS = 60_000;
 /**
- * First time for which a request is held, in milliseconds: no caller waits so long, and whoever repairs the engines has had a
- * look. It is on trial for as long again: one more end holds it twice as long.
+ * Duration of the first quarantine, in milliseconds; longer than callers keep retrying. Afterwards the request is on
+ * trial for as long again, in which one more exit quarantines it for twice the time.
  */
 export const FIRST_QUARANTINE_MS = 600_000;
-/** Longest such time, in milliseconds: a day. */
-const LONGEST_HOLD_MS = 86_400_000;
-/** Suspects that are kept; each end makes a dozen at most, and 740 engines end 50 times a day. */
-const MOST_SUSPECTS = 4_096;
-/** Ends that are remembered of each, so that one that is told again counts once. */
-const ENDS_KEPT = 8;
-
-function holdMs(holds: number): number {
-  return Math.min(LONGEST_HOLD_MS, FIRST_QUARANTINE_MS * 2 ** (holds - 1));
+/** Upper bound of the doubled duration, in milliseconds. */
+const MAX_QUARANTINE_MS = 86_400_000;
+/** Bounds the replicated state. */
+const MAX_SUSPECTS = 4_096;
+/** Exits kept for each suspect to detect repeated reports. */
+const MAX_EXITS_KEPT = 8;
+
+function quarantineMs(holds: number): number {
+  return Math.min(MAX_QUARANTINE_MS, FIRST_QUARANTINE_MS * 2 ** (holds - 1));
 }
 
-function startName({engine, startedAtMs}: NoteEngineEnd): string {
+function incarnationName({engine, startedAtMs}: NoteEngineEnd): string {
   return `${engine}@${startedAtMs}`;
 }
 
-/** The suspects within bounds: those with one end go first, the oldest before others. */
-function bounded(suspects: FleetSuspects): FleetSuspects {
-  if (suspects.size <= MOST_SUSPECTS) {
+/** Evicts one suspect beyond the limit: the oldest that is not quarantined, else the oldest. */
+function evictBeyondLimit(suspects: FleetSuspects): FleetSuspects {
+  if (suspects.size <= MAX_SUSPECTS) {
     return suspects;
   }
   const [oldest] = suspects.keys();
-  const least =
+  const evicted =
     [...suspects.values()].find(({level}) => level < QUARANTINE_LEVEL)?.digest ?? oldest!;
   const kept = new Map(suspects);
-  kept.delete(least);
+  kept.delete(evicted);
   return kept;
 }
 
 /**
- * Suspects after an engine's end. The level rises only by runs whose sender knew of more ends than those before: engines that
- * end at one moment, by whatever cause, hold nobody; and words that overtake each other change nothing.
+ * Counts an engine's exit against a request. The level rises only for attempts whose sender knew of the earlier exits,
+ * so engines that exit at the same moment quarantine nothing. The order of the reports doesn't change the level.
  *
  * @param suspects suspects before
- * @param end the end
+ * @param end the exit
  * @param now the group's clock
  */
 export function afterEngineEnd(
@@ -118,54 +118,54 @@
 ): FleetSuspects {
   const {digest, known} = end;
   const before = suspects.get(digest);
-  const start = startName(end);
-  if (before?.ended.includes(start) === true) {
+  const incarnation = incarnationName(end);
+  if (before?.ended.includes(incarnation) === true) {
     return suspects;
   }
   const levelBefore = before?.level ?? 0;
   const knowns = [...new Set([...(before?.knowns ?? []), known])];
-  // The word of an end may be late, then the others count it; or lost, then whoever knew of as many counts.
-  const counted = known >= levelBefore ? levelBefore + 1 : levelBefore;
-  const level = Math.max(counted, knowns.length);
-  const isNewHold = level >= QUARANTINE_LEVEL && levelBefore < QUARANTINE_LEVEL;
-  const holds = (before?.holds ?? 0) + (isNewHold ? 1 : 0);
-  const lastsMs = level >= QUARANTINE_LEVEL ? holdMs(holds) : SUSPECT_MS;
-  const ended = [...(before?.ended ?? []), start].slice(-ENDS_KEPT);
-  const until = Math.max(before?.until ?? 0, now + lastsMs);
+  // A report may arrive late, when the distinct levels make up for it, or never, when the sender's known level does.
+  const levelByKnown = known >= levelBefore ? levelBefore + 1 : levelBefore;
+  const level = Math.max(levelByKnown, knowns.length);
+  const isNewQuarantine = level >= QUARANTINE_LEVEL && levelBefore < QUARANTINE_LEVEL;
+  const holds = (before?.holds ?? 0) + (isNewQuarantine ? 1 : 0);
+  const ttlMs = level >= QUARANTINE_LEVEL ? quarantineMs(holds) : SUSPECT_TTL_MS;
+  const ended = [...(before?.ended ?? []), incarnation].slice(-MAX_EXITS_KEPT);
+  const until = Math.max(before?.until ?? 0, now + ttlMs);
   const next = new Map(suspects);
   next.delete(digest);
   next.set(digest, {digest, ended, holds, knowns, level, until});
-  return bounded(next);
+  return evictBeyondLimit(next);
 }
 
-/** A suspect once its time is over: one that was held is on trial, any other is forgotten. */
-function afterTime(suspect: FleetSuspect): FleetSuspect | undefined {
+/** A suspect after its time has expired: a quarantined one is on trial, any other is dropped. */
+function afterExpiry(suspect: FleetSuspect): FleetSuspect | undefined {
   const {holds, level, until} = suspect;
   return level >= QUARANTINE_LEVEL
-    ? {...suspect, knowns: [0], level: QUARANTINE_LEVEL - 1, until: until + holdMs(holds)}
+    ? {...suspect, knowns: [0], level: QUARANTINE_LEVEL - 1, until: until + quarantineMs(holds)}
     : undefined;
 }
 
 /**
- * Suspects whose time is not over.
+ * Expires suspects.
  *
  * @param suspects suspects before
  * @param now the group's clock
  */
 export function afterTick(suspects: FleetSuspects, now: GroupMs): FleetSuspects {
-  const isOver = ({until}: FleetSuspect): boolean => now >= until;
-  if (![...suspects.values()].some(isOver)) {
+  const isExpired = ({until}: FleetSuspect): boolean => now >= until;
+  if (![...suspects.values()].some(isExpired)) {
     return suspects;
   }
   const next = [...suspects.values()].flatMap((suspect) => {
-    const later = isOver(suspect) ? afterTime(suspect) : suspect;
+    const later = isExpired(suspect) ? afterExpiry(suspect) : suspect;
     return later === undefined ? [] : [[later.digest, later] as const];
   });
   return new Map(next);
 }
 
 /**
- * Suspects without one that an engine has run to an end.
+ * Removes a released suspect.
  *
  * @param suspects suspects before
  * @param release the request
@@ -180,16 +180,16 @@
 }
 
 /**
- * What all processes are told of a suspect.
+ * The form of a suspect that is published to all processes.
  *
  * @param suspect the suspect
  */
 export function suspectView({digest, holds, level}: FleetSuspect): SuspectView {
-  return {digest, holdMs: level >= QUARANTINE_LEVEL ? holdMs(holds) : 0, level};
+  return {digest, holdMs: level >= QUARANTINE_LEVEL ? quarantineMs(holds) : 0, level};
 }
 
 /**
- * What an operator is told of a suspect.
+ * The form of a suspect that is shown to an operator.
  *
  * @param suspect the suspect
  * @param now the group's clock
--- a/packages/stallpaddle-fleet/src/FleetTypes.ts
+++ b/packages/stallpaddle-fleet/src/FleetTypes.ts
@@ -1,58 +1,57 @@
 /**
- * What the control group keeps of a fleet whose engines register themselves and whose operator
- * sends whole configurations.
+ * Types of the control group's state: the configuration, registered engines, stores and suspect requests.
  */
 import type {EngineId, ReplicaId, VmId, ZoneId} from 'stallpaddle';
 import type {GroupMs} from 'stallpaddle-replication';
 
 import type {FleetSuspects, NoteEngineEnd, ReleaseRequest} from './FleetSuspects';
 
-/** What may happen to a request of a route when an attempt fails. */
+/** How the requests of a route are retried when an attempt fails. */
 export type RouteKind = 'batch' | 'nonRepeatable' | 'repeatable' | 'streaming';
 
-/** Part of a route's requests that goes to one service. */
+/** Fraction of a route's requests that one service receives. */
 export interface RouteShare {
   readonly service: string;
   /** Relative to the route's other shares. */
   readonly weight: number;
 }
 
-/** Requests of one host whose path begins alike. */
+/** Settings for the requests of one host that share a path prefix. */
 export interface FleetRoute {
-  /** Time after which a batch item may be given up, in milliseconds; 0 for other kinds. */
+  /** Time after which a batch item may be abandoned, in milliseconds; 0 for other kinds. */
   readonly giveUpAfterMs: number;
   readonly host: string;
-  /** Whether requests need no customer's key; they do where this is left out. */
+  /** Whether requests need no customer key; defaults to false. */
   readonly isPublic?: boolean;
   readonly kind: RouteKind;
-  /** Most engines that one request may be sent to. */
+  /** Maximum number of engines that one request may be sent to. */
   readonly maxAttempts: number;
-  /** Most tokens of batch items that may wait, of each customer where the fleet knows customers; 0 for no limit. */
+  /** Maximum tokens of waiting batch items, per customer where customers are configured; 0 for no limit. */
   readonly maxWaitingTokens: number;
   readonly name: string;
-  /** Time to the first byte of an answer that is worth most, in milliseconds. */
+  /** Target time to the first byte of a response, in milliseconds. */
   readonly objectiveMs: number;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
-  /** Whether a stream may go on at another engine. */
+  /** Whether an interrupted stream may be resumed on another engine. */
   readonly resumable: boolean;
   readonly split: readonly RouteShare[];
-  /** Time in which a batch job is due, in milliseconds; 0 for other kinds. */
+  /** Time within which a batch job should complete, in milliseconds; 0 for other kinds. */
   readonly targetMs: number;
-  /** Longest time that a request may be held, in milliseconds. */
+  /** Maximum duration of a request, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** Engines that do the same work. */
+/** A group of interchangeable engines. */
 export interface FleetService {
-  /** Most connections that one engine accepts. */
+  /** Maximum number of connections that one engine accepts. */
   readonly maxConnections: number;
   readonly name: string;
-  /** Requests that one engine works on at a time, where the configuration says so. */
+  /** Requests that one engine processes concurrently; null when not configured. */
   readonly slots: number | null;
 }
 
-/** What a caller may send. */
+/** Size and time limits for requests of callers. */
 export interface FleetLimits {
   readonly headerTimeoutMs: number;
   readonly idleTimeoutMs: number;
@@ -60,77 +59,77 @@
   readonly maxHeaderBytes: number;
 }
 
-/** Who may send requests. */
+/** A customer with its keys and limits. */
 export interface FleetCustomer {
-  /** Requests that may come at once beyond the rate. */
+  /** Requests allowed at once beyond the rate. */
   readonly burst: number;
-  /** Digests of the customer's keys; the keys themselves are kept with the operator's own text only. */
+  /** Digests of the customer's keys; the keys themselves are stored only in the operator's source text. */
   readonly keys: readonly string[];
   readonly name: string;
-  /** Rank before that of the route, 0 the highest; null for the route's. */
+  /** Priority that overrides the route's, 0 being the highest; null to use the route's. */
   readonly priority: number | null;
-  /** Requests a second over all VMs; 0 for no limit. */
+  /** Requests per second over all VMs; 0 for no limit. */
   readonly ratePerSecond: number;
 }
 
-/** A whole configuration, as every process needs it. */
+/** A complete configuration, as distributed to every process. */
 export interface FleetConfig {
-  /** Left out where requests need no key at all. */
+  /** Absent when requests need no key. */
   readonly customers?: readonly FleetCustomer[];
   readonly limits: FleetLimits;
   readonly routes: readonly FleetRoute[];
   readonly services: readonly FleetService[];
-  /** The highest holds. */
+  /** The configuration with the highest version is in effect. */
   readonly version: number;
 }
 
-/** A whole configuration, as the control group keeps it. */
+/** A complete configuration, as the control group stores it. */
 export interface StoredConfig extends FleetConfig {
-  /** The operator's own text, given back as it came. It holds the customers' keys, so it goes to nobody else. */
+  /** The operator's text, returned verbatim. It contains customers' keys, so it is not sent to other processes. */
   readonly source: string;
 }
 
-/** What an engine says of itself. */
+/** Registration that an engine sends periodically. */
 export interface EngineReport {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   readonly draining: boolean;
   readonly id: EngineId;
-  /** Rises with each report of the same engine. */
+  /** Increases with each report of one engine incarnation. */
   readonly sequence: number;
   readonly service: string;
   readonly slots: number;
   /**
-   * When it started, in Unix milliseconds of its own time of day; {@link UNKNOWN_START} when it doesn't say. An engine that
-   * starts again under its name holds nothing of before, and counts its reports anew.
+   * Start time by the engine's own wall clock, in Unix milliseconds; {@link UNKNOWN_START} when not reported. It
+   * identifies the incarnation: an engine that restarts under its name has lost its state and restarts its sequence.
    */
   readonly startedAtMs: number;
   readonly zone: ZoneId;
 }
 
-/** Start of an engine that doesn't say when it started: before all that do. */
+/** Start time of an engine that doesn't report one; earlier than every reported start time. */
 export const UNKNOWN_START = 0;
 
-/** An engine as the group knows it. */
+/** The latest accepted report of an engine. */
 export type FleetEngine = EngineReport;
 
-/** A store process that has been seen, by its disk's name as a replica. */
+/** A registered store process; its replica ID identifies its disk. */
 export interface FleetStore {
   readonly name: VmId;
   readonly replica: ReplicaId;
-  /** Whether the operator wants the VM emptied. */
+  /** Whether the operator asked to move all data off the VM. */
   readonly retiring: boolean;
 }
 
-/** An engine says that it ends. */
+/** Deregisters an engine that is shutting down. */
 export interface RemoveEngine {
   readonly id: EngineId;
   readonly kind: 'removeEngine';
-  /** Which of its starts ends; null when it doesn't say: then the one that is known. */
+  /** The incarnation that ends; null when not given, which means the known one. */
   readonly startedAtMs: number | null;
 }
 
-/** What changes the state. */
+/** Commands of the state machine. */
 export type FleetCommand =
   | {readonly config: StoredConfig; readonly kind: 'putConfig'}
   | {readonly founders: readonly ReplicaId[]; readonly kind: 'foundJobs'}
@@ -140,29 +139,29 @@
   | {readonly kind: 'reportEngine'; readonly report: EngineReport}
   | {readonly kind: 'retireStore'; readonly name: VmId}
   | {readonly kind: 'seeStore'; readonly name: VmId; readonly replica: ReplicaId}
-  /** Lets the group's clock run, so that suspects whose time is over are let go. */
+  /** Advances the group's clock, so that suspects expire. */
   | {readonly kind: 'tick'};
 
-/** Answer to a command. */
+/** Result of a command. */
 export type FleetAnswer =
   | {readonly kind: 'applied'}
-  /** A configuration at or above the sent version holds; nothing was changed. */
+  /** The stored configuration has the sent version or a higher one; nothing was changed. */
   | {readonly kind: 'held'; readonly version: number}
   | {readonly kind: 'unknownStore'};
 
-/** Everything that the group keeps. */
+/** Replicated state of the control group. */
 export interface FleetState {
-  /** The group's own clock: time that its leaders have counted. */
+  /** The group's logical clock: the sum of the elapsed times that its leaders recorded. */
   readonly clockMs: GroupMs;
   readonly config: StoredConfig | null;
   readonly engines: ReadonlyMap<EngineId, FleetEngine>;
-  /** Rises with each change of the engines. */
+  /** Increases with each change of the engines. */
   readonly enginesRevision: number;
-  /** The last start that has ended of each engine that is gone, oldest first: only a later start comes back. */
+  /** Latest ended incarnation of each removed engine, oldest first; only a later incarnation may register again. */
   readonly goneEngines: ReadonlyMap<EngineId, number>;
-  /** First members of the group that keeps batch jobs; null until it was founded. */
+  /** Initial members of the group that stores batch jobs; null until it is created. */
   readonly jobsFounders: readonly ReplicaId[] | null;
   readonly stores: ReadonlyMap<VmId, FleetStore>;
-  /** Requests during whose runs engines ended. */
+  /** Requests that were starting on engines when these exited. */
   readonly suspects: FleetSuspects;
 }
--- a/packages/stallpaddle-fleet/src/FleetView.ts
+++ b/packages/stallpaddle-fleet/src/FleetView.ts
@@ -1,5 +1,5 @@
 /**
- * What processes ask the control group's leader, and what they keep of its answers.
+ * Requests to the control group, and the view of the fleet that a process builds from the answers.
  */
 import type {EngineId, MonotonicMs, ReplicaId, VmId, ZoneId} from 'stallpaddle';
 
@@ -17,20 +17,20 @@
 
 import {applyStatusDelta, type StatusUpdate} from './FleetDelta';
 
-/** What a process says of itself each time it asks. */
+/** What a process reports about itself with each watch request. */
 export type FleetHeartbeat =
   | {
-      /** Where callers reach the VM, IP number and port. */
+      /** IP address and port at which callers reach the VM. */
       readonly callerAddress: string;
       readonly kind: 'entry';
       readonly name: VmId;
-      /** Whether it takes new callers. */
+      /** Whether it accepts new connections from callers. */
       readonly ready: boolean;
       readonly zone: ZoneId;
     }
   | {
       readonly kind: 'store';
-      /** Present while the process leads the group that keeps batch jobs. */
+      /** Set while the process leads the group that stores batch jobs, else null. */
       readonly leads: JobsGroupReport | null;
       readonly name: VmId;
       readonly replica: ReplicaId;
@@ -38,98 +38,98 @@
     }
   | {readonly kind: 'control'; readonly replica: ReplicaId};
 
-/** Members of the group that keeps batch jobs, as its leader knows them. */
+/** Members of the group that stores batch jobs, as known to its leader. */
 export interface JobsGroupReport {
   /**
-   * Replicas that the leader knows are to be emptied: it takes none of them in any more. Leaders of releases before it
-   * don't tell, and no store is empty by their word.
+   * Replicas that the leader knows are being retired and no longer admits as members. Leaders of earlier releases don't
+   * send it; no store counts as emptied by their reports.
    */
   readonly emptying?: readonly ReplicaId[];
   readonly learners: readonly ReplicaId[];
-  /** Whether every voter holds all that was committed. */
+  /** Whether every voter has replicated all committed entries. */
   readonly settled: boolean;
   readonly term: number;
   readonly voters: readonly ReplicaId[];
 }
 
-/** What a process said of itself to a replica that passes it on. */
+/** A heartbeat that a replica received and forwards to the leader. */
 export interface ForwardedHeartbeat {
-  /** Time since it said so, in milliseconds. */
+  /** Time since the heartbeat was received, in milliseconds. */
   readonly ageMs: number;
   readonly hello: FleetHeartbeat;
 }
 
-/** Versions that a process holds; what is newer is sent. */
+/** Versions that a process holds; only newer data is sent. */
 export interface KnownVersions {
   readonly config: number | null;
   readonly fleet: number;
-  /** Term of the leader whose news these are; the numbers of news start anew with each. */
+  /** Term of the leader that published the status; status numbers restart with each term. */
   readonly term: number;
 }
 
-/** Term of news that no leader has proved to be the latest. */
+/** Term of a status that no leader has confirmed as the latest. */
 export const UNPROVEN_TERM = -1;
 
-/** An engine with what the leader believes of it at present. */
+/** An engine with its liveness as judged by the leader. */
 export interface EngineView extends FleetEngine {
-  /** No report has come for some time. */
+  /** Whether no report has been received for some time. */
   readonly silent: boolean;
 }
 
-/** A store process with what the leader believes of it at present. */
+/** A store process with its liveness as judged by the leader. */
 export interface StoreView extends FleetStore {
-  /** Whether it has been heard lately. */
+  /** Whether a heartbeat was received recently. */
   readonly heard: boolean;
 }
 
-/** An entry VM that callers may be sent to. */
+/** An entry VM that accepts callers. */
 export interface EntryView {
   readonly address: string;
   readonly name: VmId;
   readonly zone: ZoneId;
 }
 
-/** Everything but the configuration. */
+/** Everything that a process needs to know about the fleet, except the configuration. */
 export interface FleetStatus {
   readonly controls: readonly ReplicaId[];
   readonly engines: readonly EngineView[];
   readonly entries: readonly EntryView[];
-  /** False while a new leader has not heard from all entry VMs yet. */
+  /** False while a new leader is still collecting heartbeats of entry VMs. */
   readonly entriesComplete: boolean;
   readonly jobsFounders: readonly ReplicaId[] | null;
-  /** Where batch jobs are kept, best known place first. */
+  /** Replicas of the group that stores batch jobs; without a known member, the founders followed by all stores. */
   readonly jobsReplicas: readonly ReplicaId[];
   readonly stores: readonly StoreView[];
-  /** Requests during whose runs engines ended. */
+  /** Requests that were starting on engines when these exited. */
   readonly suspects: readonly SuspectView[];
 }
 
-/** What any process may ask of the control group's leader. */
+/** Requests to the control group. */
 export type FleetRequest =
   | {
-      /** One for each part of the process. */
+      /** One for each role of the process. */
       readonly hellos: readonly FleetHeartbeat[];
       readonly kind: 'watch';
       readonly known: KnownVersions;
-      /** Whether a replica that doesn't lead may answer, with what the leader told it. */
+      /** Whether a follower may answer with the status it received from the leader. */
       readonly mayRelay: boolean;
-      /** What other processes have said to this one since it last passed it on. */
+      /** Heartbeats of other processes received since the last forwarding. */
       readonly relayed: readonly ForwardedHeartbeat[];
-      /** Longest time to hold the answer while there is nothing new, in milliseconds. */
+      /** Maximum time to hold the answer while there is nothing new, in milliseconds. */
       readonly waitMs: number;
     }
   | {readonly config: StoredConfig; readonly kind: 'putConfig'}
   | NoteEngineEnd
   | ReleaseRequest
   | RemoveEngine
-  /** Tells a process without a replica where replicas are: it may know nobody, and be asked by others. */
+  /** Sends replica addresses to a process that has no replica and may know none. */
   | {
       readonly kind: 'introduce';
       readonly replicas: readonly ReplicaId[];
-      /** What the sender holds, which may be old; null when it tells no more than where replicas are. */
+      /** The status that the sender holds, possibly outdated; null to send only the addresses. */
       readonly told: null | WatchAnswer;
     }
-  /** Asks any replica for what it holds, which may be old; for a process that knows nothing at all. */
+  /** Reads the possibly outdated status of any replica, for a process that has none. */
   | {readonly kind: 'peek'}
   | {readonly kind: 'listSuspects'}
   | {readonly kind: 'readConfig'}
@@ -139,34 +139,34 @@
 
 /** Answer to `watch` and `peek`. */
 export interface WatchAnswer {
-  /** Age of what is told, in milliseconds: 0 from the leader, more from a replica that it told. */
+  /** Age of the status, in milliseconds: 0 from the leader, more from a follower. */
   readonly ageMs: number;
-  /** Present when newer than what the process holds. */
+  /** Set when newer than what the process holds, else null. */
   readonly config: FleetConfig | null;
-  /** Number of the news after `update`. */
+  /** Number of the status after `update`. */
   readonly fleet: number;
-  /** How long the question was held before the state was read, in milliseconds. */
+  /** How long the request was held before the state was read, in milliseconds. */
   readonly heldMs: number;
-  /** Whether a leader has proved that nothing newer was accepted when it read its state. */
+  /** Whether a leader confirmed that its state was the latest when it read it. */
   readonly proven: boolean;
-  /** Term of the leader whose news these are. */
+  /** Term of the leader that published the status. */
   readonly term: number;
-  /** What is newer than what the process holds. */
+  /** Changes since the status that the process holds. */
   readonly update: StatusUpdate;
 }
 
 /** Answer to `retireStore` and `retireState`. */
 export type RetireAnswer = 'completed' | 'running' | 'tooFew' | 'unknown';
 
-/** Everything that a process knows of the fleet. */
+/** Everything that a process knows about the fleet. */
 export interface FleetView {
-  /** A moment at which all this was the latest, by this process's clock. */
+  /** Latest time, by this process's clock, at which the view was confirmed to be up to date. */
   readonly asOf: MonotonicMs;
   readonly config: FleetConfig | null;
   readonly fleet: number;
   readonly news: FleetStatus;
   readonly term: number;
-  /** The news as the leader told them: `news` may name entry VMs besides that a new leader has not heard yet. */
+  /** The status as received; `news` may also list entry VMs whose heartbeats a new leader still awaits. */
   readonly told: FleetStatus;
 }
 
@@ -181,7 +181,7 @@
   suspects: [],
 };
 
-/** What a process knows before the first answer. */
+/** View before the first answer. */
 export const EMPTY_VIEW: FleetView = {
   asOf: -Infinity,
   config: null,
@@ -191,21 +191,21 @@
   told: EMPTY_STATUS,
 };
 
-function mergeEntries(before: FleetView, news: FleetStatus): readonly EntryView[] {
-  if (news.entriesComplete) {
-    return news.entries;
+function mergeEntries(before: FleetView, status: FleetStatus): readonly EntryView[] {
+  if (status.entriesComplete) {
+    return status.entries;
   }
-  const known = new Set(news.entries.map(({name}) => name));
-  return [...news.entries, ...before.news.entries.filter(({name}) => !known.has(name))];
+  const known = new Set(status.entries.map(({name}) => name));
+  return [...status.entries, ...before.news.entries.filter(({name}) => !known.has(name))];
 }
 
-/** Whether the news of an answer are older than what is known, as those of a replica that lags may be. */
+/** Whether an answer is older than the view, as from a lagging replica. */
 function isOlder(view: FleetView, {fleet, term}: WatchAnswer): boolean {
   return term < view.term || (term === view.term && fleet < view.fleet);
 }
 
-/** News after an update; undefined when the update belongs to news that are not held here. */
-function updated(view: FleetView, {term, update}: WatchAnswer): FleetStatus | undefined {
+/** Status after an update; undefined when the update is based on a status that the view doesn't hold. */
+function statusAfterUpdate(view: FleetView, {term, update}: WatchAnswer): FleetStatus | undefined {
   switch (update.kind) {
     case 'delta': {
       const fits = term === view.term && update.from === view.fleet;
@@ -214,7 +214,7 @@
     case 'same':
       return view.told;
     case 'whole':
-      // Leaders of releases before tell of no suspects.
+      // Leaders of earlier releases send no suspects.
       return {...EMPTY_STATUS, ...update.news};
     default:
       return unreachable(update);
@@ -228,12 +228,12 @@
 }
 
 /**
- * Takes in an answer. Neither the configuration nor the news nor the moment go back, whoever answers: a replica that
- * passes on what the leader told it may lag behind another one that was asked before.
+ * Applies an answer to a view. The configuration, status and time of confirmation never go back, because answers of
+ * replicas that lag behind each other may arrive in any order.
  *
- * @param view what was known
- * @param answer the answer of the leader or of a replica that it told
- * @param sentAt when it was asked for, by this process's clock
+ * @param view the view before
+ * @param answer the answer of the leader or of a follower
+ * @param sentAt when the request was sent, by this process's clock
  */
 export function applyWatchAnswer(
   view: FleetView,
@@ -243,20 +243,20 @@
   const {ageMs, config, heldMs, proven} = answer;
   const isNewer = config !== null && config.version > (view.config?.version ?? -Infinity);
   const configured = isNewer ? {...view, config} : view;
-  const told = isOlder(view, answer) ? undefined : updated(view, answer);
-  if (told === undefined && !isOlder(view, answer)) {
-    // The next question says again what is held here.
+  const status = isOlder(view, answer) ? undefined : statusAfterUpdate(view, answer);
+  if (status === undefined && !isOlder(view, answer)) {
+    // The next request sends the known versions again.
     return configured;
   }
   const asOf = proven ? Math.max(view.asOf, sentAt + heldMs - ageMs) : view.asOf;
-  const next = told === undefined ? configured : withStatus(configured, answer, told);
+  const next = status === undefined ? configured : withStatus(configured, answer, status);
   return {...next, asOf};
 }
 
 /**
- * An engine by its name, while it is in the list.
+ * Returns an engine by its ID, if it is registered.
  *
- * @param view what is known
+ * @param view the view
  * @param id the engine
  */
 export function engineOf(view: FleetView, id: EngineId): EngineView | undefined {
--- a/packages/stallpaddle-fleet/src/index.ts
+++ b/packages/stallpaddle-fleet/src/index.ts
@@ -1,4 +1,4 @@
-/** The control group's state for self-registering engines and whole configurations. */
+/** Replicated state of the control group, and the fleet status that processes watch. */
 export {type ConfigFault, findConfigFault, RouteTable} from './FleetConfigs';
 export {CustomerTable, findCustomerFault, keyDigest, withoutSource} from './FleetCustomers';
 export {
