--- a/packages/stallpaddle-fleet/src/FleetConfigs.ts
+++ b/packages/stallpaddle-fleet/src/FleetConfigs.ts
@@ -15,17 +15,17 @@
 
 function routeFault(route: FleetRoute, services: ReadonlySet<string>): string | null {
   if (!route.pathPrefix.startsWith('/') || !route.pathPrefix.endsWith('/')) {
-    return `the path prefix ${route.pathPrefix} does not begin and end with a slash`;
+    return `the path prefix ${route.pathPrefix} must start and end with a slash`;
   }
   const missing = route.split.find(({service}) => !services.has(service));
   if (missing !== undefined) {
-    return `service ${missing.service} is not known`;
+    return `service ${missing.service} is not configured`;
   }
   const total = route.split.reduce((sum, {weight}) => sum + weight, 0);
   if (!(total > 0) || route.split.some(({weight}) => weight < 0)) {
-    return 'the weights of its services do not sum to more than 0';
+    return 'the weights of its services must not be negative and must sum to more than 0';
   }
-  return route.timeoutMs > 0 ? null : 'its time limit is not above 0';
+  return route.timeoutMs > 0 ? null : 'its timeout must be above 0';
 }
 
 /**
--- a/packages/stallpaddle-fleet/src/FleetCustomers.ts
+++ b/packages/stallpaddle-fleet/src/FleetCustomers.ts
@@ -50,14 +50,14 @@
       return {index, message: name === '' ? 'it has no name' : 'another one has the same name'};
     }
     if (!(ratePerSecond >= 0 && burst >= 0)) {
-      return {index, message: 'its rate and its burst must be numbers from 0'};
+      return {index, message: 'its rate and its burst must be numbers of at least 0'};
     }
     names.add(name);
   }
   const keys = new Set<string>();
   for (const [key, index] of usedKeys(customers)) {
     if (keys.has(key)) {
-      return {index, message: 'one of its keys is held twice'};
+      return {index, message: 'one of its keys is used twice'};
     }
     keys.add(key);
   }
--- a/packages/stallpaddle-fleet/src/FleetSuspects.ts
+++ b/packages/stallpaddle-fleet/src/FleetSuspects.ts
@@ -124,7 +124,8 @@
   }
   const levelBefore = before?.level ?? 0;
   const knowns = [...new Set([...(before?.knowns ?? []), known])];
-  // A report may arrive late, when the distinct levels make up for it, or never, when the sender's known level does.
+  // Reports may arrive out of order, which the number of distinct levels covers, or get lost, which the sender's known
+  // level covers.
   const levelByKnown = known >= levelBefore ? levelBefore + 1 : levelBefore;
   const level = Math.max(levelByKnown, knowns.length);
   const isNewQuarantine = level >= QUARANTINE_LEVEL && levelBefore < QUARANTINE_LEVEL;
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetConfigs.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetConfigs.test.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of whole configurations, and the choice of a route.
+ * Validation of configurations, and routing by host and path prefix.
  */
 import {describe, expect, test} from 'vitest';
 
@@ -32,24 +32,24 @@
 }
 
 describe('findConfigFault', () => {
-  test('finds nothing in a sound one', () => {
+  test('accepts a valid configuration', () => {
     expect(findConfigFault(configOf([routeOf('a'), routeOf('b')]))).toBeNull();
   });
 
   test.each<[string, readonly FleetRoute[]]>([
     ['an unknown service', [routeOf('a', {split: [{service: 'x', weight: 1}]})]],
-    ['the same place twice', [routeOf('a'), routeOf('b', {pathPrefix: '/a/'})]],
+    ['two routes with the same host and prefix', [routeOf('a'), routeOf('b', {pathPrefix: '/a/'})]],
     ['weights of 0', [routeOf('a', {split: [{service: 's', weight: 0}]})]],
     ['no service', [routeOf('a', {split: []})]],
-    ['no time', [routeOf('a', {timeoutMs: 0})]],
-    ['an open prefix', [routeOf('a', {pathPrefix: '/a'})]],
-  ])('names %s', (_, routes) => {
+    ['no time limit', [routeOf('a', {timeoutMs: 0})]],
+    ['a prefix without a closing slash', [routeOf('a', {pathPrefix: '/a'})]],
+  ])('rejects %s', (_, routes) => {
     expect(findConfigFault(configOf(routes))?.path).toMatch(/^routes\./);
   });
 });
 
 describe('RouteTable', () => {
-  test('takes the longest prefix of the host', () => {
+  test('selects the longest matching prefix of the host', () => {
     const routes = [
       routeOf('short', {pathPrefix: '/a/'}),
       routeOf('long', {pathPrefix: '/a/b/'}),
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetCustomers.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetCustomers.test.ts
@@ -1,5 +1,5 @@
 /**
- * Customers and their keys.
+ * Validation of customers, and lookup by key.
  */
 import {describe, expect, test} from 'vitest';
 
@@ -13,25 +13,25 @@
 }
 
 describe('findCustomerFault', () => {
-  test('finds nothing in sound ones, also without any key', () => {
+  test('accepts valid customers, also without keys', () => {
     expect(findCustomerFault([customerOf('a'), customerOf('b', {keys: []})])).toBeNull();
   });
 
   test.each<[string, readonly FleetCustomer[]]>([
-    ['a key of two', [customerOf('a'), customerOf('b', {keys: [keyDigest('a 2')]})]],
+    ['a key of two customers', [customerOf('a'), customerOf('b', {keys: [keyDigest('a 2')]})]],
     ['a key twice', [customerOf('a', {keys: [keyDigest('k'), keyDigest('k')]})]],
-    ['a name of two', [customerOf('a'), customerOf('a', {keys: []})]],
+    ['a duplicate name', [customerOf('a'), customerOf('a', {keys: []})]],
     ['no name', [customerOf('')]],
     ['a rate below 0', [customerOf('a', {ratePerSecond: -1})]],
-    ['a rate that is no number', [customerOf('a', {ratePerSecond: Number.NaN})]],
+    ['a rate that is not a number', [customerOf('a', {ratePerSecond: Number.NaN})]],
     ['a burst below 0', [customerOf('a', {burst: -1})]],
-  ])('names %s', (_, customers) => {
+  ])('rejects %s', (_, customers) => {
     expect(findCustomerFault(customers)).not.toBeNull();
   });
 });
 
 describe('CustomerTable', () => {
-  test('finds a customer by each of its keys, and nobody by another', () => {
+  test('finds a customer by each of its keys, and none by an unknown key', () => {
     const table = new CustomerTable([customerOf('a'), customerOf('b')]);
     const holders = ['a 1', 'a 2', 'b 2', 'c 1'].map((key) => table.holderOf(keyDigest(key))?.name);
     expect(holders).toEqual(['a', 'a', 'b', undefined]);
@@ -39,7 +39,7 @@
 });
 
 describe('withoutSource', () => {
-  test('leaves out the text that holds the keys', () => {
+  test('removes the text that contains the keys', () => {
     const limits = {headerTimeoutMs: 1, idleTimeoutMs: 1, maxBodyBytes: 1, maxHeaderBytes: 1};
     const customers = [customerOf('a')];
     const config = {customers, limits, routes: [], services: [], source: 'a 1', version: 1};
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetHistory.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetHistory.test.ts
@@ -1,5 +1,5 @@
 /**
- * Differences of news: whoever takes them in, in whatever order replicas answer, holds what the whole list tells.
+ * Status deltas: applying them, in whatever order replicas answer, gives the same status as sending it whole.
  */
 import fc from 'fast-check';
 import {assertHistories} from 'stallpaddle-testing';
@@ -14,13 +14,13 @@
 
 const NAMES = ['a', 'b', 'c', 'd'] as const;
 
-function listOf<Line extends object>(lineOf: (name: string, bit: boolean) => Line) {
+function listOf<Item extends object>(itemOf: (name: string, bit: boolean) => Item) {
   return fc
     .tuple(...NAMES.map(() => fc.constantFrom(null, false, true)))
-    .map((bits) => bits.flatMap((bit, at) => (bit === null ? [] : [lineOf(NAMES[at]!, bit)])));
+    .map((bits) => bits.flatMap((bit, at) => (bit === null ? [] : [itemOf(NAMES[at]!, bit)])));
 }
 
-const NEWS: fc.Arbitrary<FleetStatus> = fc.record({
+const STATUS: fc.Arbitrary<FleetStatus> = fc.record({
   controls: fc.subarray(['c1', 'c2']),
   engines: listOf((id, silent): EngineView => ({
     address: `${id}:1`,
@@ -50,21 +50,21 @@
   })),
 });
 
-describe('news', () => {
-  test('a difference turns the earlier news into the later ones, and is empty only for the same', async () => {
-    const property = fc.property(NEWS, NEWS, (before, after) => {
+describe('fleet status', () => {
+  test('a delta turns the earlier status into the later one, and is empty only for equal statuses', async () => {
+    const property = fc.property(STATUS, STATUS, (before, after) => {
       const delta = diffStatus(before, after);
       expect(applyStatusDelta(before, delta)).toEqual(after);
       expect(isEmptyDelta(delta)).toBe(JSON.stringify(before) === JSON.stringify(after));
     });
-    await assertHistories('differences of news', property, 300);
+    await assertHistories('status deltas', property, 300);
   });
 
-  test('a process that asks replicas which lag differently holds what the newest of them tells', async () => {
+  test('a process that asks replicas with different lag holds the newest status received', async () => {
     const step = fc.record({
       asks: fc.nat(2),
       followers: fc.subarray([1, 2]),
-      news: NEWS,
+      news: STATUS,
       newTerm: fc.nat(9).map((draw) => draw === 0),
     });
     const property = fc.property(fc.array(step, {maxLength: 40}), (steps) => {
@@ -80,7 +80,7 @@
         states.push(news);
         numbers.set(`${term} ${fleet}`, news);
         histories[0]!.put({fleet, news, term});
-        // Others may skip states, as a replica does that asks again only after some.
+        // Followers may skip statuses, like a replica that polls less often than they change.
         followers.forEach((at) => histories[at]!.put({fleet, news, term}));
         const {latest} = histories[asks]!;
         if (latest === undefined) {
@@ -108,12 +108,12 @@
     await assertHistories('processes and lagging replicas', property, 200);
   });
 
-  test('one engine that changes costs some hundred bytes, not the list of a fleet of 200 VMs', () => {
-    const lines = <Line>(count: number, lineOf: (name: string) => Line): readonly Line[] =>
-      Array.from({length: count}, (_, at) => lineOf(`name-${String(at).padStart(3, '0')}`));
+  test('a change of one engine sends a small delta, not the status of a fleet of 200 VMs', () => {
+    const items = <Item>(count: number, itemOf: (name: string) => Item): readonly Item[] =>
+      Array.from({length: count}, (_, at) => itemOf(`name-${String(at).padStart(3, '0')}`));
     const news: FleetStatus = {
       ...EMPTY_VIEW.news,
-      engines: lines(52, (id) => ({
+      engines: items(52, (id) => ({
         address: `10.0.0.1:8080`,
         draining: false,
         id,
@@ -124,8 +124,8 @@
         startedAtMs: 0,
         zone: 'z',
       })),
-      entries: lines(170, (name) => ({address: '10.0.0.2:8161', name, zone: 'z'})),
-      stores: lines(30, (name) => ({heard: true, name, replica: `${name}/1`, retiring: false})),
+      entries: items(170, (name) => ({address: '10.0.0.2:8161', name, zone: 'z'})),
+      stores: items(30, (name) => ({heard: true, name, replica: `${name}/1`, retiring: false})),
     };
     const [first, ...others] = news.engines;
     const after = {...news, engines: [{...first!, draining: true}, ...others]};
@@ -139,7 +139,7 @@
     expect(history.updateFor({config: null, fleet: 1, term: 1})).toBe(update);
   });
 
-  test('whoever holds a state that is kept no more gets the whole', () => {
+  test('a process whose status is no longer kept receives the whole status', () => {
     const history = new FleetHistory();
     for (let fleet = 1; fleet <= 40; fleet++) {
       history.put({fleet, news: EMPTY_VIEW.news, term: 1});
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetMachine.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetMachine.test.ts
@@ -1,5 +1,5 @@
 /**
- * The control group's state: engines come and go in any order of reports, the highest version holds.
+ * The control group's state machine: engine registrations in any order of reports, and configuration versions.
  */
 import fc from 'fast-check';
 import {decodeValue, encodeValue} from 'stallpaddle';
@@ -45,7 +45,7 @@
 const EMPTY = fleetMachine.initial();
 
 describe('engines', () => {
-  test('a late report never undoes that an engine leaves', () => {
+  test('a late report never cancels draining', () => {
     const state = apply(
       EMPTY,
       {kind: 'reportEngine', report: reportOf('e', {sequence: 5})},
@@ -56,7 +56,7 @@
     expect(state.engines.get('e')?.draining).toBe(true);
   });
 
-  test('one that was removed stays removed, whatever arrives late', () => {
+  test('a removed engine stays removed, whatever arrives late', () => {
     const state = apply(
       EMPTY,
       {kind: 'reportEngine', report: reportOf('e')},
@@ -67,7 +67,7 @@
     expect(changesEngine(state, reportOf('e', {sequence: 10}))).toBe(false);
   });
 
-  test('another engine at an address ends the one that had it', () => {
+  test('a new engine at an address removes the previous one', () => {
     const address = '10.0.0.9:80';
     const state = apply(
       EMPTY,
@@ -78,7 +78,7 @@
     expect([...state.goneEngines.keys()]).toEqual(['old']);
   });
 
-  test('in any order and number of reports, leaving and removal win', async () => {
+  test('draining and removal are final in any order and number of reports', async () => {
     const command = fc.oneof(
       fc
         .record({draining: fc.boolean(), sequence: fc.nat(6)})
@@ -105,8 +105,8 @@
   });
 });
 
-describe('engines that start again under their name', () => {
-  test('hold nothing of before: they leave no more, and count their reports anew', () => {
+describe('engines that restart under their name', () => {
+  test('start without the previous state: draining is cleared and the sequence restarts', () => {
     const state = apply(
       EMPTY,
       {kind: 'reportEngine', report: reportOf('e', {sequence: 50, startedAtMs: 1_000})},
@@ -126,7 +126,7 @@
     });
   });
 
-  test('come back after their farewell, which the start before may repeat', () => {
+  test('register again after their removal, which the previous incarnation may repeat', () => {
     const state = apply(
       EMPTY,
       {kind: 'reportEngine', report: reportOf('e', {startedAtMs: 1_000})},
@@ -142,7 +142,7 @@
     expect(again.engines.get('e')?.startedAtMs).toBe(2_000);
   });
 
-  test('a late report of the start before changes nothing', () => {
+  test('a late report of the previous incarnation changes nothing', () => {
     const state = apply(
       EMPTY,
       {kind: 'reportEngine', report: reportOf('e', {startedAtMs: 2_000})},
@@ -155,7 +155,7 @@
     expect(isOutdated(state, reportOf('e', {sequence: 99, startedAtMs: 1_000}))).toBe(true);
   });
 
-  test('tell who has an address that an older engine claims', () => {
+  test('the later engine at an address is reported when an older one claims it', () => {
     const address = '10.0.0.9:80';
     const state = apply(EMPTY, {
       kind: 'reportEngine',
@@ -165,9 +165,9 @@
     expect(laterHolders(state, reportOf('next', {address, startedAtMs: 3_000}))).toEqual([]);
   });
 
-  /** Naive: the newest start counts, and in it leaving and removal win. */
-  test('in any order of words of several starts, only the newest start counts', async () => {
-    const words = fc.oneof(
+  /** Reference model: the newest incarnation counts, and within it draining and removal are final. */
+  test('only the newest incarnation counts, in any order of messages of several incarnations', async () => {
+    const message = fc.oneof(
       fc
         .record({
           draining: fc.boolean(),
@@ -179,7 +179,7 @@
         .integer({max: 3, min: 1})
         .map((startedAtMs): FleetCommand => ({id: 'e', kind: 'removeEngine', startedAtMs})),
     );
-    const property = fc.property(fc.array(words, {maxLength: 14}), (commands) => {
+    const property = fc.property(fc.array(message, {maxLength: 14}), (commands) => {
       let state = EMPTY;
       let newest = 0;
       let ended = 0;
@@ -197,10 +197,10 @@
         left = known?.draining === true ? known.startedAtMs : left;
       }
     });
-    await assertHistories('reports of starts of an engine', property, 500);
+    await assertHistories('reports of engine incarnations', property, 500);
   });
 
-  test('what releases before wrote without starts is read', () => {
+  test('state written by earlier releases without start times is read', () => {
     const report = {...reportOf('e'), startedAtMs: undefined};
     const bytes = encodeValue({
       config: null,
@@ -218,25 +218,25 @@
   });
 });
 
-describe('reports of other writers', () => {
+describe('reports of foreign senders', () => {
   const services = [{maxConnections: 9, name: 's', slots: 8}];
   const configured = apply(EMPTY, {config: {...configOf(1), services}, kind: 'putConfig'});
   const known = apply(configured, {kind: 'reportEngine', report: reportOf('e')});
 
-  test('an unknown service takes no engine its address', () => {
+  test('an engine of an unknown service does not take another engine’s address', () => {
     const {address} = reportOf('e');
     const report = reportOf('other', {address, service: 'nobody’s'});
     expect([...apply(known, {kind: 'reportEngine', report}).engines.keys()]).toContain('e');
   });
 
-  test('an unknown service takes no engine over', () => {
+  test('a report cannot move an engine to an unknown service', () => {
     const report = reportOf('e', {sequence: 9, service: 'nobody’s'});
     expect(apply(known, {kind: 'reportEngine', report}).engines.get('e')?.service).toBe('s');
   });
 });
 
 describe('configurations', () => {
-  test('the highest version holds, and other content under it changes nothing', () => {
+  test('the highest version is in effect, and other content with the same version changes nothing', () => {
     const first = apply(EMPTY, {config: configOf(7), kind: 'putConfig'});
     const again = fleetMachine.apply(
       first,
@@ -251,7 +251,7 @@
 });
 
 describe('stores', () => {
-  test('only the first founders found the group', () => {
+  test('only the first set of founders is accepted', () => {
     const state = apply(
       EMPTY,
       {founders: ['a/1'], kind: 'foundJobs'},
@@ -260,7 +260,7 @@
     expect(state.jobsFounders).toEqual(['a/1']);
   });
 
-  test('a new disk under an old name is not to be emptied', () => {
+  test('a new disk under the name of a retired store is not retiring', () => {
     const retired = apply(
       EMPTY,
       {kind: 'seeStore', name: 's1', replica: 'a/1'},
--- a/packages/stallpaddle-fleet/src/__tests__/unit/FleetView.test.ts
+++ b/packages/stallpaddle-fleet/src/__tests__/unit/FleetView.test.ts
@@ -1,5 +1,5 @@
 /**
- * What a process believes: never an older configuration, never a younger moment than was proved.
+ * The view of a process never returns to an older configuration or status, nor claims to be fresher than confirmed.
  */
 import fc from 'fast-check';
 import {assertHistories} from 'stallpaddle-testing';
@@ -49,13 +49,13 @@
     await assertHistories('answers of leaders', property, 200);
   });
 
-  test('takes no moment from what nobody proved', () => {
+  test('ignores the time of an answer that no leader confirmed', () => {
     const view = applyWatchAnswer(EMPTY_VIEW, answerOf({config: configOf(3), proven: false}), 50);
     expect(view.config?.version).toBe(3);
     expect(view.asOf).toBe(-Infinity);
   });
 
-  test('keeps entry VMs that a new leader has not heard yet', () => {
+  test('keeps entry VMs whose heartbeats a new leader still awaits', () => {
     const entry = (name: string) => ({address: `${name}:1`, name, zone: 'z'});
     const whole = (names: readonly string[], entriesComplete: boolean, fleet: number) =>
       answerOf({
@@ -73,15 +73,15 @@
     expect(after.news.entries.map(({name}) => name)).toEqual(['b']);
   });
 
-  test('adds up the ages of whoever passed the news on', () => {
+  test('subtracts the age of a forwarded status', () => {
     const view = applyWatchAnswer(EMPTY_VIEW, answerOf({ageMs: 350, heldMs: 200}), 1_000);
     expect(view.asOf).toBe(1_000 + 200 - 350);
-    // A younger answer counts, an older one takes nothing back.
+    // A fresher answer advances the time, an older one does not move it back.
     expect(applyWatchAnswer(view, answerOf({ageMs: 900}), 1_100).asOf).toBe(view.asOf);
     expect(applyWatchAnswer(view, answerOf({ageMs: 10}), 1_100).asOf).toBe(1_090);
   });
 
-  test('takes no news from a replica that lags behind another, whatever the term', () => {
+  test('ignores the status of a lagging replica, whatever the term', () => {
     const whole = (name: string) =>
       ({kind: 'whole', news: {...EMPTY_VIEW.news, controls: [name]}}) as const;
     const held = applyWatchAnswer(
@@ -97,16 +97,16 @@
       const view = applyWatchAnswer(held, answerOf({...numbers, update: whole('old')}), 50);
       expect(view.news.controls).toEqual(['new']);
       expect([view.fleet, view.term]).toEqual([7, 3]);
-      // What is held is at least as new as what that replica tells, so its moment counts.
+      // The held status is at least as new as the replica's, so its time of confirmation still counts.
       expect(view.asOf).toBe(50);
     }
   });
 
-  test('takes neither news nor a moment from a difference to news that it does not hold', () => {
+  test('ignores a delta whose base it does not hold', () => {
     const update = {kind: 'whole', news: EMPTY_VIEW.news} as const;
     const held = applyWatchAnswer(EMPTY_VIEW, answerOf({fleet: 4, term: 1, update}), 0);
     const delta = diffStatus(EMPTY_VIEW.news, {...EMPTY_VIEW.news, controls: ['a']});
-    const strange = answerOf({fleet: 6, update: {delta, from: 5, kind: 'delta'}});
-    expect(applyWatchAnswer(held, strange, 100)).toEqual(held);
+    const unknownBase = answerOf({fleet: 6, update: {delta, from: 5, kind: 'delta'}});
+    expect(applyWatchAnswer(held, unknownBase, 100)).toEqual(held);
   });
 });
--- a/packages/stallpaddle-limits/src/LimitBucket.ts
+++ b/packages/stallpaddle-limits/src/LimitBucket.ts
@@ -1,44 +1,43 @@
 /**
- * A token bucket: it fills at a rate, and each request takes one token. Pure; times come from outside.
+ * Token bucket that refills at a constant rate; each request takes one token. Pure functions; callers pass the time.
  */
 import type {MonotonicMs} from 'stallpaddle';
 
-/** A bucket at one moment. */
+/** State of a bucket at one time. */
 export interface LimitBucket {
   readonly at: MonotonicMs;
-  /** Negative while tokens are owed that were given out ahead. */
+  /** Negative while tokens that were taken in advance have not been refilled. */
   readonly tokens: number;
 }
 
-/** How a bucket fills. */
+/** Capacity and refill rate of a bucket. */
 export interface LimitTerms {
-  /** Most tokens that it holds. */
+  /** Maximum number of tokens. */
   readonly capacity: number;
   readonly ratePerSecond: number;
 }
 
-/** Outcome of asking a bucket. */
+/** Outcome of taking a token. */
 export type BucketAnswer =
   | {
       readonly bucket: LimitBucket;
       readonly kind: 'taken';
-      /** Time until the token is there, in milliseconds; 0 for one that was. */
+      /** Time until the token is refilled, in milliseconds; 0 if it was available. */
       readonly waitMs: number;
     }
   | {readonly bucket: LimitBucket; readonly kind: 'empty'; readonly retryAfterMs: number};
 
-/** Milliseconds in a second. */
 const SECOND_MS = 1_000;
 
-/** What sums of fractions may lack of a whole token. */
+/** Tolerance for rounding errors, in tokens. */
 const ROUNDING = 1e-9;
 
 /**
- * A bucket as it has filled by now.
+ * Refills a bucket up to the current time.
  *
- * @param bucket the bucket at an earlier moment
- * @param terms how it fills
- * @param now the present moment
+ * @param bucket the bucket at an earlier time
+ * @param terms its capacity and rate
+ * @param now the current time
  */
 export function filledBucket(
   {at, tokens}: LimitBucket,
@@ -52,10 +51,10 @@
 /**
  * Takes one token.
  *
- * @param bucket the bucket at an earlier moment
- * @param terms how it fills
- * @param now the present moment
- * @param aheadMs longest time ahead of which a token may be taken, in milliseconds
+ * @param bucket the bucket at an earlier time
+ * @param terms its capacity and rate
+ * @param now the current time
+ * @param aheadMs how far in advance a token may be taken, in milliseconds
  */
 export function takeToken(
   bucket: LimitBucket,
@@ -72,10 +71,10 @@
 }
 
 /**
- * Gives back a token that was taken for nothing.
+ * Returns an unused token to a bucket.
  *
  * @param bucket the bucket
- * @param terms how it fills
+ * @param terms its capacity and rate
  */
 export function returnToken({at, tokens}: LimitBucket, {capacity}: LimitTerms): LimitBucket {
   return {at, tokens: Math.min(capacity, tokens + 1)};
--- a/packages/stallpaddle-limits/src/LimitOwnerBuckets.ts
+++ b/packages/stallpaddle-limits/src/LimitOwnerBuckets.ts
@@ -1,7 +1,5 @@
 /**
- * Grants requests to customers within their limits, at the VM that owns them. An owner's bucket counts what it grants itself:
- * one that becomes the owner knows nothing of what others granted before it, and begins with an almost empty bucket, so that
- * the grants of one owner after the other never sum up to more than those of one. Pure but for its own counts.
+ * Token buckets for the customers' limits that a VM owns.
  */
 import type {MonotonicMs} from 'stallpaddle';
 
@@ -9,56 +7,56 @@
 
 import {type LimitBucket, type LimitTerms, returnToken, takeToken} from './LimitBucket';
 
-/**
- * Requests beyond a customer's burst that a full bucket holds: what callers resend, and what ended unserved, counts
- * elsewhere than here.
- */
+/** Requests that a full bucket allows beyond the burst; covers resent requests and those that no engine ran. */
 const MARGIN_REQUESTS = 8;
 
-/** Requests that a new owner grants at once: an owner that is lost must not cost a calm customer its next requests. */
-const FIRST_REQUESTS = 4;
+/** Requests that a new owner grants at once, so that the loss of an owner causes no refusals at low rates. */
+const INITIAL_REQUESTS = 4;
 
-/** Longest time for which a request waits for its token, in milliseconds: a refused caller waits longer. */
-const AHEAD_MS = 100;
+/** Maximum time that a request waits for its token, in milliseconds; refusing it would delay the caller longer. */
+const MAX_WAIT_MS = 100;
 
-/** Part of its bucket above which a customer is calm. */
-const CALM_PART = 0.5;
+/** Fraction of the capacity from which a customer counts as calm. */
+const CALM_FRACTION = 0.5;
 
-/** Customers whose buckets are kept; a full bucket is as good as none. */
-const MOST_BUCKETS = 65_536;
+/** Bounds memory; the least recently used bucket is evicted first. */
+const MAX_BUCKETS = 65_536;
 
 function termsOf({burst, ratePerSecond}: RateLimit): LimitTerms {
   return {capacity: burst + MARGIN_REQUESTS, ratePerSecond};
 }
 
 function firstBucket({burst}: RateLimit, now: MonotonicMs): LimitBucket {
-  return {at: now, tokens: Math.min(burst + MARGIN_REQUESTS, FIRST_REQUESTS)};
+  return {at: now, tokens: Math.min(burst + MARGIN_REQUESTS, INITIAL_REQUESTS)};
 }
 
-/** See the module's comment. */
+/**
+ * Grants requests within the customers' limits at the VM that owns them. A new owner doesn't know what previous owners
+ * granted, so its buckets start almost empty: a change of owner never grants an additional burst.
+ */
 export class LimitOwnerBuckets {
   private readonly buckets = new Map<string, LimitBucket>();
 
   /**
-   * Asks for one request.
+   * Decides on one request of a customer.
    *
    * @param limit the customer's limit
-   * @param now the present moment
+   * @param now the current time
    */
   ask(limit: RateLimit, now: MonotonicMs): LimitDecision {
     const terms = termsOf(limit);
     const before = this.buckets.get(limit.customer) ?? firstBucket(limit, now);
-    const answer = takeToken(before, terms, now, AHEAD_MS);
+    const answer = takeToken(before, terms, now, MAX_WAIT_MS);
     this.keep(limit.customer, answer.bucket);
     if (answer.kind === 'empty') {
       return {kind: 'over', retryAfterMs: answer.retryAfterMs};
     }
-    const isCalm = answer.bucket.tokens >= terms.capacity * CALM_PART;
+    const isCalm = answer.bucket.tokens >= terms.capacity * CALM_FRACTION;
     return {isCalm, kind: 'granted', waitMs: answer.waitMs};
   }
 
   /**
-   * Takes back what was granted to a request that no engine ran.
+   * Returns the token of a granted request that no engine ran.
    *
    * @param limit the customer's limit
    */
@@ -70,7 +68,7 @@
   }
 
   /**
-   * Forgets what was counted for customers that another VM counts for now.
+   * Drops the buckets of customers whose limits another VM owns now.
    *
    * @param isOwn whether this VM owns a customer's limit
    */
@@ -86,7 +84,7 @@
     this.buckets.delete(customer);
     this.buckets.set(customer, bucket);
     const [oldest] = this.buckets.keys();
-    if (oldest !== undefined && this.buckets.size > MOST_BUCKETS) {
+    if (oldest !== undefined && this.buckets.size > MAX_BUCKETS) {
       this.buckets.delete(oldest);
     }
   }
--- a/packages/stallpaddle-limits/src/LimitOwners.ts
+++ b/packages/stallpaddle-limits/src/LimitOwners.ts
@@ -1,30 +1,30 @@
 /**
- * Which VMs keep the limit of a customer. Some entry VMs keep all limits: each more of them is a connection more at every
- * VM, each fewer makes the work of one larger.
+ * Assigns customers' limits to owners among the entry VMs. Only some entry VMs own limits: more owners mean more
+ * connections at every VM, fewer owners mean more load on each.
  */
 import {hash32, rendezvousOrder, type VmId} from 'stallpaddle';
 
-/** Entry VMs of which one keeps limits. */
-const VMS_PER_KEEPER = 8;
-/** Fewest VMs that keep limits, so that the loss of one moves few customers. */
-const FEWEST_KEEPERS = 3;
+/** Number of entry VMs per owner. */
+const VMS_PER_OWNER = 8;
+/** Minimum number of owners, so that the loss of one moves only part of the customers. */
+const MIN_OWNERS = 3;
 
 /**
- * The VMs that keep limits. Which they are depends on their names alone, so that all VMs that know the same fleet agree.
+ * Selects the VMs that may own limits. The result depends only on their names, so VMs with the same fleet status agree.
  *
  * @param vms all entry VMs
  */
 export function limitOwnerCandidates(vms: readonly VmId[]): readonly VmId[] {
-  const count = Math.max(FEWEST_KEEPERS, Math.ceil(vms.length / VMS_PER_KEEPER));
+  const count = Math.max(MIN_OWNERS, Math.ceil(vms.length / VMS_PER_OWNER));
   return [...vms].sort((a, b) => hash32(a) - hash32(b) || (a < b ? -1 : 1)).slice(0, count);
 }
 
 /**
- * The owner of a customer's limit, and who is asked in its place, in this order.
+ * Returns the owner of a customer's limit, followed by its deputies in order.
  *
  * @param customer the customer
- * @param keepers VMs that keep limits
+ * @param candidates VMs that may own limits
  */
-export function limitOwners(customer: string, keepers: readonly VmId[]): readonly VmId[] {
-  return rendezvousOrder(customer, keepers);
+export function limitOwners(customer: string, candidates: readonly VmId[]): readonly VmId[] {
+  return rendezvousOrder(customer, candidates);
 }
--- a/packages/stallpaddle-limits/src/LimitShare.ts
+++ b/packages/stallpaddle-limits/src/LimitShare.ts
@@ -1,6 +1,5 @@
 /**
- * A VM's own part of each customer's limit, by the number of VMs. It serves while nobody can be asked: with few requests a
- * second at each VM, parts refuse by chance what the whole has room for.
+ * Local shares of customers' limits.
  */
 import type {MonotonicMs} from 'stallpaddle';
 
@@ -8,38 +7,41 @@
 
 import {type LimitBucket, type LimitTerms, takeToken} from './LimitBucket';
 
-/** Customers that are remembered; whoever is forgotten counts as calm. */
-const MOST_CUSTOMERS = 65_536;
+/** Bounds memory; customers that were dropped count as calm. */
+const MAX_CUSTOMERS = 65_536;
 
-/** See the module's comment. */
+/**
+ * Applies a VM's local share of each customer's limit, which is the limit divided by the number of VMs. Used only while
+ * no owner can be asked: uneven arrivals exceed the share of one VM before they reach the whole limit.
+ */
 export class LimitShare {
   private readonly buckets = new Map<string, LimitBucket>();
-  /** Customers that used most of their limit when their owner was last heard. */
-  private readonly pressing = new Set<string>();
+  /** Customers that had used most of their limit by their owner's last answer. */
+  private readonly busy = new Set<string>();
 
   /**
-   * Notes what the owner of a customer's limit said.
+   * Records an answer of the owner of a customer's limit.
    *
    * @param customer the customer
    * @param answer the owner's answer
    */
   note(customer: string, answer: LimitAnswer): void {
     if (answer.kind === 'over' || (answer.kind === 'granted' && !answer.isCalm)) {
-      this.pressing.add(customer);
+      this.busy.add(customer);
     } else if (answer.kind === 'granted') {
-      this.pressing.delete(customer);
+      this.busy.delete(customer);
     }
-    if (this.pressing.size > MOST_CUSTOMERS) {
-      this.pressing.clear();
+    if (this.busy.size > MAX_CUSTOMERS) {
+      this.busy.clear();
     }
   }
 
   /**
-   * Asks for one request.
+   * Decides on one request of a customer.
    *
    * @param limit the customer's limit
    * @param vms number of VMs that share it
-   * @param now the present moment
+   * @param now the current time
    */
   ask(limit: RateLimit, vms: number, now: MonotonicMs): LimitDecision {
     const {burst, customer, ratePerSecond} = limit;
@@ -47,14 +49,14 @@
       capacity: Math.max(1, burst / vms),
       ratePerSecond: ratePerSecond / vms,
     };
-    const tokens = this.pressing.has(customer) ? 0 : terms.capacity;
+    const tokens = this.busy.has(customer) ? 0 : terms.capacity;
     const answer = takeToken(this.buckets.get(customer) ?? {at: now, tokens}, terms, now);
-    if (this.buckets.size >= MOST_CUSTOMERS) {
+    if (this.buckets.size >= MAX_CUSTOMERS) {
       this.buckets.clear();
     }
     this.buckets.set(customer, answer.bucket);
     return answer.kind === 'taken'
-      ? {isCalm: !this.pressing.has(customer), kind: 'granted', waitMs: 0}
+      ? {isCalm: !this.busy.has(customer), kind: 'granted', waitMs: 0}
       : {kind: 'over', retryAfterMs: answer.retryAfterMs};
   }
 }
--- a/packages/stallpaddle-limits/src/LimitTypes.ts
+++ b/packages/stallpaddle-limits/src/LimitTypes.ts
@@ -1,44 +1,44 @@
 /**
- * Limits on how many requests a customer may send to the whole fleet, and the words in which VMs speak of them.
+ * Rate limits of customers over the whole fleet, and the messages by which VMs ask a limit's owner.
  */
 import type {VmId} from 'stallpaddle';
 
 /** A customer's limit over all VMs. */
 export interface RateLimit {
-  /** Requests that may come at once, beyond the rate. */
+  /** Requests allowed at once beyond the rate. */
   readonly burst: number;
   readonly customer: string;
-  /** Requests a second; 0 for no limit. */
+  /** Requests per second; 0 for no limit. */
   readonly ratePerSecond: number;
 }
 
-/** A VM asks the owner of a customer's limit whether one more request may go on. */
+/** Asks the owner of a customer's limit to admit one request. */
 export interface AskLimit {
   readonly customer: string;
-  /** The owner, when another VM is asked because the owner was silent. */
+  /** The owner, when another VM is asked because the owner did not answer; else null. */
   readonly insteadOf: null | VmId;
   readonly kind: 'askLimit';
 }
 
-/** A request that was granted has been run by no engine. */
+/** Returns the quota of a granted request that no engine ran. */
 export interface ReturnLimit {
   readonly customer: string;
   readonly kind: 'returnLimit';
 }
 
-/** What a VM says to the owner of a customer's limit. */
+/** Messages to the owner of a customer's limit. */
 export type LimitAsk = AskLimit | ReturnLimit;
 
-/** Whether a request may go on. */
+/** Whether a request is admitted. */
 export type LimitDecision =
-  /** It may, after a short wait. */
+  /** Admitted after `waitMs`. */
   | {
       readonly kind: 'granted';
-      /** Whether the customer uses little of its limit. */
+      /** Whether the customer is well within its limit. */
       readonly isCalm: boolean;
       readonly waitMs: number;
     }
   | {readonly kind: 'over'; readonly retryAfterMs: number};
 
-/** Answer of another VM; whoever isn't the owner can't tell. */
+/** Answer of another VM; `unsure` when it doesn't own the limit. */
 export type LimitAnswer = LimitDecision | {readonly kind: 'unsure'};
--- a/packages/stallpaddle-limits/src/__tests__/unit/LimitBucket.test.ts
+++ b/packages/stallpaddle-limits/src/__tests__/unit/LimitBucket.test.ts
@@ -1,5 +1,5 @@
 /**
- * A token bucket, whatever the gaps between requests.
+ * The token bucket, for any gaps between requests.
  */
 import fc from 'fast-check';
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
@@ -7,7 +7,7 @@
 
 import {returnToken, takeToken} from '../../LimitBucket';
 
-/** Seconds of its rate that a bucket of these tests holds. */
+/** Capacity of the tested buckets, in seconds of their rate. */
 const BURST_SECONDS = 2;
 
 describe('takeToken', () => {
@@ -28,7 +28,7 @@
             if (answer.kind === 'taken') {
               granted++;
             } else {
-              // Who comes back when told is served.
+              // A caller that returns after the given time is served.
               const again = takeToken(answer.bucket, terms, now + answer.retryAfterMs);
               expect(again.kind).toBe('taken');
             }
@@ -42,7 +42,7 @@
     fuzzTimeoutMs(),
   );
 
-  test('gives a token ahead of its time, and never two for one', () => {
+  test('takes a token in advance, and never the same one twice', () => {
     const terms = {capacity: 2, ratePerSecond: 10};
     const first = takeToken({at: 0, tokens: 0}, terms, 0, 100);
     expect(first).toMatchObject({kind: 'taken', waitMs: 100});
@@ -53,7 +53,7 @@
     expect(takeToken(first.bucket, terms, 100, 100)).toMatchObject({kind: 'taken', waitMs: 100});
   });
 
-  test('takes back what was taken for nothing, and no more than fits', () => {
+  test('returns an unused token, without exceeding the capacity', () => {
     const terms = {capacity: 2, ratePerSecond: 1};
     expect(returnToken({at: 0, tokens: -1}, terms).tokens).toBe(0);
     expect(returnToken({at: 0, tokens: 2}, terms).tokens).toBe(2);
--- a/packages/stallpaddle-limits/src/index.ts
+++ b/packages/stallpaddle-limits/src/index.ts
@@ -1,4 +1,4 @@
-/** Limits on the rate of a customer's requests that hold over the whole fleet. */
+/** Rate limits of customers over the whole fleet. */
 export {
   type BucketAnswer,
   filledBucket,
