--- a/packages/stallpaddle-limits/src/index.ts
+++ b/packages/stallpaddle-limits/src/index.ts
@@ -1,4 +1,4 @@
-/** Limits on the rate of a customer's requests that hold over the whole fleet. */
+/** Rate limits of customers over the whole fleet. */
 export {
   type BucketAnswer,
   filledBucket,
@@ -7,8 +7,8 @@
   returnToken,
   takeToken,
 } from './LimitBucket';
-export {LimitKeeper} from './LimitKeeper';
-export {limitKeepers, limitOwners} from './LimitOwners';
+export {LimitOwnerBuckets} from './LimitOwnerBuckets';
+export {limitOwnerCandidates, limitOwners} from './LimitOwners';
 export {LimitShare} from './LimitShare';
 export type {
   AskLimit,
