--- a/packages/stallpaddle-vm/src/Vm.ts
+++ b/packages/stallpaddle-vm/src/Vm.ts
@@ -44,6 +44,7 @@
 import {ledgerGroup, VmGroups} from './VmGroups';
 import {VmLeaderDuties} from './VmLeaderDuties';
 import {VmMembership} from './VmMembership';
+import {VmOnlineReporter} from './VmOnlineReporter';
 import {VmOrders} from './VmOrders';
 import {VmOwners} from './VmOwners';
 import {VmPeers} from './VmPeers';
@@ -51,7 +52,6 @@
 import {VmReplacements} from './VmReplacements';
 import {addPeerService} from './VmService';
 import {describeStatus} from './VmStatus';
-import {VmTells} from './VmTells';
 
 /** Time for the news that this VM leaves to reach callers: addresses live two seconds. */
 const LEAVE_SPREAD_MS = 2_500;
@@ -91,7 +91,7 @@
   private rpc: RpcServer | undefined;
   private readonly startedAt = systemClock.monotonicMs();
   private stopping = false;
-  private readonly tells: VmTells;
+  private readonly tells: VmOnlineReporter;
   private waitingModels: readonly string[] = [];
 
   private constructor(private readonly parts: VmParts) {
@@ -126,7 +126,7 @@
       settings,
     });
     this.batch = this.createBatch();
-    this.tells = new VmTells({
+    this.tells = new VmOnlineReporter({
       clock: this.clock,
       onRouting: (event) => this.engines.step(event),
       ownerOf: (engine) => this.owners.of(engine),
--- a/packages/stallpaddle-vm/src/VmConstants.ts
+++ b/packages/stallpaddle-vm/src/VmConstants.ts
@@ -58,7 +58,7 @@
 export const PLATFORM_TIMEOUT_MS = 2_000;
 
 /** Time after which online streams on an engine are told again. */
-export const TELL_AGAIN_MS = 700;
+export const ONLINE_REPORT_INTERVAL_MS = 700;
 
 /** Longest call that tells of online streams. */
-export const TELL_TIMEOUT_MS = 300;
+export const ONLINE_REPORT_TIMEOUT_MS = 300;
--- a/packages/stallpaddle-vm/src/VmTells.ts
+++ b/packages/stallpaddle-vm/src/VmOnlineReporter.ts
@@ -6,10 +6,10 @@
 
 import type {VmPeers} from './VmPeers';
 
-import {TELL_AGAIN_MS, TELL_TIMEOUT_MS} from './VmConstants';
+import {ONLINE_REPORT_INTERVAL_MS, ONLINE_REPORT_TIMEOUT_MS} from './VmConstants';
 
 /** What the teller needs of its VM. */
-export interface VmTellsOptions {
+export interface VmOnlineReporterOptions {
   readonly clock: Clock;
   readonly onRouting: (event: RoutingEvent) => void;
   readonly ownerOf: (engine: EngineId) => VmId | undefined;
@@ -19,7 +19,7 @@
 }
 
 /** One call at a time for each engine; what changes meanwhile goes with the next one. */
-export class VmTells {
+export class VmOnlineReporter {
   private readonly busy = new Set<EngineId>();
   private readonly changed = new Set<EngineId>();
   private timer: NodeJS.Timeout | undefined;
@@ -27,7 +27,7 @@
   /**
    * @param options what the teller needs of its VM
    */
-  constructor(private readonly options: VmTellsOptions) {}
+  constructor(private readonly options: VmOnlineReporterOptions) {}
 
   /** Starts to repeat what was told: the word of a VM counts only for a while. */
   start(): void {
@@ -37,7 +37,7 @@
           this.note(engine);
         }
       }
-    }, TELL_AGAIN_MS);
+    }, ONLINE_REPORT_INTERVAL_MS);
   }
 
   /** Ends the telling. */
@@ -70,7 +70,7 @@
       const sentAt = clock.monotonicMs();
       try {
         const client = peers.clientOf(owner);
-        const all = await client?.tell({engine, online, vm}, {timeoutMs: TELL_TIMEOUT_MS});
+        const all = await client?.tell({engine, online, vm}, {timeoutMs: ONLINE_REPORT_TIMEOUT_MS});
         const view = routing().engines.get(engine);
         if (all !== undefined && view !== undefined) {
           const load = {...view.load, online: all.online, queued: 0};
