--- a/packages/stallpaddle-vm/src/Vm.ts
+++ b/packages/stallpaddle-vm/src/Vm.ts
@@ -23,7 +23,7 @@
 
 import {type BeatAnswer, VmBeats} from './VmBeats';
 import {
-  applyNews,
+  applyConfigUpdate,
   type ConfigView,
   isFresh,
   noteFresh,
@@ -425,7 +425,7 @@
     const {config, freshAgeMs, revision, waitingModels} = answer;
     this.waitingModels = waitingModels;
     if (config !== null) {
-      this.setConfig(applyNews(this.configView, config, basis));
+      this.setConfig(applyConfigUpdate(this.configView, config, basis));
     }
     if (freshAgeMs !== null) {
       this.configView = noteFresh(this.configView, revision, freshBy - freshAgeMs);
--- a/packages/stallpaddle-vm/src/VmBeats.ts
+++ b/packages/stallpaddle-vm/src/VmBeats.ts
@@ -18,7 +18,7 @@
 import {changesAfter} from 'stallpaddle-control';
 import {HEARTBEAT_INTERVAL_MS, liveVms, lostVms, updatesSince} from 'stallpaddle-membership';
 
-import type {ConfigNews, ConfigView} from './VmConfigView';
+import type {ConfigUpdate, ConfigView} from './VmConfigView';
 import type {VmGroups} from './VmGroups';
 import type {VmPeers} from './VmPeers';
 
@@ -40,7 +40,7 @@
 
 /** Answer to a beat. */
 export interface BeatAnswer {
-  readonly config: ConfigNews | null;
+  readonly config: ConfigUpdate | null;
   /** How long ago `revision` was known to be the newest, in milliseconds; null when unknown. */
   readonly freshAgeMs: number | null;
   /** How long the answer was held, in milliseconds. */
@@ -147,7 +147,7 @@
     });
   }
 
-  private newsFor(revision: number): ConfigNews | null {
+  private newsFor(revision: number): ConfigUpdate | null {
     const control = this.options.groups?.controlReplica?.localState;
     if (control === undefined || control.revision <= revision) {
       return null;
--- a/packages/stallpaddle-vm/src/VmConfigView.ts
+++ b/packages/stallpaddle-vm/src/VmConfigView.ts
@@ -23,7 +23,7 @@
 };
 
 /** What another VM told of the configuration. */
-export interface ConfigNews {
+export interface ConfigUpdate {
   readonly changes: readonly ConfigChange[];
   /** Revision that the changes lead to. */
   readonly revision: number;
@@ -38,7 +38,7 @@
  * @param news what was told
  * @param basis revision that the changes start from
  */
-export function applyNews(view: ConfigView, news: ConfigNews, basis: number): ConfigView {
+export function applyConfigUpdate(view: ConfigView, news: ConfigUpdate, basis: number): ConfigView {
   if (news.revision <= view.revision || (!news.whole && basis !== view.revision)) {
     return view;
   }
--- a/packages/stallpaddle-vm/src/__tests__/unit/VmConfigView.test.ts
+++ b/packages/stallpaddle-vm/src/__tests__/unit/VmConfigView.test.ts
@@ -8,7 +8,7 @@
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
 
-import {applyNews, isFresh, noteFresh, UNKNOWN_CONFIG} from '../../VmConfigView';
+import {applyConfigUpdate, isFresh, noteFresh, UNKNOWN_CONFIG} from '../../VmConfigView';
 
 function changeOf(revision: number): ConfigChange {
   return {key: `vm-${revision}`, record: {draining: true}, table: 'vms'};
@@ -29,7 +29,7 @@
       const property = fc.property(fc.array(item, {maxLength: 30}), (items) => {
         let view = UNKNOWN_CONFIG;
         for (const {basis, length} of items) {
-          const next = applyNews(view, newsFrom(basis, basis + length), basis);
+          const next = applyConfigUpdate(view, newsFrom(basis, basis + length), basis);
           expect(next.revision).toBeGreaterThanOrEqual(view.revision);
           view = next;
           const expected = Array.from({length: view.revision}, (_, index) => `vm-${index + 1}`);
@@ -44,7 +44,7 @@
 
 describe('noteFresh', () => {
   test('counts a sign of freshness only for the revision that is in force', () => {
-    const view = applyNews(UNKNOWN_CONFIG, newsFrom(0, 3), 0);
+    const view = applyConfigUpdate(UNKNOWN_CONFIG, newsFrom(0, 3), 0);
     expect(isFresh(view, 0)).toBe(false);
     expect(isFresh(noteFresh(view, 4, 100), 100)).toBe(false);
     const fresh = noteFresh(view, 3, 100);
