--- a/packages/stallpaddle-vm/src/Vm.ts
+++ b/packages/stallpaddle-vm/src/Vm.ts
@@ -21,7 +21,6 @@
 import {startRpcServer} from 'stallpaddle-rpc';
 import {openDisk} from 'stallpaddle-storage';
 
-import {type BeatAnswer, VmBeats} from './VmBeats';
 import {
   applyConfigUpdate,
   type ConfigView,
@@ -42,6 +41,7 @@
 import {firstChanges} from './VmFirstConfig';
 import {controlPort, ledgerPort, VmGroupClient} from './VmGroupClient';
 import {ledgerGroup, VmGroups} from './VmGroups';
+import {type HeartbeatResponse, VmHeartbeats} from './VmHeartbeats';
 import {VmLeaderDuties} from './VmLeaderDuties';
 import {VmMembership} from './VmMembership';
 import {VmOnlineReporter} from './VmOnlineReporter';
@@ -77,7 +77,7 @@
 /** One VM process; see the module's comment. */
 export class Vm {
   private readonly batch: BatchDispatcher;
-  private readonly beats: VmBeats;
+  private readonly beats: VmHeartbeats;
   private readonly clock = systemClock;
   private configView: ConfigView = UNKNOWN_CONFIG;
   private readonly control: ControlPort;
@@ -112,7 +112,7 @@
       all: shards,
       forCustomer: (customer) => shards[shardOfCustomer(customer, shards.length)]!,
     };
-    this.beats = new VmBeats({
+    this.beats = new VmHeartbeats({
       clock: this.clock,
       config: () => this.configView,
       groups,
@@ -421,7 +421,7 @@
     }
   }
 
-  private hearConfig(answer: BeatAnswer, basis: number, freshBy: number): void {
+  private hearConfig(answer: HeartbeatResponse, basis: number, freshBy: number): void {
     const {config, freshAgeMs, revision, waitingModels} = answer;
     this.waitingModels = waitingModels;
     if (config !== null) {
--- a/packages/stallpaddle-vm/src/VmConstants.ts
+++ b/packages/stallpaddle-vm/src/VmConstants.ts
@@ -15,13 +15,13 @@
 export const GROUP_RETRY_MS = 30;
 
 /** How long a VM with a disk holds a beat while it has nothing new to tell. */
-export const BEAT_WAIT_MS = 500;
+export const HEARTBEAT_HOLD_MS = 500;
 
 /** Longest beat, after which another VM is asked. */
-export const BEAT_TIMEOUT_MS = 1_200;
+export const HEARTBEAT_CALL_TIMEOUT_MS = 1_200;
 
 /** Shortest time between a VM's beats. */
-export const BEAT_PAUSE_MS = 50;
+export const HEARTBEAT_PAUSE_MS = 50;
 
 /** Time between an owner's looks at its engines. */
 export const ENGINE_POLL_MS = 150;
--- a/packages/stallpaddle-vm/src/VmBeats.ts
+++ b/packages/stallpaddle-vm/src/VmHeartbeats.ts
@@ -22,10 +22,10 @@
 import type {VmGroups} from './VmGroups';
 import type {VmPeers} from './VmPeers';
 
-import {BEAT_PAUSE_MS, BEAT_TIMEOUT_MS, BEAT_WAIT_MS} from './VmConstants';
+import {HEARTBEAT_CALL_TIMEOUT_MS, HEARTBEAT_HOLD_MS, HEARTBEAT_PAUSE_MS} from './VmConstants';
 
 /** A beat as sent. */
-export interface BeatMessage {
+export interface HeartbeatMessage {
   readonly loads: readonly EngineLoadTuple[];
   readonly news: readonly VmUpdate[];
   /** Revision in force on the sender. */
@@ -39,7 +39,7 @@
 }
 
 /** Answer to a beat. */
-export interface BeatAnswer {
+export interface HeartbeatResponse {
   readonly config: ConfigUpdate | null;
   /** How long ago `revision` was known to be the newest, in milliseconds; null when unknown. */
   readonly freshAgeMs: number | null;
@@ -57,13 +57,13 @@
 }
 
 /** What beats need of the VM. */
-export interface VmBeatsOptions {
+export interface VmHeartbeatsOptions {
   readonly clock: Clock;
   readonly config: () => ConfigView;
   readonly groups: VmGroups | undefined;
   readonly loads: () => readonly EngineLoadTuple[];
   readonly membership: () => MembershipState;
-  readonly onConfig: (answer: BeatAnswer, basis: number, sentAt: number) => void;
+  readonly onConfig: (answer: HeartbeatResponse, basis: number, sentAt: number) => void;
   readonly onLoads: (loads: readonly EngineLoadTuple[]) => void;
   readonly onMembership: (event: MembershipEvent) => void;
   readonly peers: VmPeers;
@@ -75,7 +75,7 @@
 const HELD_DRIFT_FRACTION = 0.05;
 
 /** Sends and answers beats. */
-export class VmBeats {
+export class VmHeartbeats {
   private changed: (() => void)[] = [];
   private loops: readonly Promise<void>[] = [];
   private readonly seen = new Map<VmId, number>();
@@ -84,7 +84,7 @@
   /**
    * @param options what beats need of the VM
    */
-  constructor(private readonly options: VmBeatsOptions) {}
+  constructor(private readonly options: VmHeartbeatsOptions) {}
 
   /** Starts to beat. */
   start(): void {
@@ -112,7 +112,7 @@
    */
   async answer(encoded: Uint8Array): Promise<Uint8Array> {
     const {clock, config, loads, membership, onLoads, onMembership} = this.options;
-    const beat = decodeValue<BeatMessage>(encoded);
+    const beat = decodeValue<HeartbeatMessage>(encoded);
     onMembership({kind: 'newsHeard', news: beat.news});
     onLoads(beat.loads);
     const receivedAt = clock.monotonicMs();
@@ -122,7 +122,7 @@
     }
     const now = clock.monotonicMs();
     const {freshAt, revision} = config();
-    const answer: BeatAnswer = {
+    const answer: HeartbeatResponse = {
       config: this.newsFor(beat.revision),
       freshAgeMs: Number.isFinite(freshAt) ? now - freshAt : null,
       heldMs: now - receivedAt,
@@ -173,10 +173,10 @@
       const targets = this.diskVms();
       const target = targets[failures % targets.length]!;
       const startedAt = this.options.clock.monotonicMs();
-      const ok = await this.beat(target, BEAT_WAIT_MS, false);
+      const ok = await this.beat(target, HEARTBEAT_HOLD_MS, false);
       failures = ok ? failures : failures + 1;
       const tookMs = this.options.clock.monotonicMs() - startedAt;
-      await delay(Math.max(BEAT_PAUSE_MS, ok ? 0 : HEARTBEAT_INTERVAL_MS / 2 - tookMs));
+      await delay(Math.max(HEARTBEAT_PAUSE_MS, ok ? 0 : HEARTBEAT_INTERVAL_MS / 2 - tookMs));
     }
   }
 
@@ -204,7 +204,7 @@
     const basis = config().revision;
     const self = membership().entries.get(this.options.settings.vm)!;
     const selfNews: VmUpdate = {ageMs: 0, facts: this.options.self(), sequence: self.sequence};
-    const message: BeatMessage = {
+    const message: HeartbeatMessage = {
       loads: loads(),
       news: tellsAll ? updatesSince(membership(), sentAt, 0) : [selfNews],
       revision: basis,
@@ -215,9 +215,9 @@
     try {
       const response = await client.beat(
         {encoded: encodeValue(message)},
-        {timeoutMs: BEAT_TIMEOUT_MS},
+        {timeoutMs: HEARTBEAT_CALL_TIMEOUT_MS},
       );
-      const answer = decodeValue<BeatAnswer>(response.encoded);
+      const answer = decodeValue<HeartbeatResponse>(response.encoded);
       if (this.stopped) {
         return true;
       }
@@ -229,7 +229,7 @@
       onLoads(answer.loads);
       const heldMs = answer.heldMs * (1 - HELD_DRIFT_FRACTION);
       onConfig(answer, basis, sentAt + heldMs);
-      return answer.freshAgeMs !== null && answer.freshAgeMs < BEAT_TIMEOUT_MS * 2;
+      return answer.freshAgeMs !== null && answer.freshAgeMs < HEARTBEAT_CALL_TIMEOUT_MS * 2;
     } catch {
       return false;
     }
--- a/packages/stallpaddle-vm/src/VmService.ts
+++ b/packages/stallpaddle-vm/src/VmService.ts
@@ -15,8 +15,8 @@
   SnapshotReceiver,
 } from 'stallpaddle-rpc';
 
-import type {VmBeats} from './VmBeats';
 import type {VmGroups} from './VmGroups';
+import type {VmHeartbeats} from './VmHeartbeats';
 
 import {callLocal} from './VmGroupClient';
 
@@ -31,7 +31,7 @@
 export function addPeerService(
   router: ConnectRouter,
   groups: VmGroups | undefined,
-  beats: VmBeats,
+  beats: VmHeartbeats,
   hearTold: (engine: EngineId, vm: VmId, online: number) => number,
 ): void {
   const receiver = new SnapshotReceiver();
