--- a/packages/stallpaddle-vm/src/VmConstants.ts
+++ b/packages/stallpaddle-vm/src/VmConstants.ts
@@ -6,10 +6,10 @@
 export const CONTROL_GROUP = 'control';
 
 /** How long a call to a group is tried before it is refused. */
-export const GROUP_CALL_MS = 5_000;
+export const GROUP_CALL_TIMEOUT_MS = 5_000;
 
 /** Longest single try of a call to a group. */
-export const GROUP_TRY_MS = 1_500;
+export const GROUP_TRY_TIMEOUT_MS = 1_500;
 
 /** Pause before the next try. */
 export const GROUP_RETRY_MS = 30;
@@ -27,10 +27,10 @@
 export const ENGINE_POLL_MS = 150;
 
 /** Longest wait for an engine's report. */
-export const ENGINE_STATUS_MS = 500;
+export const ENGINE_STATUS_TIMEOUT_MS = 500;
 
 /** Age of a load report that is not passed on any more. */
-export const LOAD_FORGOTTEN_MS = 3_000;
+export const LOAD_TTL_MS = 3_000;
 
 /** Time between looks at engines' targets. */
 export const ORDERS_INTERVAL_MS = 500;
@@ -43,10 +43,10 @@
 export const DUTIES_INTERVAL_MS = 200;
 
 /** Time between looks for old uploads and call records in each shard. */
-export const TIDY_INTERVAL_MS = 60_000;
+export const MAINTENANCE_INTERVAL_MS = 60_000;
 
 /** Time between tries to found a group. */
-export const FORM_RETRY_MS = 100;
+export const INITIALIZE_RETRY_MS = 100;
 
 /** Time between looks at replacements of replicas. */
 export const REPLACE_INTERVAL_MS = 300;
--- a/packages/stallpaddle-vm/src/VmEngines.ts
+++ b/packages/stallpaddle-vm/src/VmEngines.ts
@@ -10,7 +10,7 @@
 import {HttpEngine} from 'stallpaddle-engine';
 import {EMPTY_ROUTING, stepRouting} from 'stallpaddle-routing';
 
-import {ENGINE_POLL_MS, ENGINE_STATUS_MS, LOAD_FORGOTTEN_MS} from './VmConstants';
+import {ENGINE_POLL_MS, ENGINE_STATUS_TIMEOUT_MS, LOAD_TTL_MS} from './VmConstants';
 
 const TENTHS = 10;
 
@@ -122,7 +122,7 @@
   currentLoads(): readonly EngineLoadTuple[] {
     const now = this.clock.monotonicMs();
     return [...this.loads.values()]
-      .filter(({at}) => now - at < LOAD_FORGOTTEN_MS)
+      .filter(({at}) => now - at < LOAD_TTL_MS)
       .map(({at, tuple: [engine, online, batch, queued, tokenTenthsMs, , weights]}) => [
         engine,
         online,
@@ -159,7 +159,7 @@
     this.polling.add(engine);
     const askedAt = this.clock.monotonicMs();
     try {
-      const {load} = await adapter.status(ENGINE_STATUS_MS);
+      const {load} = await adapter.status(ENGINE_STATUS_TIMEOUT_MS);
       const {batch, online, queued, tokenMs, weights} = load;
       const tenths = Math.round(tokenMs * TENTHS);
       this.take([engine, online, batch, queued, tenths, 0, weights], askedAt);
--- a/packages/stallpaddle-vm/src/VmGroupClient.ts
+++ b/packages/stallpaddle-vm/src/VmGroupClient.ts
@@ -12,7 +12,7 @@
 import type {VmGroups} from './VmGroups';
 import type {VmPeers} from './VmPeers';
 
-import {GROUP_CALL_MS, GROUP_RETRY_MS, GROUP_TRY_MS} from './VmConstants';
+import {GROUP_CALL_TIMEOUT_MS, GROUP_RETRY_MS, GROUP_TRY_TIMEOUT_MS} from './VmConstants';
 
 /** What a client needs of its VM. */
 export interface VmGroupClientOptions {
@@ -47,7 +47,7 @@
    */
   async call(value: unknown, query: boolean): Promise<unknown> {
     const encoded = encodeValue(value);
-    const deadline = this.options.clock.monotonicMs() + GROUP_CALL_MS;
+    const deadline = this.options.clock.monotonicMs() + GROUP_CALL_TIMEOUT_MS;
     let mayBeCommitted = false;
     for (let attempt = 0; this.options.clock.monotonicMs() < deadline; attempt++) {
       const vm = this.leader ?? this.nextVm(attempt);
@@ -92,7 +92,7 @@
         const request = {group: this.group, length: ref.length, offset: BigInt(ref.offset)};
         const answer = await this.options.peers
           .clientOf(vm)
-          ?.readBlob(request, {timeoutMs: GROUP_TRY_MS});
+          ?.readBlob(request, {timeoutMs: GROUP_TRY_TIMEOUT_MS});
         if (answer !== undefined) {
           return answer.payload;
         }
@@ -116,7 +116,7 @@
       : tryRemote(
           this.options.peers.clientOf(vm),
           {encoded, group: this.group, query},
-          GROUP_TRY_MS,
+          GROUP_TRY_TIMEOUT_MS,
         );
   }
 }
--- a/packages/stallpaddle-vm/src/VmGroups.ts
+++ b/packages/stallpaddle-vm/src/VmGroups.ts
@@ -18,7 +18,7 @@
 
 import type {VmPeers} from './VmPeers';
 
-import {CONTROL_GROUP, FORM_RETRY_MS, GROUP_TRY_MS} from './VmConstants';
+import {CONTROL_GROUP, GROUP_TRY_TIMEOUT_MS, INITIALIZE_RETRY_MS} from './VmConstants';
 
 /** A replica of any group, as far as the VM handles all alike. */
 export type AnyReplica = ReplicaDriver<ControlState> | ReplicaDriver<LedgerState>;
@@ -228,7 +228,7 @@
         this.formed.set(group, members);
         return;
       }
-      await delay(FORM_RETRY_MS);
+      await delay(INITIALIZE_RETRY_MS);
     }
   }
 
@@ -237,7 +237,9 @@
     group: GroupId,
   ): Promise<{readonly replica: string; readonly voters: readonly string[]} | undefined> {
     try {
-      return await this.options.peers.clientOf(vm)?.identify({group}, {timeoutMs: GROUP_TRY_MS});
+      return await this.options.peers
+        .clientOf(vm)
+        ?.identify({group}, {timeoutMs: GROUP_TRY_TIMEOUT_MS});
     } catch {
       return undefined;
     }
--- a/packages/stallpaddle-vm/src/VmLeaderDuties.ts
+++ b/packages/stallpaddle-vm/src/VmLeaderDuties.ts
@@ -10,7 +10,7 @@
 
 import type {VmGroups} from './VmGroups';
 
-import {TIDY_INTERVAL_MS} from './VmConstants';
+import {MAINTENANCE_INTERVAL_MS} from './VmConstants';
 import {ledgerGroup} from './VmGroups';
 
 /** What the duties need of their VM. */
@@ -63,7 +63,7 @@
     }
     const {clock} = this.options;
     const now = clock.monotonicMs();
-    const isDue = now - (this.tidiedAt.get(group) ?? -Infinity) >= TIDY_INTERVAL_MS;
+    const isDue = now - (this.tidiedAt.get(group) ?? -Infinity) >= MAINTENANCE_INTERVAL_MS;
     if (!isDue && !hasExpiredLeases(replica.localState, replica.uncountedMs)) {
       return;
     }
--- a/packages/stallpaddle-vm/src/VmOrders.ts
+++ b/packages/stallpaddle-vm/src/VmOrders.ts
@@ -9,7 +9,7 @@
 
 import type {VmGroups} from './VmGroups';
 
-import {ENGINE_STATUS_MS, ORDER_TAKEOVER_MS} from './VmConstants';
+import {ENGINE_STATUS_TIMEOUT_MS, ORDER_TAKEOVER_MS} from './VmConstants';
 
 /** What the issuer needs of its VM. */
 export interface VmOrdersOptions {
@@ -60,7 +60,7 @@
 
   private async report(engine: EngineId): Promise<EngineReport | undefined> {
     try {
-      const status = await this.options.adapterOf(engine)?.status(ENGINE_STATUS_MS);
+      const status = await this.options.adapterOf(engine)?.status(ENGINE_STATUS_TIMEOUT_MS);
       return status && {engine, loaded: status.load.weights, loading: status.loading};
     } catch {
       return undefined;
--- a/packages/stallpaddle-vm/src/__tests__/unit/VmLeaderDuties.test.ts
+++ b/packages/stallpaddle-vm/src/__tests__/unit/VmLeaderDuties.test.ts
@@ -9,7 +9,7 @@
 
 import type {VmGroups} from '../../VmGroups';
 
-import {TIDY_INTERVAL_MS} from '../../VmConstants';
+import {MAINTENANCE_INTERVAL_MS} from '../../VmConstants';
 import {VmLeaderDuties} from '../../VmLeaderDuties';
 
 const LEASE = {chunk: 0, jobId: 'job', until: 1_100, vm: 'vm'};
@@ -57,7 +57,7 @@
   test('is proposed once a lease has run out by the shard’s clock, not by the time of day', async () => {
     const leader = new LeaderUnderTest();
     expect(await leader.look()).toBe(1);
-    leader.wallMs += TIDY_INTERVAL_MS * 10;
+    leader.wallMs += MAINTENANCE_INTERVAL_MS * 10;
     leader.uncountedMs = 99;
     expect(await leader.look()).toBe(0);
     leader.uncountedMs = 100;
@@ -68,8 +68,8 @@
   test('tidies in each interval, also when the time of day jumps back', async () => {
     const leader = new LeaderUnderTest();
     expect(await leader.look()).toBe(1);
-    leader.wallMs -= TIDY_INTERVAL_MS * 10;
-    leader.steadyMs += TIDY_INTERVAL_MS - 1;
+    leader.wallMs -= MAINTENANCE_INTERVAL_MS * 10;
+    leader.steadyMs += MAINTENANCE_INTERVAL_MS - 1;
     expect(await leader.look()).toBe(0);
     leader.steadyMs += 1;
     expect(await leader.look()).toBe(1);
