--- a/packages/stallpaddle-vm/src/Vm.ts
+++ b/packages/stallpaddle-vm/src/Vm.ts
@@ -77,7 +77,7 @@
 /** One VM process; see the module's comment. */
 export class Vm {
   private readonly batch: BatchDispatcher;
-  private readonly beats: VmHeartbeats;
+  private readonly heartbeats: VmHeartbeats;
   private readonly clock = systemClock;
   private configView: ConfigView = UNKNOWN_CONFIG;
   private readonly control: ControlPort;
@@ -91,7 +91,7 @@
   private rpc: RpcServer | undefined;
   private readonly startedAt = systemClock.monotonicMs();
   private stopping = false;
-  private readonly tells: VmOnlineReporter;
+  private readonly onlineReporter: VmOnlineReporter;
   private waitingModels: readonly string[] = [];
 
   private constructor(private readonly parts: VmParts) {
@@ -112,13 +112,13 @@
       all: shards,
       forCustomer: (customer) => shards[shardOfCustomer(customer, shards.length)]!,
     };
-    this.beats = new VmHeartbeats({
+    this.heartbeats = new VmHeartbeats({
       clock: this.clock,
       config: () => this.configView,
       groups,
       loads: () => this.engines.currentLoads(),
       membership: () => membership.state,
-      onConfig: (answer, basis, freshBy) => this.hearConfig(answer, basis, freshBy),
+      onConfig: (response, basis, freshBy) => this.applyHeartbeat(response, basis, freshBy),
       onLoads: (loads) => this.engines.hear(loads),
       onMembership: (event) => membership.step(event),
       peers,
@@ -126,7 +126,7 @@
       settings,
     });
     this.batch = this.createBatch();
-    this.tells = new VmOnlineReporter({
+    this.onlineReporter = new VmOnlineReporter({
       clock: this.clock,
       onRouting: (event) => this.engines.step(event),
       ownerOf: (engine) => this.owners.of(engine),
@@ -196,20 +196,20 @@
       settings.peers.port,
       settings.vmKey,
       (router) =>
-        addPeerService(router, groups, this.beats, (engine, vm, online) =>
-          this.hearTold(engine, vm, online),
+        addPeerService(router, groups, this.heartbeats, (engine, vm, online) =>
+          this.applyOnlineReport(engine, vm, online),
         ),
     );
     await this.gateway.start(settings.callers.host, settings.callers.port);
     const opened = groups?.start().then(() => this.watchControl(groups));
-    this.beats.start();
+    this.heartbeats.start();
     this.engines.start();
     await opened;
     if (groups !== undefined) {
       this.startDuties(groups);
     }
     this.batch.start();
-    this.tells.start();
+    this.onlineReporter.start();
     const {platformListUrl} = settings;
     if (platformListUrl !== undefined) {
       this.loops.push(registerLoop(PLATFORM_POLL_MS, () => this.readPlatform(platformListUrl)));
@@ -221,9 +221,9 @@
   private async close(): Promise<void> {
     await Promise.all(this.loops.map((endLoop) => endLoop()));
     await this.gateway.stop();
-    await this.beats.stop();
+    await this.heartbeats.stop();
     this.engines.stop();
-    this.tells.stop();
+    this.onlineReporter.stop();
     await this.rpc?.stop();
     await this.parts.groups?.close();
     this.parts.peers.close();
@@ -398,12 +398,12 @@
   private onOnlineRouting(event: RoutingEvent): void {
     this.engines.step(event);
     if (event.kind === 'started' || event.kind === 'ended') {
-      this.tells.note(event.engine);
+      this.onlineReporter.reportChange(event.engine);
       this.batch.fill();
     }
   }
 
-  private hearTold(engine: EngineId, vm: VmId, online: number): number {
+  private applyOnlineReport(engine: EngineId, vm: VmId, online: number): number {
     this.engines.step({engine, kind: 'told', online, vm});
     this.batch.fill();
     const view = this.engines.routing.engines.get(engine);
@@ -417,12 +417,12 @@
       this.engines.configure(next.config);
       this.parts.membership.step({facts: this.facts(), kind: 'selfChanged'});
       this.logger.info('A configuration is in force.', {revision: next.revision});
-      this.beats.wake();
+      this.heartbeats.wake();
     }
   }
 
-  private hearConfig(answer: HeartbeatResponse, basis: number, freshBy: number): void {
-    const {config, freshAgeMs, revision, waitingModels} = answer;
+  private applyHeartbeat(response: HeartbeatResponse, basis: number, freshBy: number): void {
+    const {config, freshAgeMs, revision, waitingModels} = response;
     this.waitingModels = waitingModels;
     if (config !== null) {
       this.setConfig(applyConfigUpdate(this.configView, config, basis));
@@ -448,7 +448,7 @@
       let waited = 0;
       groups.ledgerReplicaOf(ledgerGroup(shard))?.registerListener(({runnable}) => {
         if (runnable.size > waited) {
-          this.beats.wake();
+          this.heartbeats.wake();
         }
         waited = runnable.size;
       });
--- a/packages/stallpaddle-vm/src/VmConfigView.ts
+++ b/packages/stallpaddle-vm/src/VmConfigView.ts
@@ -1,56 +1,58 @@
-/**
- * The configuration in force on this VM: only rising revisions, and how fresh it is known to be.
- */
+/** The configuration in force on this VM, and when it was last known to be the latest. */
 import type {MonotonicMs} from 'stallpaddle';
 import type {ConfigChange, FleetConfig} from 'stallpaddle-control';
 
 import {applyChanges, EMPTY_CONFIG} from 'stallpaddle-control';
 import {MAX_CONFIG_AGE_MS} from 'stallpaddle-membership';
 
-/** What is in force, and since when it is known to be the latest. */
+/** The configuration in force; its revision only rises. */
 export interface ConfigView {
   readonly config: FleetConfig;
-  /** Latest time at which the revision was known to be the newest; -Infinity after a start. */
+  /** Last time at which the revision was known to be the latest; -Infinity after a start. */
   readonly freshAt: MonotonicMs;
   readonly revision: number;
 }
 
-/** A VM that has just started. */
+/** The view of a VM that has just started. */
 export const UNKNOWN_CONFIG: ConfigView = {
   config: EMPTY_CONFIG,
   freshAt: -Infinity,
   revision: 0,
 };
 
-/** What another VM told of the configuration. */
+/** A configuration update from another VM. */
 export interface ConfigUpdate {
   readonly changes: readonly ConfigChange[];
   /** Revision that the changes lead to. */
   readonly revision: number;
-  /** The changes build the configuration from nothing. */
+  /** The changes build the whole configuration, from an empty one. */
   readonly whole: boolean;
 }
 
 /**
- * Takes over news. An older or equal revision changes nothing.
+ * Applies an update. Ignores one that is not newer, or whose changes start from another revision.
  *
- * @param view what is in force
- * @param news what was told
+ * @param view the configuration in force
+ * @param update the update
  * @param basis revision that the changes start from
  */
-export function applyConfigUpdate(view: ConfigView, news: ConfigUpdate, basis: number): ConfigView {
-  if (news.revision <= view.revision || (!news.whole && basis !== view.revision)) {
+export function applyConfigUpdate(
+  view: ConfigView,
+  update: ConfigUpdate,
+  basis: number,
+): ConfigView {
+  if (update.revision <= view.revision || (!update.whole && basis !== view.revision)) {
     return view;
   }
-  const base = news.whole ? EMPTY_CONFIG : view.config;
-  return {...view, config: applyChanges(base, news.changes), revision: news.revision};
+  const base = update.whole ? EMPTY_CONFIG : view.config;
+  return {...view, config: applyChanges(base, update.changes), revision: update.revision};
 }
 
 /**
- * Takes over a whole configuration from this VM's own replica.
+ * Replaces the configuration by that of this VM's own replica, if it is newer.
  *
- * @param view what is in force
- * @param config configuration as applied
+ * @param view the configuration in force
+ * @param config the replica's configuration
  * @param revision its revision
  */
 export function replaceConfig(view: ConfigView, config: FleetConfig, revision: number): ConfigView {
@@ -58,10 +60,10 @@
 }
 
 /**
- * Notes that a revision was the newest at some time.
+ * Records when the revision in force was known to be the latest; ignores newer revisions.
  *
- * @param view what is in force
- * @param revision the newest revision at that time
+ * @param view the configuration in force
+ * @param revision the latest revision at that time
  * @param at that time, on this VM's clock
  */
 export function noteFresh(view: ConfigView, revision: number, at: MonotonicMs): ConfigView {
@@ -69,9 +71,9 @@
 }
 
 /**
- * Whether the configuration is fresh enough to take new work on.
+ * Whether the configuration is fresh enough to accept new work.
  *
- * @param view what is in force
+ * @param view the configuration in force
  * @param now monotonic time
  */
 export function isFresh(view: ConfigView, now: MonotonicMs): boolean {
--- a/packages/stallpaddle-vm/src/VmConstants.ts
+++ b/packages/stallpaddle-vm/src/VmConstants.ts
@@ -1,64 +1,61 @@
-/**
- * Times of the VM process, in milliseconds unless said otherwise.
- */
+/** Timeouts and intervals of the VM process, in milliseconds unless stated otherwise. */
 
-/** Name of the control group. */
 export const CONTROL_GROUP = 'control';
 
-/** How long a call to a group is tried before it is refused. */
+/** Total time for a call to a group, over all attempts. */
 export const GROUP_CALL_TIMEOUT_MS = 5_000;
 
-/** Longest single try of a call to a group. */
+/** Timeout of one attempt of a call to a group. */
 export const GROUP_TRY_TIMEOUT_MS = 1_500;
 
-/** Pause before the next try. */
+/** Pause before the next attempt. */
 export const GROUP_RETRY_MS = 30;
 
-/** How long a VM with a disk holds a beat while it has nothing new to tell. */
+/** How long a VM with a disk holds the response to a heartbeat while nothing changes. */
 export const HEARTBEAT_HOLD_MS = 500;
 
-/** Longest beat, after which another VM is asked. */
+/** Timeout of a heartbeat call, after which the next VM is called. */
 export const HEARTBEAT_CALL_TIMEOUT_MS = 1_200;
 
-/** Shortest time between a VM's beats. */
+/** Minimum time between two heartbeats of a VM. */
 export const HEARTBEAT_PAUSE_MS = 50;
 
-/** Time between an owner's looks at its engines. */
+/** Interval at which a VM polls the engines that it owns. */
 export const ENGINE_POLL_MS = 150;
 
-/** Longest wait for an engine's report. */
+/** Timeout of an engine's status call. */
 export const ENGINE_STATUS_TIMEOUT_MS = 500;
 
-/** Age of a load report that is not passed on any more. */
+/** Age from which a load report is no longer forwarded. */
 export const LOAD_TTL_MS = 3_000;
 
-/** Time between looks at engines' targets. */
+/** Interval at which engines are reconciled with the configuration. */
 export const ORDERS_INTERVAL_MS = 500;
 
-/** What a new issuer waits before it orders engines that check no fencing number: the old one's
- * lease and its longest send. */
+/** How long a new leader waits before it sends orders to engines that check no fencing token:
+ * covers the previous leader's lease and its longest send. */
 export const ORDER_TAKEOVER_MS = 3_000;
 
-/** Time between looks at what leaders have to do on their own. */
+/** Interval of the leader duties. */
 export const DUTIES_INTERVAL_MS = 200;
 
-/** Time between looks for old uploads and call records in each shard. */
+/** Interval at which each shard drops expired uploads and call records. */
 export const MAINTENANCE_INTERVAL_MS = 60_000;
 
-/** Time between tries to found a group. */
+/** Pause between attempts to initialize a group. */
 export const INITIALIZE_RETRY_MS = 100;
 
-/** Time between looks at replacements of replicas. */
+/** Interval at which replica replacements are advanced. */
 export const REPLACE_INTERVAL_MS = 300;
 
-/** Time between looks at the platform's list. */
+/** Interval at which the platform's list of VMs is read. */
 export const PLATFORM_POLL_MS = 1_000;
 
-/** Longest read of the platform's list. */
+/** Timeout for reading the platform's list of VMs. */
 export const PLATFORM_TIMEOUT_MS = 2_000;
 
-/** Time after which online streams on an engine are told again. */
+/** Interval at which the count of online streams on an engine is reported again. */
 export const ONLINE_REPORT_INTERVAL_MS = 700;
 
-/** Longest call that tells of online streams. */
+/** Timeout of a report of online streams. */
 export const ONLINE_REPORT_TIMEOUT_MS = 300;
--- a/packages/stallpaddle-vm/src/VmService.ts
+++ b/packages/stallpaddle-vm/src/VmService.ts
@@ -1,6 +1,4 @@
-/**
- * What this VM answers to other VMs.
- */
+/** The service that this VM offers to other VMs. */
 import type {ConnectRouter} from '@connectrpc/connect';
 import type {EngineId, VmId} from 'stallpaddle';
 
@@ -25,14 +23,14 @@
  *
  * @param router the server's router
  * @param groups this VM's replicas; undefined without a disk
- * @param beats answers beats
- * @param hearTold takes in another VM's online streams on an engine, and returns those of all VMs
+ * @param heartbeats responds to heartbeats
+ * @param applyOnlineReport records another VM's online streams on an engine; returns the total
  */
 export function addPeerService(
   router: ConnectRouter,
   groups: VmGroups | undefined,
-  beats: VmHeartbeats,
-  hearTold: (engine: EngineId, vm: VmId, online: number) => number,
+  heartbeats: VmHeartbeats,
+  applyOnlineReport: (engine: EngineId, vm: VmId, online: number) => number,
 ): void {
   const receiver = new SnapshotReceiver();
   const replicaOf = (group: string) => {
@@ -43,14 +41,16 @@
     return replica;
   };
   router.service(PeerService, {
-    beat: async ({encoded}) => ({encoded: await beats.answer(encoded)}),
+    beat: async ({encoded}) => ({encoded: await heartbeats.respond(encoded)}),
     call: async ({encoded, group, query}) => ({
       outcome: encodeOutcome(await callLocal(groups, group, encoded, query)),
     }),
     deliver: async (requests) => {
-      const join = new RpcReassembler();
+      const reassembler = new RpcReassembler();
       for await (const request of requests) {
-        completeMessages(request, join).forEach((bytes) => groups?.receive(decodeValue(bytes)));
+        completeMessages(request, reassembler).forEach((bytes) =>
+          groups?.receive(decodeValue(bytes)),
+        );
       }
       return {};
     },
@@ -63,6 +63,6 @@
     readBlob: async ({group, length, offset}) => ({
       payload: await replicaOf(group).readBlob({length, offset: Number(offset)}),
     }),
-    tell: ({engine, online, vm}) => ({online: hearTold(engine, vm, online)}),
+    tell: ({engine, online, vm}) => ({online: applyOnlineReport(engine, vm, online)}),
   });
 }
--- a/packages/stallpaddle-vm/src/__tests__/unit/VmConfigView.test.ts
+++ b/packages/stallpaddle-vm/src/__tests__/unit/VmConfigView.test.ts
@@ -1,6 +1,4 @@
-/**
- * The configuration in force on a VM: only rising revisions, and the bound on its age.
- */
+/** Guards against a revision that goes back or skips a change, and against a stale configuration. */
 import type {ConfigChange} from 'stallpaddle-control';
 
 import fc from 'fast-check';
@@ -14,22 +12,22 @@
   return {key: `vm-${revision}`, record: {draining: true}, table: 'vms'};
 }
 
-/** News that lead from one revision to another. */
-function newsFrom(basis: number, revision: number) {
+/** An update from one revision to another. */
+function updateFrom(basis: number, revision: number) {
   const first = basis === 0 ? 1 : basis + 1;
   const changes = Array.from({length: revision - first + 1}, (_, index) => changeOf(first + index));
   return {changes, revision, whole: basis === 0};
 }
 
-describe('applyNews', () => {
+describe('applyConfigUpdate', () => {
   test(
-    'never goes back, never skips a change, in whatever order news come',
+    'never goes back and never skips a change, whatever order updates arrive in',
     async () => {
       const item = fc.record({basis: fc.nat({max: 8}), length: fc.integer({max: 4, min: 1})});
       const property = fc.property(fc.array(item, {maxLength: 30}), (items) => {
         let view = UNKNOWN_CONFIG;
         for (const {basis, length} of items) {
-          const next = applyConfigUpdate(view, newsFrom(basis, basis + length), basis);
+          const next = applyConfigUpdate(view, updateFrom(basis, basis + length), basis);
           expect(next.revision).toBeGreaterThanOrEqual(view.revision);
           view = next;
           const expected = Array.from({length: view.revision}, (_, index) => `vm-${index + 1}`);
@@ -43,8 +41,8 @@
 });
 
 describe('noteFresh', () => {
-  test('counts a sign of freshness only for the revision that is in force', () => {
-    const view = applyConfigUpdate(UNKNOWN_CONFIG, newsFrom(0, 3), 0);
+  test('confirms only the revision in force', () => {
+    const view = applyConfigUpdate(UNKNOWN_CONFIG, updateFrom(0, 3), 0);
     expect(isFresh(view, 0)).toBe(false);
     expect(isFresh(noteFresh(view, 4, 100), 100)).toBe(false);
     const fresh = noteFresh(view, 3, 100);
