--- a/packages/stallpaddle-vm/src/Vm.ts
+++ b/packages/stallpaddle-vm/src/Vm.ts
@@ -1,6 +1,4 @@
-/**
- * One VM process: all parts put together, started and stopped in order.
- */
+/** The VM process. */
 import type {EngineId, GroupId, Logger, LoggerFactory, RefusalError, VmId} from 'stallpaddle';
 import type {ControlPort} from 'stallpaddle-control';
 import type {LedgerPorts} from 'stallpaddle-ledger';
@@ -53,13 +51,13 @@
 import {addPeerService} from './VmService';
 import {describeStatus} from './VmStatus';
 
-/** Time for the news that this VM leaves to reach callers: addresses live two seconds. */
-const LEAVE_SPREAD_MS = 2_500;
+/** Time until callers know that this VM leaves, in milliseconds: they cache addresses for two seconds. */
+const LEAVE_PROPAGATION_MS = 2_500;
 
-/** Longest wait after a start for a first word of the engines, in milliseconds. */
+/** Longest wait after a start for a first load report of engines, in milliseconds. */
 const WARM_UP_MS = 3_000;
 
-/** Parts of a VM that its constructor is given. */
+/** Components that are created before the VM. */
 interface VmParts {
   readonly groups: VmGroups | undefined;
   readonly loggers: LoggerFactory;
@@ -68,13 +66,13 @@
   readonly settings: VmSettings;
 }
 
-function firstFacts(settings: VmSettings): VmMetadata {
+function initialMetadata(settings: VmSettings): VmMetadata {
   const {callers, disk, peers, vm, zone} = settings;
   const hasDisk = disk !== undefined;
   return {callers, epoch: Date.now(), hasDisk, leaving: false, peers, revision: 0, vm, zone};
 }
 
-/** One VM process; see the module's comment. */
+/** Assembles the components of one VM, and starts and stops them in order. */
 export class Vm {
   private readonly batch: BatchDispatcher;
   private readonly heartbeats: VmHeartbeats;
@@ -98,9 +96,9 @@
     const {groups, loggers, membership, peers, settings} = parts;
     this.logger = loggers('vm');
     this.owners = new VmOwners({
+      activeVms: () => activeVms(membership.state, this.clock.monotonicMs()).map(({vm}) => vm),
       clock: this.clock,
       config: () => this.configView.config,
-      stayingVms: () => activeVms(membership.state, this.clock.monotonicMs()).map(({vm}) => vm),
       vm: settings.vm,
     });
     this.engines = new VmEngines(this.clock, () => this.owners.own);
@@ -119,10 +117,10 @@
       loads: () => this.engines.currentLoads(),
       membership: () => membership.state,
       onConfig: (response, basis, freshBy) => this.applyHeartbeat(response, basis, freshBy),
-      onLoads: (loads) => this.engines.hear(loads),
+      onLoads: (loads) => this.engines.applyLoads(loads),
       onMembership: (event) => membership.step(event),
       peers,
-      self: () => this.facts(),
+      self: () => this.metadata(),
       settings,
     });
     this.batch = this.createBatch();
@@ -138,11 +136,11 @@
   }
 
   /**
-   * Starts a VM: it serves nothing before it has a fresh configuration.
+   * Starts a VM. It refuses requests until it has a fresh configuration.
    *
-   * @param settings checked settings
-   * @param loggers makes the parts' loggers
-   * @param onFailure called when the process must end: a replica's disk is in doubt
+   * @param settings validated settings
+   * @param loggers creates a logger per component
+   * @param onFailure called if the process must exit because a replica can no longer trust its disk
    */
   static async start(
     settings: VmSettings,
@@ -150,7 +148,7 @@
     onFailure: (err: unknown) => void,
   ): Promise<Vm> {
     const clock = systemClock;
-    const membership = new VmMembership(clock, firstFacts(settings));
+    const membership = new VmMembership(clock, initialMetadata(settings));
     const peers = new VmPeers(settings, () => membership.state);
     let groups: VmGroups | undefined;
     if (settings.disk !== undefined) {
@@ -164,25 +162,25 @@
     return vm;
   }
 
-  /** Stops as planned: nothing open is cut off within the drain time. */
+  /** Stops as planned: open requests may finish within the drain time. */
   async stop(): Promise<void> {
     const {groups, membership, settings} = this.parts;
     this.stopping = true;
-    this.logger.info('The VM leaves.', {waitsMostMs: settings.limits.drainMs});
-    membership.step({facts: this.facts(), kind: 'selfChanged'});
+    this.logger.info('The VM is stopping.', {waitsMostMs: settings.limits.drainMs});
+    membership.step({facts: this.metadata(), kind: 'selfChanged'});
     const startedAt = this.clock.monotonicMs();
     const batchStopped = this.batch.stop().catch((err: unknown) => {
-      this.logger.warn('Leases could not be given back.', {reason: errorMessage(err)});
+      this.logger.warn('Failed to return batch leases.', {reason: errorMessage(err)});
     });
     groups?.transferLeadership();
     const drained = waitForRequests({
       clock: this.clock,
       closeIdle: () => this.gateway.closeIdle(),
       logger: this.logger,
-      mostMs: settings.limits.drainMs,
+      maxMs: settings.limits.drainMs,
       openRequests: () => this.gateway.openRequests,
     });
-    await Promise.all([drained, batchStopped, delay(LEAVE_SPREAD_MS)]);
+    await Promise.all([drained, batchStopped, delay(LEAVE_PROPAGATION_MS)]);
     await this.close();
     this.logger.info('The VM has stopped.', {
       tookMs: Math.round(this.clock.monotonicMs() - startedAt),
@@ -214,12 +212,12 @@
     if (platformListUrl !== undefined) {
       this.loops.push(registerLoop(PLATFORM_POLL_MS, () => this.readPlatform(platformListUrl)));
     }
-    membership.step({facts: this.facts(), kind: 'selfChanged'});
+    membership.step({facts: this.metadata(), kind: 'selfChanged'});
     this.logger.info('The VM has started.', {vm: settings.vm, zone: settings.zone});
   }
 
   private async close(): Promise<void> {
-    await Promise.all(this.loops.map((endLoop) => endLoop()));
+    await Promise.all(this.loops.map((stopLoop) => stopLoop()));
     await this.gateway.stop();
     await this.heartbeats.stop();
     this.engines.stop();
@@ -290,7 +288,7 @@
     });
   }
 
-  /** What this VM does for the groups that it leads. */
+  /** Starts the periodic work for the groups that this VM leads. */
   private startDuties(groups: VmGroups): void {
     const {loggers, settings} = this.parts;
     const {clock, control} = this;
@@ -318,9 +316,9 @@
       replacements: () => [...this.configView.config.replacements],
     });
     this.loops.push(
-      registerLoop(DUTIES_INTERVAL_MS, () => duties.look()),
-      registerLoop(ORDERS_INTERVAL_MS, () => orders.look()),
-      registerLoop(REPLACE_INTERVAL_MS, () => replacements.look()),
+      registerLoop(DUTIES_INTERVAL_MS, () => duties.check()),
+      registerLoop(ORDERS_INTERVAL_MS, () => orders.check()),
+      registerLoop(REPLACE_INTERVAL_MS, () => replacements.check()),
     );
   }
 
@@ -338,7 +336,7 @@
     });
   }
 
-  private facts(): VmMetadata {
+  private metadata(): VmMetadata {
     const {membership, settings} = this.parts;
     const known = membership.state.entries.get(settings.vm)!.facts;
     return {...known, leaving: this.isLeaving(), revision: this.configView.revision};
@@ -353,7 +351,7 @@
     );
   }
 
-  /** The configuration with its freshness; the control group's leader needs to ask nobody. */
+  /** The configuration and its freshness, which the control group's leader can confirm itself. */
   private currentConfig(): ConfigView {
     const replica = this.parts.groups?.controlReplica;
     if (replica?.leads === true) {
@@ -365,7 +363,7 @@
 
   private refusal(): RefusalError | undefined {
     if (this.isLeaving()) {
-      return refuse('leaving', `VM ${this.parts.settings.vm} leaves; ask another one`, {
+      return refuse('leaving', `VM ${this.parts.settings.vm} leaves the fleet; call another VM`, {
         retryAfterMs: 0,
       });
     }
@@ -376,25 +374,27 @@
       });
     }
     if (this.isWarmingUp()) {
-      return refuse('stale', 'the engines are not known here yet', {retryAfterMs: WARM_UP_MS / 10});
+      return refuse('stale', 'this VM has no load report of the engines yet', {
+        retryAfterMs: WARM_UP_MS / 10,
+      });
     }
     return undefined;
   }
 
-  /** Just started: some service has engines, and none of them has been heard of yet. */
+  /** Whether the VM has just started and has no load report of any engine of some service. */
   private isWarmingUp(): boolean {
     if (this.clock.monotonicMs() - this.startedAt > WARM_UP_MS) {
       return false;
     }
     const {config} = this.configView;
     const {engines} = this.engines.routing;
-    const isHeard = (engine: string): boolean => Number.isFinite(engines.get(engine)?.loadAt);
+    const hasReport = (engine: string): boolean => Number.isFinite(engines.get(engine)?.loadAt);
     return [...config.services.keys()]
       .map((service) => currentEngines(config, service))
-      .some((serving) => serving.length > 0 && !serving.some(isHeard));
+      .some((serving) => serving.length > 0 && !serving.some(hasReport));
   }
 
-  /** Online streams changed here: batch work on the engine must know at once. */
+  /** Applies an event of online requests; batch work must adapt to changed online streams at once. */
   private onOnlineRouting(event: RoutingEvent): void {
     this.engines.step(event);
     if (event.kind === 'started' || event.kind === 'ended') {
@@ -415,8 +415,8 @@
     this.configView = next;
     if (changed) {
       this.engines.configure(next.config);
-      this.parts.membership.step({facts: this.facts(), kind: 'selfChanged'});
-      this.logger.info('A configuration is in force.', {revision: next.revision});
+      this.parts.membership.step({facts: this.metadata(), kind: 'selfChanged'});
+      this.logger.info('A new configuration is in force.', {revision: next.revision});
       this.heartbeats.wake();
     }
   }
@@ -433,24 +433,24 @@
   }
 
   private watchControl(groups: VmGroups): void {
-    const take = (): void => {
+    const applyState = (): void => {
       const state = groups.controlReplica!.localState;
       this.setConfig(replaceConfig(this.configView, state.config, state.revision));
     };
-    groups.controlReplica!.registerListener(take);
-    take();
-    this.wakeForNewWork(groups);
+    groups.controlReplica!.registerListener(applyState);
+    applyState();
+    this.wakeOnWaitingItems(groups);
   }
 
-  /** Other VMs hear at once when batch items begin to wait. */
-  private wakeForNewWork(groups: VmGroups): void {
+  /** Sends held heartbeat responses as soon as more models have waiting batch items. */
+  private wakeOnWaitingItems(groups: VmGroups): void {
     for (let shard = 0; shard < this.parts.settings.ledgerShards; shard++) {
-      let waited = 0;
+      let waitingModels = 0;
       groups.ledgerReplicaOf(ledgerGroup(shard))?.registerListener(({runnable}) => {
-        if (runnable.size > waited) {
+        if (runnable.size > waitingModels) {
           this.heartbeats.wake();
         }
-        waited = runnable.size;
+        waitingModels = runnable.size;
       });
     }
   }
@@ -460,7 +460,7 @@
       const leaving = await readPlatformList(url);
       this.parts.membership.step({kind: 'platformListed', leaving});
     } catch (err) {
-      this.logger.warn("The platform's list can't be read.", {reason: errorMessage(err)});
+      this.logger.warn("Failed to read the platform's list of VMs.", {reason: errorMessage(err)});
     }
   }
 }
--- a/packages/stallpaddle-vm/src/VmDrain.ts
+++ b/packages/stallpaddle-vm/src/VmDrain.ts
@@ -1,44 +1,44 @@
-/**
- * Waits for open requests before a planned stop, and says what it still waits for.
- */
+/** Waiting for open requests before a planned stop. */
 import type {Clock, Logger} from 'stallpaddle';
 
 import {delay} from 'stallpaddle';
 
-const LOOK_MS = 50;
-const TELL_MS = 2_000;
+const POLL_MS = 50;
+const LOG_INTERVAL_MS = 2_000;
 
-/** What the wait looks at. */
+/** Inputs of the wait. */
 export interface DrainOptions {
   readonly clock: Clock;
-  /** Closes connections on which nothing is open. */
+  /** Closes idle connections. */
   readonly closeIdle: () => void;
   readonly logger: Logger;
   /** Longest wait, in milliseconds. */
-  readonly mostMs: number;
+  readonly maxMs: number;
   readonly openRequests: () => number;
 }
 
 /**
- * Waits until no request is open, or the time is over.
+ * Waits until no request is open or the drain time has passed.
  *
- * @param options what the wait looks at
+ * @param options inputs of the wait
  */
 export async function waitForRequests(options: DrainOptions): Promise<void> {
-  const {clock, closeIdle, logger, mostMs, openRequests} = options;
+  const {clock, closeIdle, logger, maxMs, openRequests} = options;
   const startedAt = clock.monotonicMs();
-  let toldAt = startedAt;
+  let loggedAt = startedAt;
   while (openRequests() > 0) {
     const now = clock.monotonicMs();
-    if (now - startedAt >= mostMs) {
-      logger.warn('The drain time is over.', {cutOff: openRequests()});
+    if (now - startedAt >= maxMs) {
+      logger.warn('The drain time has passed; open requests will be cut off.', {
+        cutOff: openRequests(),
+      });
       return;
     }
-    if (now - toldAt >= TELL_MS) {
-      toldAt = now;
-      logger.info('The VM still waits.', {openRequests: openRequests()});
+    if (now - loggedAt >= LOG_INTERVAL_MS) {
+      loggedAt = now;
+      logger.info('The VM is waiting for open requests.', {openRequests: openRequests()});
     }
     closeIdle();
-    await delay(LOOK_MS);
+    await delay(POLL_MS);
   }
 }
--- a/packages/stallpaddle-vm/src/VmEngines.ts
+++ b/packages/stallpaddle-vm/src/VmEngines.ts
@@ -1,6 +1,4 @@
-/**
- * Engines as this VM reaches them: adapters, load reports, the routing view.
- */
+/** Engines as this VM sees them. */
 import type {Clock, EngineId} from 'stallpaddle';
 import type {FleetConfig, PlainServer} from 'stallpaddle-control';
 import type {EngineAdapter} from 'stallpaddle-engine';
@@ -12,7 +10,7 @@
 
 import {ENGINE_POLL_MS, ENGINE_STATUS_TIMEOUT_MS, LOAD_TTL_MS} from './VmConstants';
 
-const TENTHS = 10;
+const TENTHS_PER_MS = 10;
 
 interface KnownEngine {
   readonly adapter: HttpEngine;
@@ -24,30 +22,30 @@
   readonly tuple: EngineLoadTuple;
 }
 
-/** All engines of one VM's view. */
+/** Holds the engines' adapters, their load reports and the routing state, and polls the engines that this VM owns. */
 export class VmEngines {
   private readonly engines = new Map<EngineId, KnownEngine>();
   private readonly loads = new Map<EngineId, KnownLoad>();
-  private readonly plain = new Map<string, HttpEngine>();
+  private readonly plainServers = new Map<string, HttpEngine>();
   private polling = new Set<EngineId>();
   private state: RoutingState = EMPTY_ROUTING;
   private timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param clock times
-   * @param owned engines whose load this VM asks for
+   * @param clock clock that times reports and events
+   * @param owned the engines that this VM polls
    */
   constructor(
     private readonly clock: Clock,
     private readonly owned: () => readonly EngineId[],
   ) {}
 
-  /** This VM's view of the engines. */
+  /** The routing state of the engines. */
   get routing(): RoutingState {
     return this.state;
   }
 
-  /** Starts to ask owned engines for their load. */
+  /** Starts to poll the owned engines for their load. */
   start(): void {
     this.timer = setInterval(() => {
       for (const engine of this.owned()) {
@@ -56,15 +54,15 @@
     }, ENGINE_POLL_MS);
   }
 
-  /** Ends the asking. */
+  /** Stops polling. */
   stop(): void {
     clearInterval(this.timer);
   }
 
   /**
-   * Takes over a configuration.
+   * Applies a configuration.
    *
-   * @param config configuration in force
+   * @param config the configuration in force
    */
   configure(config: FleetConfig): void {
     for (const [engine, {host, port}] of config.engines) {
@@ -89,7 +87,7 @@
   }
 
   /**
-   * Takes in an event of the routing view.
+   * Applies an event to the routing state.
    *
    * @param event what happened
    */
@@ -98,7 +96,7 @@
   }
 
   /**
-   * Adapter of an engine, or undefined when the configuration doesn't name it.
+   * Returns the adapter of an engine, or undefined if the configuration lacks it.
    *
    * @param engine the engine
    */
@@ -107,18 +105,18 @@
   }
 
   /**
-   * Adapter of a plain service's server.
+   * Returns the adapter of a plain service's backend server.
    *
-   * @param server its address
+   * @param server the server's address
    */
   plainAdapterOf({host, port}: PlainServer): EngineAdapter {
     const address = `${host} ${port}`;
-    const known = this.plain.get(address) ?? new HttpEngine(host, port);
-    this.plain.set(address, known);
+    const known = this.plainServers.get(address) ?? new HttpEngine(host, port);
+    this.plainServers.set(address, known);
     return known;
   }
 
-  /** Loads to tell other VMs, with their present age. */
+  /** Load reports to send to other VMs, with their current age. */
   currentLoads(): readonly EngineLoadTuple[] {
     const now = this.clock.monotonicMs();
     return [...this.loads.values()]
@@ -135,18 +133,18 @@
   }
 
   /**
-   * Takes in loads that another VM told.
+   * Applies load reports from another VM; older ones than those known are ignored.
    *
-   * @param loads the loads
+   * @param loads the reports
    */
-  hear(loads: readonly EngineLoadTuple[]): void {
+  applyLoads(loads: readonly EngineLoadTuple[]): void {
     const now = this.clock.monotonicMs();
     for (const tuple of loads) {
       const [engine, , , , , ageMs] = tuple;
       const known = this.loads.get(engine);
       const at = now - ageMs;
       if (known === undefined || at > known.at) {
-        this.take(tuple, at);
+        this.applyLoad(tuple, at);
       }
     }
   }
@@ -157,12 +155,12 @@
       return;
     }
     this.polling.add(engine);
-    const askedAt = this.clock.monotonicMs();
+    const sentAt = this.clock.monotonicMs();
     try {
       const {load} = await adapter.status(ENGINE_STATUS_TIMEOUT_MS);
       const {batch, online, queued, tokenMs, weights} = load;
-      const tenths = Math.round(tokenMs * TENTHS);
-      this.take([engine, online, batch, queued, tenths, 0, weights], askedAt);
+      const tenths = Math.round(tokenMs * TENTHS_PER_MS);
+      this.applyLoad([engine, online, batch, queued, tenths, 0, weights], sentAt);
     } catch {
       this.step({engine, kind: 'unreachable'});
     } finally {
@@ -170,14 +168,14 @@
     }
   }
 
-  private take(tuple: EngineLoadTuple, at: number): void {
+  private applyLoad(tuple: EngineLoadTuple, at: number): void {
     const [engine, online, batch, queued, tokenTenthsMs, , weights] = tuple;
     this.loads.set(engine, {at, tuple});
     this.step({
       ageMs: this.clock.monotonicMs() - at,
       engine,
       kind: 'loadHeard',
-      load: {batch, online, queued, tokenMs: tokenTenthsMs / TENTHS, weights},
+      load: {batch, online, queued, tokenMs: tokenTenthsMs / TENTHS_PER_MS, weights},
     });
   }
 }
--- a/packages/stallpaddle-vm/src/VmFirstConfig.ts
+++ b/packages/stallpaddle-vm/src/VmFirstConfig.ts
@@ -1,15 +1,13 @@
-/**
- * First configuration of a new fleet, from the settings.
- */
+/** First configuration of a new fleet, from the settings. */
 import type {ConfigChange} from 'stallpaddle-control';
 import type {VmSettings} from 'stallpaddle-settings';
 
 import {applyChanges, configToChanges, EMPTY_CONFIG} from 'stallpaddle-control';
 
 /**
- * The changes that make the first configuration.
+ * Returns the changes that build the first configuration.
  *
- * @param settings checked settings
+ * @param settings validated settings
  */
 export function firstChanges({firstConfiguration}: VmSettings): readonly ConfigChange[] {
   const {customers, engines, services} = firstConfiguration;
--- a/packages/stallpaddle-vm/src/VmGroupClient.ts
+++ b/packages/stallpaddle-vm/src/VmGroupClient.ts
@@ -1,6 +1,4 @@
-/**
- * Calls to a group from any VM: finds the leader, and tries again while that can do no harm.
- */
+/** Calls to a replication group from any VM. */
 import type {Clock, GroupId, VmId} from 'stallpaddle';
 import type {ControlCommandResult, ControlPort} from 'stallpaddle-control';
 import type {LedgerAnswer, LedgerPort} from 'stallpaddle-ledger';
@@ -14,23 +12,23 @@
 
 import {GROUP_CALL_TIMEOUT_MS, GROUP_RETRY_MS, GROUP_TRY_TIMEOUT_MS} from './VmConstants';
 
-/** What a client needs of its VM. */
+/** Dependencies of a group client. */
 export interface VmGroupClientOptions {
   readonly clock: Clock;
-  /** Replicas on this VM's disk, if it has one. */
+  /** The replicas on this VM's disk, if it has one. */
   readonly groups: VmGroups | undefined;
   readonly peers: VmPeers;
-  /** VMs that may hold replicas, nearest first. */
+  /** VMs that may hold replicas, in the order in which they are tried. */
   readonly replicaVms: (group: GroupId) => readonly VmId[];
   readonly vm: VmId;
 }
 
-/** Client of one group. Commands must be such that a doubled one does no harm. */
+/** Finds the leader of one group, and retries calls. Commands must be idempotent, since a retry may repeat them. */
 export class VmGroupClient {
   private leader: VmId | null = null;
 
   /**
-   * @param options what it needs of its VM
+   * @param options dependencies
    * @param group the group
    */
   constructor(
@@ -39,11 +37,11 @@
   ) {}
 
   /**
-   * Proposes a command or asks a question.
+   * Proposes a command or runs a query.
    *
-   * @param value command or question
-   * @param query whether it is a question
-   * @throws {RefusalError} `unavailable` when no leader answers in time
+   * @param value command or query
+   * @param query whether it is a query
+   * @throws {RefusalError} `unavailable` if no leader responds in time
    */
   async call(value: unknown, query: boolean): Promise<unknown> {
     const encoded = encodeValue(value);
@@ -51,7 +49,7 @@
     let mayBeCommitted = false;
     for (let attempt = 0; this.options.clock.monotonicMs() < deadline; attempt++) {
       const vm = this.leader ?? this.nextVm(attempt);
-      const outcome = await this.tryAt(vm, encoded, query);
+      const outcome = await this.tryOn(vm, encoded, query);
       switch (outcome.kind) {
         case 'answered':
           this.leader = vm;
@@ -73,9 +71,9 @@
   }
 
   /**
-   * Reads bulk data from this VM's replica or any other.
+   * Reads a blob from this VM's replica or any other.
    *
-   * @param ref its place
+   * @param ref location of the blob
    */
   async readBlob(ref: BlobRef): Promise<Uint8Array> {
     const local = this.options.groups?.replicaOf(this.group);
@@ -90,17 +88,17 @@
     for (const vm of vms) {
       try {
         const request = {group: this.group, length: ref.length, offset: BigInt(ref.offset)};
-        const answer = await this.options.peers
+        const response = await this.options.peers
           .clientOf(vm)
           ?.readBlob(request, {timeoutMs: GROUP_TRY_TIMEOUT_MS});
-        if (answer !== undefined) {
-          return answer.payload;
+        if (response !== undefined) {
+          return response.payload;
         }
       } catch {
-        // The next replica may have it.
+        // Tries the next replica.
       }
     }
-    throw new RefusalError('unavailable', 'notRun', 'no replica can read the data now', {
+    throw new RefusalError('unavailable', 'notRun', 'no replica could read the data', {
       retryAfterMs: 1000,
     });
   }
@@ -110,7 +108,7 @@
     return vms[attempt % Math.max(1, vms.length)] ?? this.options.vm;
   }
 
-  private tryAt(vm: VmId, encoded: Uint8Array, query: boolean): Promise<TryOutcome> {
+  private tryOn(vm: VmId, encoded: Uint8Array, query: boolean): Promise<TryOutcome> {
     return vm === this.options.vm
       ? callLocal(this.options.groups, this.group, encoded, query)
       : tryRemote(
@@ -122,12 +120,12 @@
 }
 
 /**
- * Calls a replica of this VM.
+ * Calls the group's replica on this VM.
  *
- * @param groups this VM's replicas
+ * @param groups the replicas on this VM's disk
  * @param group the group
- * @param encoded command or question
- * @param query whether it is a question
+ * @param encoded command or query
+ * @param query whether it is a query
  */
 export async function callLocal(
   groups: VmGroups | undefined,
@@ -143,7 +141,7 @@
 }
 
 /**
- * A ledger shard through a client.
+ * Adapts a client to the port of a ledger shard.
  *
  * @param client client of the shard's group
  */
@@ -156,7 +154,7 @@
 }
 
 /**
- * The control group through a client.
+ * Adapts a client to the port of the control group.
  *
  * @param client client of the control group
  */
--- a/packages/stallpaddle-vm/src/VmGroups.ts
+++ b/packages/stallpaddle-vm/src/VmGroups.ts
@@ -1,6 +1,4 @@
-/**
- * The replicas that this VM's disk holds: founding, running, installing.
- */
+/** The replicas on this VM's disk. */
 import type {Clock, GroupId, Logger, ReplicaId, VmId} from 'stallpaddle';
 import type {ControlState} from 'stallpaddle-control';
 import type {LedgerState} from 'stallpaddle-ledger';
@@ -20,11 +18,11 @@
 
 import {CONTROL_GROUP, GROUP_TRY_TIMEOUT_MS, INITIALIZE_RETRY_MS} from './VmConstants';
 
-/** A replica of any group, as far as the VM handles all alike. */
+/** A replica of any group. */
 export type AnyReplica = ReplicaDriver<ControlState> | ReplicaDriver<LedgerState>;
 
 /**
- * Name of a ledger shard's group.
+ * Returns the name of a ledger shard's group.
  *
  * @param shard number of the shard, from 0
  */
@@ -33,7 +31,7 @@
 }
 
 /**
- * Names of all groups.
+ * Returns the names of all groups.
  *
  * @param shards number of ledger shards
  */
@@ -41,7 +39,7 @@
   return [CONTROL_GROUP, ...Array.from({length: shards}, (_, shard) => ledgerGroup(shard))];
 }
 
-/** What the groups need of the VM. */
+/** Dependencies of the groups. */
 export interface VmGroupsOptions {
   readonly clock: Clock;
   readonly logger: Logger;
@@ -51,15 +49,15 @@
   readonly settings: VmSettings;
 }
 
-/** All replicas of one VM. */
+/** Initializes, opens and closes this VM's replicas, and dispatches messages and queries to them. */
 export class VmGroups {
   private control: ReplicaDriver<ControlState> | undefined;
-  private readonly formed = new Map<GroupId, GroupMembers>();
+  private readonly storedMembers = new Map<GroupId, GroupMembers>();
   private readonly ledgers = new Map<GroupId, ReplicaDriver<LedgerState>>();
   private stopped = false;
 
   /**
-   * @param options what the groups need of the VM
+   * @param options dependencies
    * @param folder data folder
    */
   constructor(
@@ -67,18 +65,18 @@
     private readonly folder: string,
   ) {}
 
-  /** The control group's replica, once it has opened. */
+  /** The control group's replica, once it is open. */
   get controlReplica(): ReplicaDriver<ControlState> | undefined {
     return this.control;
   }
 
-  /** This disk's name as a replica. */
+  /** The replica ID of this disk. */
   get self(): ReplicaId {
     return this.options.self;
   }
 
   /**
-   * A group's replica, once it has opened.
+   * Returns a group's replica, once it is open.
    *
    * @param group the group
    */
@@ -87,7 +85,7 @@
   }
 
   /**
-   * A ledger shard's replica, once it has opened.
+   * Returns a ledger shard's replica, once it is open.
    *
    * @param group the shard's group
    */
@@ -95,7 +93,7 @@
     return this.ledgers.get(group);
   }
 
-  /** Models with batch items that wait for a lease, as this VM's replicas know. */
+  /** Models with batch items that wait for a lease, by this VM's replicas. */
   waitingModels(): readonly string[] {
     const models = [...this.ledgers.values()].flatMap((ledger) => [
       ...ledger.localState.runnable.keys(),
@@ -103,7 +101,7 @@
     return [...new Set(models)];
   }
 
-  /** All replicas that have opened. */
+  /** All open replicas. */
   get replicas(): readonly (readonly [GroupId, AnyReplica])[] {
     const control: readonly (readonly [GroupId, AnyReplica])[] =
       this.control === undefined ? [] : [[CONTROL_GROUP, this.control]];
@@ -111,16 +109,18 @@
   }
 
   /**
-   * Members of a group that this disk was founded with or has since learnt.
+   * Returns the members in the replica's log, else those stored on the disk when it was opened.
    *
    * @param group the group
    */
   membersOf(group: GroupId): GroupMembers | undefined {
     const members = this.replicaOf(group)?.status.log.members;
-    return members !== undefined && members.voters.length > 0 ? members : this.formed.get(group);
+    return members !== undefined && members.voters.length > 0
+      ? members
+      : this.storedMembers.get(group);
   }
 
-  /** Opens all replicas; those of a new group once its founders have met. */
+  /** Opens all replicas. Waits for the other initial members of a group that is new. */
   async start(): Promise<void> {
     const {settings} = this.options;
     await Promise.all(
@@ -135,7 +135,7 @@
   }
 
   /**
-   * Hands a message to the replica that it is for.
+   * Dispatches a message to its group's replica.
    *
    * @param message the message
    */
@@ -144,11 +144,11 @@
   }
 
   /**
-   * Answers a question from a replica that leads.
+   * Runs a query on this VM's replica, which must lead the group.
    *
    * @param group the group
-   * @param encoded the question
-   * @throws {NotLeaderError} without leadership or lease
+   * @param encoded the query
+   * @throws {NotLeaderError} if the replica doesn't lead or has no valid lease
    */
   query(group: GroupId, encoded: Uint8Array): unknown {
     if (group === CONTROL_GROUP && this.control !== undefined) {
@@ -158,12 +158,12 @@
     return ledger === undefined ? undefined : queryLedger(ledger.read(), decodeValue(encoded));
   }
 
-  /** Hands on leadership of every group, for a planned stop. */
+  /** Transfers the leadership of all groups, before a planned stop. */
   transferLeadership(): void {
     this.replicas.forEach(([, replica]) => replica.transferLeadership());
   }
 
-  /** Ends all replicas. */
+  /** Closes all replicas. */
   async close(): Promise<void> {
     this.stopped = true;
     await Promise.all(this.replicas.map(([, replica]) => replica.close()));
@@ -174,11 +174,11 @@
     machine: ReplicaMachine<State>,
   ): Promise<ReplicaDriver<State>> {
     const disk = await openDisk(path.join(this.folder, group));
-    const known = await ReplicaStorage.storedMembers(disk);
-    if (known === undefined) {
-      await this.found(group, disk, machine);
+    const stored = await ReplicaStorage.storedMembers(disk);
+    if (stored === undefined) {
+      await this.initialize(group, disk, machine);
     } else {
-      this.formed.set(group, known);
+      this.storedMembers.set(group, stored);
     }
     const {clock, logger, onFailure, peers, self} = this.options;
     const options: ReplicaOptions<State> = {
@@ -199,10 +199,10 @@
   }
 
   /**
-   * Makes an empty disk a founder, or leaves it empty when the group was founded without it: then
-   * it joins by a replacement that an operator confirms.
+   * Initializes an empty disk as a member of a new group. Leaves it empty if the group was initialized
+   * without it: then it joins by a replacement that an operator confirms.
    */
-  private async found<State>(
+  private async initialize<State>(
     group: GroupId,
     disk: Disk,
     machine: ReplicaMachine<State>,
@@ -213,19 +213,21 @@
     }
     const others = controlReplicas.filter((other) => other !== vm);
     while (!this.stopped) {
-      const answers = await Promise.all(others.map((other) => this.identify(other, group)));
-      const foundedBy = answers.find((answer) => answer !== undefined && answer.voters.length > 0);
-      if (foundedBy !== undefined && !foundedBy.voters.includes(this.self)) {
-        this.options.logger.warn('The group was founded without this disk.', {group});
+      const identities = await Promise.all(others.map((other) => this.identify(other, group)));
+      const initializedPeer = identities.find(
+        (identity) => identity !== undefined && identity.voters.length > 0,
+      );
+      if (initializedPeer !== undefined && !initializedPeer.voters.includes(this.self)) {
+        this.options.logger.warn('The group was initialized without this disk.', {group});
         return;
       }
-      const met = answers.every((answer) => answer !== undefined);
-      if (foundedBy !== undefined || met) {
-        const replicas = answers.map((answer) => answer?.replica ?? '');
-        const voters = foundedBy?.voters ?? [this.self, ...replicas].sort();
+      const allAnswered = identities.every((identity) => identity !== undefined);
+      if (initializedPeer !== undefined || allAnswered) {
+        const replicas = identities.map((identity) => identity?.replica ?? '');
+        const voters = initializedPeer?.voters ?? [this.self, ...replicas].sort();
         const members = {learners: [], voters};
         await ReplicaStorage.initialize(disk, machine.encode(machine.initial()), members);
-        this.formed.set(group, members);
+        this.storedMembers.set(group, members);
         return;
       }
       await delay(INITIALIZE_RETRY_MS);
--- a/packages/stallpaddle-vm/src/VmHeartbeats.ts
+++ b/packages/stallpaddle-vm/src/VmHeartbeats.ts
@@ -76,8 +76,8 @@
  * Sends heartbeats and responds to them.
  *
  * A VM without a disk keeps one long call open to a VM with a disk, preferably in its own
- * availability zone. VMs with a disk call one another. So no VM without a disk calls all others, and
- * a new revision takes at most two hops.
+ * availability zone. VMs with a disk call one another. So VMs without a disk never call one another,
+ * and a new revision takes at most two hops.
  */
 export class VmHeartbeats {
   private heldResponses: (() => void)[] = [];
--- a/packages/stallpaddle-vm/src/VmLeaderDuties.ts
+++ b/packages/stallpaddle-vm/src/VmLeaderDuties.ts
@@ -1,6 +1,4 @@
-/**
- * What leaders do on their own: the first configuration, and expiry of leases in ledger shards.
- */
+/** Duties of group leaders: the first configuration, and expiry in ledger shards. */
 import type {Clock, Logger, MonotonicMs} from 'stallpaddle';
 import type {ConfigChange, ControlCommand} from 'stallpaddle-control';
 import type {LedgerCommand} from 'stallpaddle-ledger';
@@ -13,7 +11,7 @@
 import {MAINTENANCE_INTERVAL_MS} from './VmConstants';
 import {ledgerGroup} from './VmGroups';
 
-/** What the duties need of their VM. */
+/** Dependencies of the leader duties. */
 export interface VmLeaderDutiesOptions {
   readonly clock: Clock;
   readonly firstChanges: readonly ConfigChange[];
@@ -22,29 +20,32 @@
   readonly logger: Logger;
 }
 
-/** Duties of leaders on one VM. */
+/**
+ * Performs the duties of the groups that this VM leads: commits the first configuration to the
+ * control group, and expires leases, old uploads and call records in ledger shards.
+ */
 export class VmLeaderDuties {
-  private readonly tidiedAt = new Map<string, MonotonicMs>();
+  private readonly expiredAt = new Map<string, MonotonicMs>();
 
   /**
-   * @param options what the duties need of their VM
+   * @param options dependencies
    */
   constructor(private readonly options: VmLeaderDutiesOptions) {}
 
-  /** Does once what is due in the groups that this VM leads. */
-  async look(): Promise<void> {
+  /** Performs the duties that are due. */
+  async check(): Promise<void> {
     const {ledgerShards, logger} = this.options;
     try {
-      await this.setFirstConfiguration();
+      await this.commitFirstConfiguration();
       for (let shard = 0; shard < ledgerShards; shard++) {
         await this.expire(ledgerGroup(shard));
       }
     } catch (err) {
-      logger.warn('A duty of a leader waits.', {reason: errorMessage(err)});
+      logger.warn('A leader duty failed and will be retried.', {reason: errorMessage(err)});
     }
   }
 
-  private async setFirstConfiguration(): Promise<void> {
+  private async commitFirstConfiguration(): Promise<void> {
     const replica = this.options.groups.controlReplica;
     if (replica?.leads === true && replica.localState.revision === 0) {
       const command: ControlCommand = {
@@ -63,11 +64,11 @@
     }
     const {clock} = this.options;
     const now = clock.monotonicMs();
-    const isDue = now - (this.tidiedAt.get(group) ?? -Infinity) >= MAINTENANCE_INTERVAL_MS;
+    const isDue = now - (this.expiredAt.get(group) ?? -Infinity) >= MAINTENANCE_INTERVAL_MS;
     if (!isDue && !hasExpiredLeases(replica.localState, replica.uncountedMs)) {
       return;
     }
-    this.tidiedAt.set(group, now);
+    this.expiredAt.set(group, now);
     const command: LedgerCommand = {now: clock.wallMs(), type: 'expire'};
     await replica.propose(encodeValue(command));
   }
--- a/packages/stallpaddle-vm/src/VmMembership.ts
+++ b/packages/stallpaddle-vm/src/VmMembership.ts
@@ -1,18 +1,16 @@
-/**
- * Holds this VM's membership view.
- */
+/** This VM's membership view. */
 import type {Clock} from 'stallpaddle';
 import type {MembershipEvent, MembershipState, VmMetadata} from 'stallpaddle-membership';
 
 import {initialMembership, stepMembership} from 'stallpaddle-membership';
 
-/** The view, changed by events only. */
+/** Holds the membership view, which only events change. */
 export class VmMembership {
   private view: MembershipState;
 
   /**
-   * @param clock times
-   * @param self this VM's facts at the start
+   * @param clock clock that times the events
+   * @param self this VM's metadata at the start
    */
   constructor(
     private readonly clock: Clock,
@@ -21,13 +19,12 @@
     this.view = initialMembership(self, clock.monotonicMs());
   }
 
-  /** The view at present. */
   get state(): MembershipState {
     return this.view;
   }
 
   /**
-   * Takes in an event.
+   * Applies an event.
    *
    * @param event what happened
    */
--- a/packages/stallpaddle-vm/src/VmOrders.ts
+++ b/packages/stallpaddle-vm/src/VmOrders.ts
@@ -1,6 +1,4 @@
-/**
- * Brings engines to what the configuration says, from the VM that leads the control group.
- */
+/** Orders to engines, sent by the VM that leads the control group. */
 import type {Clock, EngineId, Logger} from 'stallpaddle';
 import type {ControlPort, EngineOrder, EngineReport, FleetConfig} from 'stallpaddle-control';
 import type {EngineAdapter} from 'stallpaddle-engine';
@@ -11,7 +9,7 @@
 
 import {ENGINE_STATUS_TIMEOUT_MS, ORDER_TAKEOVER_MS} from './VmConstants';
 
-/** What the issuer needs of its VM. */
+/** Dependencies of the orders. */
 export interface VmOrdersOptions {
   readonly adapterOf: (engine: EngineId) => EngineAdapter | undefined;
   readonly clock: Clock;
@@ -20,33 +18,33 @@
   readonly logger: Logger;
 }
 
-/** Issues orders while this VM leads the control group; see the module's comment. */
+/** Reconciles the weights that engines hold with the configuration, while this VM leads the control group. */
 export class VmOrders {
-  private issued = 0;
-  private leadsSince: number | undefined;
+  private orderCount = 0;
+  private leaderSince: number | undefined;
   private term = 0;
 
   /**
-   * @param options what the issuer needs of its VM
+   * @param options dependencies
    */
   constructor(private readonly options: VmOrdersOptions) {}
 
-  /** Looks once at all engines, if this VM leads the control group. */
-  async look(): Promise<void> {
+  /** Reconciles all engines once, if this VM leads the control group. */
+  async check(): Promise<void> {
     const replica = this.options.groups.controlReplica;
     if (replica?.leads !== true) {
-      this.leadsSince = undefined;
+      this.leaderSince = undefined;
       return;
     }
-    this.noteLeadership(replica.status.term);
+    this.trackLeadership(replica.status.term);
     await this.reconcile(replica.localState.config);
   }
 
-  private noteLeadership(term: number): void {
-    if (this.leadsSince === undefined || this.term !== term) {
-      this.leadsSince = this.options.clock.monotonicMs();
+  private trackLeadership(term: number): void {
+    if (this.leaderSince === undefined || this.term !== term) {
+      this.leaderSince = this.options.clock.monotonicMs();
       this.term = term;
-      this.issued = 0;
+      this.orderCount = 0;
     }
   }
 
@@ -54,7 +52,7 @@
     const reports = await Promise.all([...config.engines.keys()].map((id) => this.report(id)));
     const known = reports.filter((report) => report !== undefined);
     for (const order of nextOrders(config, known)) {
-      await this.issue(config, order);
+      await this.sendOrder(config, order);
     }
   }
 
@@ -72,21 +70,25 @@
     if (replica?.leads !== true || replica.status.term !== this.term) {
       return false;
     }
-    // An engine that checks no number could still take an order of the issuer before this one.
-    const checks = config.engines.get(engine)?.checksFencing === true;
-    const leadsMs = this.options.clock.monotonicMs() - (this.leadsSince ?? Infinity);
-    return checks || leadsMs >= ORDER_TAKEOVER_MS;
+    // An engine that checks no fencing token could still accept an order of the previous leader.
+    const checksFencing = config.engines.get(engine)?.checksFencing === true;
+    const leaderMs = this.options.clock.monotonicMs() - (this.leaderSince ?? Infinity);
+    return checksFencing || leaderMs >= ORDER_TAKEOVER_MS;
   }
 
-  private async issue(config: FleetConfig, {engine, target}: EngineOrder): Promise<void> {
+  private async sendOrder(config: FleetConfig, {engine, target}: EngineOrder): Promise<void> {
     const adapter = this.options.adapterOf(engine);
     if (adapter === undefined || !this.mayOrder(config, engine)) {
       return;
     }
-    const fencing = fencingToken(this.term, this.issued++);
+    const fencing = fencingToken(this.term, this.orderCount++);
     const outcome = await adapter.order(target, fencing);
     const detail = `${engine} shall hold ${target.join(', ') || 'nothing'} (${fencing}): ${outcome.kind}`;
-    this.options.logger.info('An order was sent.', {engine, fencing, outcome: outcome.kind});
+    this.options.logger.info('Sent an order to an engine.', {
+      engine,
+      fencing,
+      outcome: outcome.kind,
+    });
     await this.options.control
       .command({
         action: 'order',
@@ -95,6 +97,8 @@
         now: this.options.clock.wallMs(),
         type: 'note',
       })
-      .catch(() => this.options.logger.warn('An order is missing in the audit trail.', {engine}));
+      .catch(() =>
+        this.options.logger.warn('Failed to record an engine order in the audit trail.', {engine}),
+      );
   }
 }
--- a/packages/stallpaddle-vm/src/VmOwners.ts
+++ b/packages/stallpaddle-vm/src/VmOwners.ts
@@ -1,42 +1,43 @@
-/**
- * Which VM owns which engine, kept for a moment: membership is advisory anyway.
- */
+/** Which VM owns which engine. */
 import type {Clock, EngineId, VmId} from 'stallpaddle';
 import type {FleetConfig} from 'stallpaddle-control';
 
 import {ownerOf} from 'stallpaddle-routing';
 
-/** How long the owners are kept before they are worked out anew, in milliseconds. */
-const LIFETIME_MS = 100;
+/** How long computed owners are cached, in milliseconds. */
+const CACHE_TTL_MS = 100;
 
-/** What owners are worked out from. */
+/** Inputs of the computation of owners. */
 export interface VmOwnersOptions {
   readonly clock: Clock;
   readonly config: () => FleetConfig;
-  /** VMs that are live and stay. */
-  readonly stayingVms: () => readonly VmId[];
+  /** VMs that are live and not leaving. */
+  readonly activeVms: () => readonly VmId[];
   readonly vm: VmId;
 }
 
-/** Owners of all engines. */
+/**
+ * Computes which VM owns each engine, and caches the result briefly. VMs may differ for a moment,
+ * since membership is advisory.
+ */
 export class VmOwners {
-  private at = -Infinity;
+  private computedAt = -Infinity;
   private engines: FleetConfig['engines'] | undefined;
   private owners: ReadonlyMap<EngineId, VmId> = new Map();
 
   /**
-   * @param options what owners are worked out from
+   * @param options inputs of the computation
    */
   constructor(private readonly options: VmOwnersOptions) {}
 
-  /** Engines that this VM owns. */
+  /** The engines that this VM owns. */
   get own(): readonly EngineId[] {
     const {vm} = this.options;
     return [...this.current()].flatMap(([engine, owner]) => (owner === vm ? [engine] : []));
   }
 
   /**
-   * Owner of an engine.
+   * Returns the owner of an engine.
    *
    * @param engine the engine
    */
@@ -47,13 +48,13 @@
   private current(): ReadonlyMap<EngineId, VmId> {
     const now = this.options.clock.monotonicMs();
     const {engines} = this.options.config();
-    if (this.engines !== engines || now - this.at > LIFETIME_MS) {
-      const vms = this.options.stayingVms();
+    if (this.engines !== engines || now - this.computedAt > CACHE_TTL_MS) {
+      const vms = this.options.activeVms();
       const owners = [...engines.keys()].flatMap((engine) => {
         const owner = ownerOf(engine, vms);
         return owner === undefined ? [] : [[engine, owner] as const];
       });
-      this.at = now;
+      this.computedAt = now;
       this.engines = engines;
       this.owners = new Map(owners);
     }
--- a/packages/stallpaddle-vm/src/VmPeers.ts
+++ b/packages/stallpaddle-vm/src/VmPeers.ts
@@ -1,6 +1,4 @@
-/**
- * Where other VMs are, and messages to them.
- */
+/** Addresses of other VMs, and messages to them. */
 import type {PeerClient} from 'stallpaddle-rpc';
 import type {VmSettings} from 'stallpaddle-settings';
 
@@ -9,24 +7,24 @@
 import {isUrgent, type Message} from 'stallpaddle-replication';
 import {type Delivery, type DeliverySource, RpcClients, RpcOutbox} from 'stallpaddle-rpc';
 
-/** The library takes the next delivery once it has room for it. */
-async function* streamOf({next}: DeliverySource): AsyncGenerator<Delivery> {
+/** Streams deliveries; the RPC library pulls the next one when its buffer has space. */
+async function* streamDeliveries({next}: DeliverySource): AsyncGenerator<Delivery> {
   for (let delivery = await next(); delivery !== undefined; delivery = await next()) {
     yield delivery;
   }
 }
 
-/** Other VMs as this one reaches them. */
+/** Resolves the addresses of other VMs, and keeps the connections to them. */
 export class VmPeers {
   private readonly clients: RpcClients;
-  /** Connections of their own for urgent messages: what the library has taken of others goes first. */
+  /** Separate connections for urgent messages, which would otherwise queue behind buffered ones. */
   private readonly urgentClients: RpcClients;
   private readonly outboxes = new Map<string, RpcOutbox>();
   private stopped = false;
 
   /**
-   * @param settings names the VMs to be asked first
-   * @param membership where the others say they are
+   * @param settings the VM's settings, with the addresses of seeds
+   * @param membership this VM's membership view
    */
   constructor(
     private readonly settings: VmSettings,
@@ -37,7 +35,7 @@
   }
 
   /**
-   * Address of a VM: what it says itself, else what the settings say.
+   * Returns the address that a VM announces, else that in the settings.
    *
    * @param vm the VM
    */
@@ -47,7 +45,7 @@
   }
 
   /**
-   * Client of a VM, or undefined when its address is not known.
+   * Returns a client of a VM, or undefined if its address is unknown.
    *
    * @param vm the VM
    */
@@ -57,7 +55,7 @@
   }
 
   /**
-   * Sends a replication message without waiting; it may be lost.
+   * Queues a replication message; it may be lost.
    *
    * @param message the message
    */
@@ -67,14 +65,15 @@
     }
     const vm = vmOfReplica(message.to);
     const clients = isUrgent(message) ? this.urgentClients : this.clients;
-    const name = `${isUrgent(message) ? 'urgent ' : ''}${vm}`;
+    const outboxKey = `${isUrgent(message) ? 'urgent ' : ''}${vm}`;
     const outbox =
-      this.outboxes.get(name) ?? new RpcOutbox((taken) => this.carry(clients, vm, taken));
-    this.outboxes.set(name, outbox);
+      this.outboxes.get(outboxKey) ??
+      new RpcOutbox((deliveries) => this.deliver(clients, vm, deliveries));
+    this.outboxes.set(outboxKey, outbox);
     outbox.add(message);
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): void {
     this.stopped = true;
     this.outboxes.forEach((outbox) => outbox.close());
@@ -82,7 +81,7 @@
     this.urgentClients.close();
   }
 
-  private carry(
+  private deliver(
     clients: RpcClients,
     vm: VmId,
     deliveries: DeliverySource,
@@ -90,6 +89,6 @@
     const address = this.addressOf(vm);
     return address === undefined
       ? undefined
-      : clients.at(address.host, address.port).deliver(streamOf(deliveries));
+      : clients.at(address.host, address.port).deliver(streamDeliveries(deliveries));
   }
 }
--- a/packages/stallpaddle-vm/src/VmPlatform.ts
+++ b/packages/stallpaddle-vm/src/VmPlatform.ts
@@ -1,6 +1,4 @@
-/**
- * The platform's list of VMs, which lags behind reality.
- */
+/** The platform's list of VMs, which may be out of date. */
 import type {VmId} from 'stallpaddle';
 
 import {startDeadline} from 'stallpaddle';
@@ -17,16 +15,16 @@
 });
 
 /**
- * Reads which VMs the platform will take away.
+ * Returns the VMs that the platform is about to remove.
  *
- * @param address URL of the list; the host must be an IP number
+ * @param address URL of the list; the host must be an IP address
  */
 export async function readPlatformList(address: string): Promise<readonly VmId[]> {
   const url = new URL(address);
   const deadline = startDeadline(PLATFORM_TIMEOUT_MS);
   const server = new HttpEngine(url.hostname, Number(url.port || HTTP_PORT));
   try {
-    const answer = await server.generate(
+    const response = await server.generate(
       {
         attemptId: '',
         body: new Uint8Array(),
@@ -39,7 +37,7 @@
       },
       deadline.signal,
     );
-    const text = (await readBody(answer.body, MAX_LIST_BYTES)).toString();
+    const text = (await readBody(response.body, MAX_LIST_BYTES)).toString();
     const {vms} = listSchema.parse(JSON.parse(text));
     return vms.filter(({state}) => state === 'leaving').map(({id}) => id);
   } finally {
--- a/packages/stallpaddle-vm/src/VmReplacements.ts
+++ b/packages/stallpaddle-vm/src/VmReplacements.ts
@@ -1,6 +1,4 @@
-/**
- * Carries out confirmed replacements of replicas, one change of members at a time.
- */
+/** Replacements of replicas, one membership change at a time. */
 import type {Clock, Logger} from 'stallpaddle';
 import type {ControlPort, ReplacementConfig} from 'stallpaddle-control';
 import type {GroupMembers} from 'stallpaddle-replication';
@@ -10,12 +8,12 @@
 import type {AnyReplica, VmGroups} from './VmGroups';
 
 /**
- * The next change of members that a replacement needs.
+ * Returns the next membership change of a replacement.
  *
- * @param members present members
- * @param replacement who joins and who leaves
- * @param caughtUp whether the joining replica holds all that is committed
- * @returns the next members, `wait` for the learner to catch up, or `ended`
+ * @param members current members
+ * @param replacement the joining and the leaving replica
+ * @param caughtUp whether the joining replica holds all committed entries
+ * @returns the next members, `wait` while the learner catches up, or `ended`
  */
 export function nextMembers(
   members: GroupMembers,
@@ -27,16 +25,16 @@
     return {learners: [...learners, joining], voters};
   }
   if (!voters.includes(joining)) {
-    const others = learners.filter((replica) => replica !== joining);
-    return caughtUp ? {learners: others, voters: [...voters, joining]} : 'wait';
+    const otherLearners = learners.filter((replica) => replica !== joining);
+    return caughtUp ? {learners: otherLearners, voters: [...voters, joining]} : 'wait';
   }
-  // The lost replica goes last: until then a majority needs one more of those that are there.
+  // The leaving replica is removed last, so that the group never has fewer voters than before.
   return voters.includes(leaving)
     ? {learners, voters: voters.filter((replica) => replica !== leaving)}
     : 'ended';
 }
 
-/** What the work needs of its VM. */
+/** Dependencies of the replacements. */
 export interface VmReplacementsOptions {
   readonly clock: Clock;
   readonly control: ControlPort;
@@ -45,15 +43,15 @@
   readonly replacements: () => readonly (readonly [string, ReplacementConfig])[];
 }
 
-/** Works on replacements in the groups that this VM leads. */
+/** Carries out confirmed replacements of replicas in the groups that this VM leads. */
 export class VmReplacements {
   /**
-   * @param options what the work needs of its VM
+   * @param options dependencies
    */
   constructor(private readonly options: VmReplacementsOptions) {}
 
-  /** Looks once at all replacements and makes the changes that are due here. */
-  async look(): Promise<void> {
+  /** Advances each replacement by at most one membership change. */
+  async check(): Promise<void> {
     for (const [key, replacement] of this.options.replacements()) {
       const replica = this.options.groups.replicaOf(replacement.group);
       if (replica?.leads === true) {
@@ -80,13 +78,15 @@
           return;
         default:
           await replica.changeMembers(next);
-          this.options.logger.info('The members changed.', {
+          this.options.logger.info('Changed the members of a group.', {
             group: replacement.group,
             voters: next.voters.join(' '),
           });
       }
     } catch (err) {
-      this.options.logger.warn('A change of members waits.', {reason: errorMessage(err)});
+      this.options.logger.warn('A membership change failed and will be retried.', {
+        reason: errorMessage(err),
+      });
     }
   }
 }
--- a/packages/stallpaddle-vm/src/VmStatus.ts
+++ b/packages/stallpaddle-vm/src/VmStatus.ts
@@ -1,6 +1,4 @@
-/**
- * The fleet's state as one VM sees it, for operators.
- */
+/** The fleet's status as one VM sees it, for operators. */
 import type {Clock, VmId} from 'stallpaddle';
 import type {LedgerCounters, LedgerPorts} from 'stallpaddle-ledger';
 import type {MembershipState} from 'stallpaddle-membership';
@@ -13,7 +11,7 @@
 import type {ConfigView} from './VmConfigView';
 import type {VmGroups} from './VmGroups';
 
-/** What the status is made of. */
+/** Sources of the status. */
 export interface StatusSources {
   readonly batchItemsReported: number;
   readonly clock: Clock;
@@ -26,7 +24,7 @@
   readonly vm: VmId;
 }
 
-/** State of a replica on the VM asked. */
+/** Status of a replica on the VM called. */
 export interface ReplicaStatus {
   readonly applied: number;
   readonly commits: number;
@@ -42,7 +40,7 @@
   readonly voters: readonly string[];
 }
 
-/** Everything in the answer to a status call. */
+/** Response to a status call. */
 export interface FleetStatus {
   readonly batchItemsReported: number;
   readonly configFreshAgeMs: number | null;
@@ -96,9 +94,9 @@
 }
 
 /**
- * Describes the fleet.
+ * Collects the status of the fleet.
  *
- * @param sources what the status is made of
+ * @param sources sources of the status
  */
 export async function describeStatus(sources: StatusSources): Promise<FleetStatus> {
   const {clock, config, ledger, membership, ownedEngines, routing} = sources;
--- a/packages/stallpaddle-vm/src/__tests__/unit/VmLeaderDuties.test.ts
+++ b/packages/stallpaddle-vm/src/__tests__/unit/VmLeaderDuties.test.ts
@@ -1,6 +1,4 @@
-/**
- * When the leader of a shard proposes `expire`: by its steady clock and the shard's own.
- */
+/** Guards against a leader that schedules `expire` by wall time, which may jump. */
 import type {LedgerState} from 'stallpaddle-ledger';
 
 import {decodeValue} from 'stallpaddle';
@@ -15,7 +13,7 @@
 const LEASE = {chunk: 0, jobId: 'job', until: 1_100, vm: 'vm'};
 const LOGGER = {debug: () => {}, error: () => {}, info: () => {}, warn: () => {}};
 
-/** The leader of one shard, in which a lease runs until 100 ms after the last command. */
+/** Leads one shard, in which a lease expires 100 ms after the last command. */
 class LeaderUnderTest {
   readonly proposed: unknown[] = [];
   steadyMs = 50;
@@ -45,33 +43,33 @@
     });
   }
 
-  /** Number of commands that a look proposes. */
-  async look(): Promise<number> {
+  /** Returns how many commands one check proposes. */
+  async check(): Promise<number> {
     const before = this.proposed.length;
-    await this.duties.look();
+    await this.duties.check();
     return this.proposed.length - before;
   }
 }
 
 describe('expire', () => {
-  test('is proposed once a lease has run out by the shard’s clock, not by the time of day', async () => {
+  test('is proposed once a lease has expired by the shard’s clock, not by wall time', async () => {
     const leader = new LeaderUnderTest();
-    expect(await leader.look()).toBe(1);
+    expect(await leader.check()).toBe(1);
     leader.wallMs += MAINTENANCE_INTERVAL_MS * 10;
     leader.uncountedMs = 99;
-    expect(await leader.look()).toBe(0);
+    expect(await leader.check()).toBe(0);
     leader.uncountedMs = 100;
-    expect(await leader.look()).toBe(1);
+    expect(await leader.check()).toBe(1);
     expect(leader.proposed.at(-1)).toEqual({now: leader.wallMs, type: 'expire'});
   });
 
-  test('tidies in each interval, also when the time of day jumps back', async () => {
+  test('is proposed in each maintenance interval, even if wall time jumps back', async () => {
     const leader = new LeaderUnderTest();
-    expect(await leader.look()).toBe(1);
+    expect(await leader.check()).toBe(1);
     leader.wallMs -= MAINTENANCE_INTERVAL_MS * 10;
     leader.steadyMs += MAINTENANCE_INTERVAL_MS - 1;
-    expect(await leader.look()).toBe(0);
+    expect(await leader.check()).toBe(0);
     leader.steadyMs += 1;
-    expect(await leader.look()).toBe(1);
+    expect(await leader.check()).toBe(1);
   });
 });
--- a/packages/stallpaddle-vm/src/__tests__/unit/VmReplacements.test.ts
+++ b/packages/stallpaddle-vm/src/__tests__/unit/VmReplacements.test.ts
@@ -8,7 +8,7 @@
 const REPLACEMENT = {group: 'g', joining: 'd/2', leaving: 'c/1'};
 
 describe('nextMembers', () => {
-  test('copies first, gives the vote, then takes the lost one out, one replica at a time', () => {
+  test('adds a learner, promotes it, then removes the leaving replica, one change at a time', () => {
     const first = {learners: [], voters: ['a/1', 'b/1', 'c/1']};
     const learning = {learners: ['d/2'], voters: ['a/1', 'b/1', 'c/1']};
     const four = {learners: [], voters: ['a/1', 'b/1', 'c/1', 'd/2']};
@@ -20,11 +20,11 @@
     expect(nextMembers(three, REPLACEMENT, true)).toBe('ended');
   });
 
-  /** All steps of replacements that take turns in one group, each learner caught up when its turn comes. */
+  /** Returns the members after each step of replacements that alternate in one group, with caught-up learners. */
   function steps(replacements: readonly ReplacementConfig[]): readonly GroupMembers[] {
     const seen: GroupMembers[] = [{learners: [], voters: ['a/1', 'b/1', 'c/1']}];
-    for (let turn = 0; turn < 12; turn++) {
-      const next = nextMembers(seen.at(-1)!, replacements[turn % replacements.length]!, true);
+    for (let step = 0; step < 12; step++) {
+      const next = nextMembers(seen.at(-1)!, replacements[step % replacements.length]!, true);
       if (typeof next === 'object') {
         seen.push(next);
       }
@@ -32,7 +32,7 @@
     return seen;
   }
 
-  test('never leaves fewer voters than there were, also while two replacements take turns', () => {
+  test('never leaves fewer voters than before, even if two replacements alternate', () => {
     const seen = steps([REPLACEMENT, {group: 'g', joining: 'e/2', leaving: 'b/1'}]);
     expect(Math.min(...seen.map(({voters}) => voters.length))).toBe(3);
     expect([...seen.at(-1)!.voters].sort()).toEqual(['a/1', 'd/2', 'e/2']);
--- a/packages/stallpaddle-vm/src/index.ts
+++ b/packages/stallpaddle-vm/src/index.ts
@@ -1,3 +1,3 @@
-/** One VM process: all parts put together. */
+/** The VM process. */
 export {Vm} from './Vm';
 export {type FleetStatus, type ReplicaStatus} from './VmStatus';
