--- a/packages/stallpaddle-settings/src/SettingsFile.ts
+++ b/packages/stallpaddle-settings/src/SettingsFile.ts
@@ -1,6 +1,4 @@
-/**
- * Reads and checks settings files.
- */
+/** Parsing and validation of settings files. */
 import type {core} from 'zod';
 
 import {errorMessage} from 'stallpaddle';
@@ -9,21 +7,21 @@
 
 import {settingsSchema} from './SettingsSchema';
 
-/** One thing that is wrong with a settings file. */
+/** An invalid setting. */
 export interface SettingsProblem {
   readonly expected: string;
   /** Path of the setting, such as `callers.port`; empty for the whole file. */
   readonly path: string;
-  /** The value found, as JSON and shortened. */
+  /** The value found, as truncated JSON. */
   readonly value: string;
 }
 
-/** A settings file that can't be used. */
+/** Reports all invalid settings of a file. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 
   /**
-   * @param problems everything that is wrong
+   * @param problems the invalid settings
    */
   constructor(readonly problems: readonly SettingsProblem[]) {
     super(
@@ -34,8 +32,8 @@
   }
 }
 
-const SHOWN_CHARACTERS = 60;
-const SECRET_SETTINGS = /key/i;
+const MAX_VALUE_CHARACTERS = 60;
+const SECRET_PATH = /key/i;
 
 function valueAt(root: unknown, path: readonly PropertyKey[]): unknown {
   return path.reduce<unknown>(
@@ -47,16 +45,16 @@
   );
 }
 
-function shown(path: string, value: unknown): string {
-  if (SECRET_SETTINGS.test(path) && value !== undefined) {
+function formatValue(path: string, value: unknown): string {
+  if (SECRET_PATH.test(path) && value !== undefined) {
     return '(not shown)';
   }
-  return (JSON.stringify(value) ?? 'nothing').slice(0, SHOWN_CHARACTERS);
+  return (JSON.stringify(value) ?? 'nothing').slice(0, MAX_VALUE_CHARACTERS);
 }
 
 function problemOf(root: unknown, issue: core.$ZodIssue): SettingsProblem {
   const path = issue.path.map(String).join('.');
-  return {expected: issue.message, path, value: shown(path, valueAt(root, issue.path))};
+  return {expected: issue.message, path, value: formatValue(path, valueAt(root, issue.path))};
 }
 
 function checkReferences(settings: Settings): readonly SettingsProblem[] {
@@ -67,7 +65,7 @@
   const {controlReplicas, firstConfiguration, seeds, vm} = settings;
   if (controlReplicas.includes(vm) && settings.disk === undefined) {
     problems.push({
-      expected: 'a disk, as the VM is a control replica',
+      expected: 'a disk, because the VM is a control replica',
       path: 'disk',
       value: 'nothing',
     });
@@ -75,7 +73,7 @@
   controlReplicas.forEach((replica, index) => {
     if (!seeds.some((seed) => seed.vm === replica)) {
       const path = `controlReplicas.${index}`;
-      problems.push({expected: 'a VM that seeds names', path, value: JSON.stringify(replica)});
+      problems.push({expected: 'a VM listed in seeds', path, value: JSON.stringify(replica)});
     }
   });
   for (const [name, service] of Object.entries(firstConfiguration.services)) {
@@ -85,11 +83,11 @@
     const path = `firstConfiguration.services.${name}`;
     if (!service.versions.some(({version}) => version === service.current)) {
       const value = JSON.stringify(service.current);
-      problems.push({expected: 'one of versions', path: `${path}.current`, value});
+      problems.push({expected: 'one of the listed versions', path: `${path}.current`, value});
     }
     for (const engine of service.versions.flatMap(({engines}) => engines)) {
       if (!(engine in firstConfiguration.engines)) {
-        const expected = 'engines that firstConfiguration.engines names';
+        const expected = 'engines listed in firstConfiguration.engines';
         problems.push({expected, path: `${path}.versions`, value: JSON.stringify(engine)});
       }
     }
@@ -98,10 +96,10 @@
 }
 
 /**
- * Checks settings.
+ * Parses and validates settings.
  *
  * @param text content of the file
- * @throws {SettingsError} with everything that is wrong
+ * @throws {SettingsError} with all invalid settings
  */
 export function parseSettings(text: string): Settings {
   let root: unknown;
@@ -109,7 +107,7 @@
     root = JSON.parse(text);
   } catch (err) {
     throw new SettingsError([
-      {expected: `JSON (${errorMessage(err)})`, path: '', value: 'other text'},
+      {expected: `JSON (${errorMessage(err)})`, path: '', value: 'text that is not JSON'},
     ]);
   }
   const result = settingsSchema.safeParse(root);
--- a/packages/stallpaddle-settings/src/SettingsSchema.ts
+++ b/packages/stallpaddle-settings/src/SettingsSchema.ts
@@ -1,6 +1,4 @@
-/**
- * Settings of a process, checked before anything starts.
- */
+/** Schema of the settings of a process, which are validated before it starts. */
 import {z} from 'zod';
 
 const SHA256_HEX = /^[0-9a-f]{64}$/;
@@ -11,7 +9,7 @@
   .describe('lower-case name');
 const port = z.int().min(1).max(65_535).describe('TCP port');
 const address = z.strictObject({
-  host: z.union([z.ipv4(), z.ipv6()]).describe('IP number'),
+  host: z.union([z.ipv4(), z.ipv6()]).describe('IP address'),
   port,
 });
 const keyHash = z
@@ -26,11 +24,14 @@
 });
 
 const engine = z.strictObject({
-  checksFencing: z.boolean().default(true).describe('refuses orders with an old fencing number'),
+  checksFencing: z
+    .boolean()
+    .default(true)
+    .describe('whether the engine rejects orders with an old fencing token'),
   host: address.shape.host,
   port,
   role: z.enum(['all', 'online', 'batch', 'off']).default('all'),
-  slots: z.int().min(1).max(4096).describe('streams that it runs at once'),
+  slots: z.int().min(1).max(4096).describe('maximum concurrent streams'),
   zone: name,
 });
 
@@ -61,27 +62,50 @@
 
 const disk = z
   .strictObject({
-    folder: z.string().min(1).describe('folder for all files; made when missing'),
+    folder: z.string().min(1).describe('folder for all files; created if missing'),
   })
   .describe('present on VMs that keep replicas');
 
 const limits = z
   .strictObject({
-    bodyBytes: z.int().min(1024).default(8_388_608).describe('most bytes in a request body'),
-    connections: z.int().min(1).default(4096).describe('most open connections of callers'),
-    drainMs: z.int().min(0).default(30_000).describe('how long a stop waits for open requests'),
-    fileBytes: z.int().min(1024).default(536_870_912).describe('most bytes in an uploaded file'),
-    queuedRequests: z.int().min(0).default(256).describe('most online requests that wait here'),
-    requestMs: z.int().min(100).default(120_000).describe('longest time for an online request'),
-    sendMs: z.int().min(100).default(15_000).describe('time a caller has to send a request'),
+    bodyBytes: z
+      .int()
+      .min(1024)
+      .default(8_388_608)
+      .describe('maximum size of a request body, in bytes'),
+    connections: z.int().min(1).default(4096).describe('maximum open connections of callers'),
+    drainMs: z
+      .int()
+      .min(0)
+      .default(30_000)
+      .describe('maximum wait for open requests on a planned stop, in milliseconds'),
+    fileBytes: z
+      .int()
+      .min(1024)
+      .default(536_870_912)
+      .describe('maximum size of an uploaded file, in bytes'),
+    queuedRequests: z.int().min(0).default(256).describe('maximum queued online requests'),
+    requestMs: z
+      .int()
+      .min(100)
+      .default(120_000)
+      .describe('maximum duration of an online request, in milliseconds'),
+    sendMs: z
+      .int()
+      .min(100)
+      .default(15_000)
+      .describe('maximum time to receive a request from a caller, in milliseconds'),
   })
-  .describe('bounds that protect the VM')
+  .describe('limits that protect the VM from overload')
   .prefault({});
 
 const vmSettings = z.strictObject({
   $schema: z.string().optional(),
   callers: address.describe('where callers connect'),
-  controlReplicas: z.array(name).min(1).describe('VMs that found the control group and the shards'),
+  controlReplicas: z
+    .array(name)
+    .min(1)
+    .describe('VMs that initialize the control group and the ledger shards'),
   disk: disk.optional(),
   firstConfiguration: firstConfiguration.prefault({}),
   kind: z.literal('vm'),
@@ -90,16 +114,16 @@
     .min(1)
     .max(64)
     .default(2)
-    .describe('number of ledger shards; fixed for good'),
+    .describe('number of ledger shards; cannot be changed later'),
   limits,
   logFormat: z.enum(['text', 'json']).default('text'),
-  operators: z.record(name, z.strictObject({keyHash})).describe('who may state intents'),
+  operators: z.record(name, z.strictObject({keyHash})).describe('operators who may submit intents'),
   peers: address.describe('where other VMs connect'),
   platformListUrl: z.url().optional().describe("the platform's list of live and leaving VMs"),
   seeds: z
     .array(z.strictObject({host: address.shape.host, port, vm: name}))
     .min(1)
-    .describe('VMs with a disk, to be asked first'),
+    .describe('VMs with a disk, which a new VM contacts first'),
   vm: name,
   vmKey: z.string().min(16).describe('key that all VMs share'),
   zone: name,
@@ -111,12 +135,16 @@
   engine: name,
   kind: z.literal('engineStandIn'),
   listen: address,
-  loaded: z.array(z.string()).default([]).describe('weights held at the start'),
-  loadMs: z.number().min(0).default(200).describe('time to load weights'),
+  loaded: z.array(z.string()).default([]).describe('weights loaded at the start'),
+  loadMs: z.number().min(0).default(200).describe('time to load weights, in milliseconds'),
   prefillMsPer1kTokens: z.number().min(0).default(40),
   reportLagMs: z.number().min(0).default(100),
   slots: z.int().min(1).default(8),
-  tokenMs: z.number().min(0).default(10).describe('time for one token with an empty batch'),
+  tokenMs: z
+    .number()
+    .min(0)
+    .default(10)
+    .describe('time per token with an empty batch, in milliseconds'),
 });
 
 const serviceStandInSettings = z.strictObject({
@@ -137,14 +165,14 @@
 export type Settings = Readonly<z.infer<typeof settingsSchema>>;
 /** Settings of a VM. */
 export type VmSettings = Readonly<z.infer<typeof vmSettings>>;
-/** Settings of a stand-in engine. */
+/** Settings of a simulated engine. */
 export type EngineStandInSettings = Readonly<z.infer<typeof engineStandInSettings>>;
-/** Settings of a stand-in for a plain service. */
+/** Settings of a simulated plain service. */
 export type ServiceStandInSettings = Readonly<z.infer<typeof serviceStandInSettings>>;
-/** Bounds that protect a VM. */
+/** Limits that protect a VM from overload. */
 export type LimitSettings = VmSettings['limits'];
 
-/** Schema as JSON Schema, for editors. */
+/** Returns the schema as JSON Schema, for editors. */
 export function settingsJsonSchema(): unknown {
   return z.toJSONSchema(settingsSchema, {io: 'input'});
 }
--- a/packages/stallpaddle-settings/src/__tests__/unit/SettingsFile.test.ts
+++ b/packages/stallpaddle-settings/src/__tests__/unit/SettingsFile.test.ts
@@ -1,6 +1,4 @@
-/**
- * Settings: whatever a file holds, the answer is settings or a list of what is wrong.
- */
+/** Guards against settings files that fail otherwise than with a list of invalid settings. */
 import fc from 'fast-check';
 import {assertHistories, fuzzTimeoutMs} from 'stallpaddle-testing';
 import {describe, expect, test} from 'vitest';
@@ -35,12 +33,12 @@
 }
 
 describe('parseSettings', () => {
-  test('takes right settings and fills in defaults', () => {
+  test('accepts valid settings and fills in defaults', () => {
     const settings = parseSettings(JSON.stringify(vmSettings()));
     expect(settings.kind === 'vm' && settings.limits.drainMs).toBe(30_000);
   });
 
-  test('names every setting that is wrong, and shows no key', () => {
+  test('lists every invalid setting and never shows a key', () => {
     expect(problemsOf(vmSettings({zone: 'Not A Zone'}))).toEqual(['zone']);
     expect(problemsOf(vmSettings({callers: {host: 'name', port: 0}}))).toEqual([
       'callers.host',
@@ -61,7 +59,7 @@
   });
 
   test(
-    'never fails in another way',
+    'throws nothing but SettingsError',
     async () => {
       const names = Object.keys(vmSettings());
       const mutated = fc
--- a/packages/stallpaddle-settings/src/index.ts
+++ b/packages/stallpaddle-settings/src/index.ts
@@ -1,4 +1,4 @@
-/** Settings files: schema and checks. */
+/** Settings files: schema and validation. */
 export {parseSettings, SettingsError, type SettingsProblem} from './SettingsFile';
 export {
   type EngineStandInSettings,
