--- a/packages/stallpaddle-vm/src/VmGroups.ts
+++ b/packages/stallpaddle-vm/src/VmGroups.ts
@@ -39,7 +39,7 @@
   return [CONTROL_GROUP, ...Array.from({length: shards}, (_, shard) => ledgerGroup(shard))];
 }
 
-/** Dependencies of the groups. */
+/** Dependencies of `VmGroups`. */
 export interface VmGroupsOptions {
   readonly clock: Clock;
   readonly logger: Logger;
--- a/packages/stallpaddle-vm/src/VmHeartbeats.ts
+++ b/packages/stallpaddle-vm/src/VmHeartbeats.ts
@@ -54,7 +54,7 @@
   readonly waitingModels: readonly string[];
 }
 
-/** Dependencies of the heartbeats. */
+/** Dependencies of `VmHeartbeats`. */
 export interface VmHeartbeatsOptions {
   readonly clock: Clock;
   readonly config: () => ConfigView;
--- a/packages/stallpaddle-vm/src/VmLeaderDuties.ts
+++ b/packages/stallpaddle-vm/src/VmLeaderDuties.ts
@@ -11,7 +11,7 @@
 import {MAINTENANCE_INTERVAL_MS} from './VmConstants';
 import {ledgerGroup} from './VmGroups';
 
-/** Dependencies of the leader duties. */
+/** Dependencies of `VmLeaderDuties`. */
 export interface VmLeaderDutiesOptions {
   readonly clock: Clock;
   readonly firstChanges: readonly ConfigChange[];
--- a/packages/stallpaddle-vm/src/VmOrders.ts
+++ b/packages/stallpaddle-vm/src/VmOrders.ts
@@ -9,7 +9,7 @@
 
 import {ENGINE_STATUS_TIMEOUT_MS, ORDER_TAKEOVER_MS} from './VmConstants';
 
-/** Dependencies of the orders. */
+/** Dependencies of `VmOrders`. */
 export interface VmOrdersOptions {
   readonly adapterOf: (engine: EngineId) => EngineAdapter | undefined;
   readonly clock: Clock;
--- a/packages/stallpaddle-vm/src/VmReplacements.ts
+++ b/packages/stallpaddle-vm/src/VmReplacements.ts
@@ -34,7 +34,7 @@
     : 'ended';
 }
 
-/** Dependencies of the replacements. */
+/** Dependencies of `VmReplacements`. */
 export interface VmReplacementsOptions {
   readonly clock: Clock;
   readonly control: ControlPort;
