--- a/packages/stallpaddle-vm/src/VmDrain.ts
+++ b/packages/stallpaddle-vm/src/VmDrain.ts
@@ -1,4 +1,4 @@
-/** Waiting for open requests before a planned stop. */
+/** Draining of open requests before a planned stop. */
 import type {Clock, Logger} from 'stallpaddle';
 
 import {delay} from 'stallpaddle';
--- a/packages/stallpaddle-vm/src/VmLeaderDuties.ts
+++ b/packages/stallpaddle-vm/src/VmLeaderDuties.ts
@@ -25,7 +25,7 @@
  * control group, and expires leases, old uploads and call records in ledger shards.
  */
 export class VmLeaderDuties {
-  private readonly expiredAt = new Map<string, MonotonicMs>();
+  private readonly lastExpireAt = new Map<string, MonotonicMs>();
 
   /**
    * @param options dependencies
@@ -64,11 +64,11 @@
     }
     const {clock} = this.options;
     const now = clock.monotonicMs();
-    const isDue = now - (this.expiredAt.get(group) ?? -Infinity) >= MAINTENANCE_INTERVAL_MS;
+    const isDue = now - (this.lastExpireAt.get(group) ?? -Infinity) >= MAINTENANCE_INTERVAL_MS;
     if (!isDue && !hasExpiredLeases(replica.localState, replica.uncountedMs)) {
       return;
     }
-    this.expiredAt.set(group, now);
+    this.lastExpireAt.set(group, now);
     const command: LedgerCommand = {now: clock.wallMs(), type: 'expire'};
     await replica.propose(encodeValue(command));
   }
--- a/packages/stallpaddle-vm/src/__tests__/unit/VmConfigView.test.ts
+++ b/packages/stallpaddle-vm/src/__tests__/unit/VmConfigView.test.ts
@@ -34,7 +34,7 @@
           expect([...view.config.vms.keys()].toSorted()).toEqual(expected.toSorted());
         }
       });
-      await assertHistories('configuration news', property, 500);
+      await assertHistories('configuration updates', property, 500);
     },
     fuzzTimeoutMs(),
   );
