--- a/packages/stallpaddle-engine/src/EngineAdapter.ts
+++ b/packages/stallpaddle-engine/src/EngineAdapter.ts
@@ -20,7 +20,7 @@
 }
 
 /** An answer whose head has arrived. */
-export interface BackendAnswer {
+export interface BackendResponse {
   /** Ends with an error when the answer breaks off. */
   readonly body: AsyncIterable<Uint8Array>;
   readonly contentType: string;
@@ -46,7 +46,7 @@
    *
    * @throws {BackendError} when no whole head arrives
    */
-  readonly generate: (req: BackendRequest, signal: AbortSignal) => Promise<BackendAnswer>;
+  readonly generate: (req: BackendRequest, signal: AbortSignal) => Promise<BackendResponse>;
   /** Orders the engine to hold exactly these weights. */
   readonly order: (target: readonly string[], fencing: number) => Promise<OrderOutcome>;
   /** Asks for load and weights. */
--- a/packages/stallpaddle-engine/src/EngineHttp.ts
+++ b/packages/stallpaddle-engine/src/EngineHttp.ts
@@ -8,8 +8,8 @@
 import {z} from 'zod';
 
 import type {
-  BackendAnswer,
   BackendRequest,
+  BackendResponse,
   EngineAdapter,
   EngineStatus,
   OrderOutcome,
@@ -100,7 +100,7 @@
     private readonly port: number,
   ) {}
 
-  generate(req: BackendRequest, signal: AbortSignal): Promise<BackendAnswer> {
+  generate(req: BackendRequest, signal: AbortSignal): Promise<BackendResponse> {
     return new Promise((resolve, reject) => {
       const sent = request({
         // Of its own: an engine may answer twice, and what comes late on a kept connection would be taken for the next
--- a/packages/stallpaddle-engine/src/index.ts
+++ b/packages/stallpaddle-engine/src/index.ts
@@ -1,8 +1,8 @@
 /** Backend servers: the interface, its HTTP implementation and the lanes to them. */
 export {
-  type BackendAnswer,
   BackendError,
   type BackendRequest,
+  type BackendResponse,
   type EngineAdapter,
   type EngineStatus,
   type OrderOutcome,
--- a/packages/stallpaddle-gateway/src/GatewayOnlineForwarder.ts
+++ b/packages/stallpaddle-gateway/src/GatewayOnlineForwarder.ts
@@ -3,7 +3,7 @@
  */
 import type {EngineId, Verdict} from 'stallpaddle';
 import type {ResolvedModel} from 'stallpaddle-control';
-import type {BackendAnswer} from 'stallpaddle-engine';
+import type {BackendResponse} from 'stallpaddle-engine';
 import type {EngineOutcome, RetryBudget} from 'stallpaddle-routing';
 
 import {
@@ -35,7 +35,7 @@
 }
 
 /** An engine's response. The request counts as running on the engine until `finish` is called. */
-export interface OnlineResponse extends BackendAnswer {
+export interface OnlineResponse extends BackendResponse {
   readonly attemptId: string;
   readonly engine: EngineId;
   /**
--- a/packages/stallpaddle-gateway/src/GatewayServices.ts
+++ b/packages/stallpaddle-gateway/src/GatewayServices.ts
@@ -4,7 +4,7 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 import type {Verdict} from 'stallpaddle';
 import type {PlainServer} from 'stallpaddle-control';
-import type {BackendAnswer} from 'stallpaddle-engine';
+import type {BackendResponse} from 'stallpaddle-engine';
 
 import {
   errorMessage,
@@ -29,7 +29,7 @@
 const SAFE_METHODS = new Set(['GET', 'HEAD', 'OPTIONS']);
 const MAX_RESPONSE_BYTES = 33_554_432;
 
-async function bufferResponse(response: BackendAnswer): Promise<BufferedResponse> {
+async function bufferResponse(response: BackendResponse): Promise<BufferedResponse> {
   try {
     const body = await readBody(response.body, MAX_RESPONSE_BYTES);
     return {body, contentType: response.contentType, status: response.status};
@@ -76,7 +76,7 @@
     res.on('close', deadline.dispose);
     const {signal} = deadline;
     const path = `/${rest.join('/')}`;
-    const send = (): Promise<BackendAnswer> =>
+    const send = (): Promise<BackendResponse> =>
       this.send(service.servers, req, path, body, repeatable, signal);
     if (!repeatable) {
       await this.idempotency.handle(caller, req, body, res, async () =>
@@ -100,7 +100,7 @@
     body: Uint8Array,
     repeatable: boolean,
     signal: AbortSignal,
-  ): Promise<BackendAnswer> {
+  ): Promise<BackendResponse> {
     const first = this.nextServer++;
     let verdict: Verdict = 'notRun';
     for (let attempt = 0; ; attempt++) {
--- a/packages/stallpaddle-gateway/src/__tests__/unit/GatewayOnlineForwarder.test.ts
+++ b/packages/stallpaddle-gateway/src/__tests__/unit/GatewayOnlineForwarder.test.ts
@@ -2,7 +2,7 @@
  * Online requests over failing engines: a caller gets only its own response, a request that is not repeatable runs at
  * most once, and `notRun` is reported only if no engine saw the request.
  */
-import type {BackendAnswer, BackendRequest, EngineAdapter} from 'stallpaddle-engine';
+import type {BackendRequest, BackendResponse, EngineAdapter} from 'stallpaddle-engine';
 
 import fc from 'fast-check';
 import {RefusalError} from 'stallpaddle';
@@ -32,7 +32,7 @@
     },
   };
 
-  private async generate(req: BackendRequest): Promise<BackendAnswer> {
+  private async generate(req: BackendRequest): Promise<BackendResponse> {
     const behavior = this.behaviors[this.calls++ % this.behaviors.length]!;
     const text = Buffer.from(req.body).toString();
     if (behavior === 'refuses') {
