--- a/packages/stallpaddle-cli/src/CliBatch.ts
+++ b/packages/stallpaddle-cli/src/CliBatch.ts
@@ -9,7 +9,7 @@
 import {IDEMPOTENCY_KEY_HEADER, REPEATABLE_HEADER} from 'stallpaddle-gateway';
 
 import type {CliTarget} from './CliClient';
-import type {BatchAnswer} from './CliSchemas';
+import type {BatchResponse} from './CliSchemas';
 
 import {callJson, callText} from './CliClient';
 import {batchText, print} from './CliPrint';
@@ -87,12 +87,12 @@
   print(options.json, batch, () => batchText(batch));
 }
 
-function getBatch(target: CliTarget, jobId: string): Promise<BatchAnswer> {
+function getBatch(target: CliTarget, jobId: string): Promise<BatchResponse> {
   const call = {method: 'GET', path: `/v1/batches/${encodeURIComponent(jobId)}`} as const;
   return callJson(target, call, batchSchema);
 }
 
-async function waitForEnd(target: CliTarget, first: BatchAnswer): Promise<BatchAnswer> {
+async function waitForEnd(target: CliTarget, first: BatchResponse): Promise<BatchResponse> {
   const bar = new SingleBar({
     format: '{bar} {value}/{total} items, {failed} failed, {duration_formatted}',
     stream: process.stderr,
--- a/packages/stallpaddle-cli/src/CliOperator.ts
+++ b/packages/stallpaddle-cli/src/CliOperator.ts
@@ -5,7 +5,7 @@
 import {delay, refuse} from 'stallpaddle';
 
 import type {CliTarget} from './CliClient';
-import type {PlanAnswer} from './CliSchemas';
+import type {PlanResponse} from './CliSchemas';
 
 import {callJson, CliCallError} from './CliClient';
 import {auditText, planText, print, statusText} from './CliPrint';
@@ -59,8 +59,8 @@
 async function waitInForce(
   target: CliTarget,
   path: string,
-  confirmed: PlanAnswer,
-): Promise<PlanAnswer> {
+  confirmed: PlanResponse,
+): Promise<PlanResponse> {
   const until = Date.now() + WAIT_MOST_MS;
   let plan = confirmed;
   while (!plan.inForce.everywhere) {
--- a/packages/stallpaddle-cli/src/CliPrint.ts
+++ b/packages/stallpaddle-cli/src/CliPrint.ts
@@ -4,7 +4,7 @@
 import Table from 'cli-table3';
 import {unreachable} from 'stallpaddle';
 
-import type {BatchAnswer, PlanAnswer, StatusAnswer} from './CliSchemas';
+import type {BatchResponse, PlanResponse, StatusResponse} from './CliSchemas';
 
 /**
  * Writes text or, for scripts, JSON to the standard output.
@@ -23,7 +23,7 @@
   return made.toString();
 }
 
-function planOutcome({state}: PlanAnswer): string {
+function planOutcome({state}: PlanResponse): string {
   switch (state.kind) {
     case 'confirmed':
       return `accepted as revision ${state.revision}, confirmed by ${state.by}`;
@@ -41,7 +41,7 @@
  *
  * @param plan as the server shows it
  */
-export function planText(plan: PlanAnswer): string {
+export function planText(plan: PlanResponse): string {
   const {capacity, steps, warnings} = plan.content;
   const lines = [
     `Plan ${plan.id} by ${plan.operator}, made on revision ${plan.basis}`,
@@ -68,7 +68,7 @@
  *
  * @param batch as the server shows it
  */
-export function batchText(batch: BatchAnswer): string {
+export function batchText(batch: BatchResponse): string {
   const {completed, failed, total} = batch.request_counts;
   return `${batch.id} ${batch.status}: ${completed} done, ${failed} failed, ${total} in all`;
 }
@@ -78,7 +78,7 @@
  *
  * @param status as the server shows it
  */
-export function statusText(status: StatusAnswer): string {
+export function statusText(status: StatusResponse): string {
   const vms = status.vms.map((vm) => [
     vm.vm,
     vm.zone,
--- a/packages/stallpaddle-cli/src/CliSchemas.ts
+++ b/packages/stallpaddle-cli/src/CliSchemas.ts
@@ -107,8 +107,8 @@
 });
 
 /** A plan as the server shows it. */
-export type PlanAnswer = z.infer<typeof planSchema>;
+export type PlanResponse = z.infer<typeof planSchema>;
 /** A batch job as the server shows it. */
-export type BatchAnswer = z.infer<typeof batchSchema>;
+export type BatchResponse = z.infer<typeof batchSchema>;
 /** The fleet's state. */
-export type StatusAnswer = z.infer<typeof statusSchema>;
+export type StatusResponse = z.infer<typeof statusSchema>;
