--- a/packages/stallpaddle-cli/src/Cli.ts
+++ b/packages/stallpaddle-cli/src/Cli.ts
@@ -1,5 +1,5 @@
 /**
- * The command line.
+ * Defines the commands of the `stallpaddle` binary and maps errors to exit codes.
  */
 import type {LogFormat} from 'stallpaddle';
 
@@ -28,7 +28,7 @@
   const server = flags.server ?? process.env.STALLPADDLE_SERVER;
   const key = flags.key ?? process.env.STALLPADDLE_KEY ?? '';
   if (server === undefined) {
-    throw refuse('badRequest', 'name a VM by --server HOST:PORT or STALLPADDLE_SERVER');
+    throw refuse('badRequest', 'set the VM with --server HOST:PORT or STALLPADDLE_SERVER');
   }
   return {...parseServer(server), key: String(key)};
 }
@@ -47,7 +47,7 @@
       print(
         json,
         {kind: settings.kind, ok: true},
-        () => `the settings are right (${settings.kind})`,
+        () => `the settings are valid (${settings.kind})`,
       );
       return;
     }
@@ -94,7 +94,7 @@
 
 function createCli(): ReturnType<typeof cac> {
   const cli = cac('stallpaddle');
-  cli.option('--server <address>', 'VM to ask, HOST:PORT (or STALLPADDLE_SERVER)');
+  cli.option('--server <address>', 'VM to call, HOST:PORT (or STALLPADDLE_SERVER)');
   cli.option('--key <key>', "Customer's or operator's key (or STALLPADDLE_KEY)");
   cli.option('--json', 'Print JSON for scripts');
 
@@ -114,8 +114,11 @@
       runSettings(action, file, flags.json === true),
     );
   cli
-    .command('explain [...files]', 'Print what became of a request, from logs of any processes')
-    .option('--id <id>', 'A request, a batch item or a job')
+    .command(
+      'explain [...files]',
+      'Print the history of a request from the logs of several processes',
+    )
+    .option('--id <id>', 'Id of a request, a batch item or a job')
     .example('stallpaddle explain --id 9c41d07be2a35f68 logs/*.log')
     .action(async (files: readonly string[], flags: {id?: string}) => {
       if (!(await runExplain(required(flags.id, '--id ID'), files))) {
@@ -123,14 +126,14 @@
       }
     });
   cli
-    .command('plan <intent>', 'Plan an intent (JSON, or @FILE); nothing is changed yet')
+    .command('plan <intent>', 'Plan an intent (JSON, or @FILE) without applying it')
     .example(`stallpaddle plan '{"kind":"drainVm","vm":"vm-4"}'`)
     .action(async (intent: string, flags: ClientFlags) =>
       runPlan(targetOf(flags), intent, flags.json === true),
     );
   cli
     .command('confirm <plan>', 'Confirm a plan')
-    .option('--wait', 'Return once it is in force on every VM')
+    .option('--wait', 'Wait until the plan is in force on every VM')
     .example('stallpaddle confirm plan_0123456789abcdef01234567 --wait')
     .action(async (plan: string, flags: ClientFlags & {wait?: boolean}) =>
       runConfirm(targetOf(flags), plan, flags.wait === true, flags.json === true),
@@ -141,8 +144,8 @@
     .action(async (flags: ClientFlags) => runStatus(targetOf(flags), flags.json === true));
   cli
     .command('audit', 'Show the audit trail')
-    .option('--after <number>', 'Last line already seen', {default: 0})
-    .option('--limit <number>', 'Most lines', {default: 200})
+    .option('--after <number>', 'Number of the last entry already seen', {default: 0})
+    .option('--limit <number>', 'Maximum number of entries', {default: 200})
     .example('stallpaddle audit --after 40')
     .action(async (flags: ClientFlags & {after: number; limit: number}) =>
       runAudit(targetOf(flags), Number(flags.after), Number(flags.limit), flags.json === true),
@@ -157,11 +160,11 @@
   cli
     .command('batch <action> <subject>', 'submit FILE, status JOB, results JOB, cancel JOB')
     .option('--window <time>', 'submit: time until due, such as 24h')
-    .option('--idempotency-key <key>', 'submit: key for resends')
-    .option('--no-repeatable', 'submit: no item may run twice')
-    .option('--wait', 'submit: show progress until the job has ended')
-    .option('--errors', 'results: the failed items')
-    .option('--output <file>', 'results: file to write')
+    .option('--idempotency-key <key>', 'submit: key that makes a retried submit safe')
+    .option('--no-repeatable', 'submit: run each item at most once')
+    .option('--wait', 'submit: show progress until the job ends')
+    .option('--errors', 'results: write the failed items instead')
+    .option('--output <file>', 'results: output file')
     .option('--operator', "cancel: any customer's job, with an operator's key")
     .example('stallpaddle batch submit filings.jsonl --window 12h --wait')
     .action(async (action: string, subject: string, flags: BatchFlags) =>
@@ -169,12 +172,12 @@
     );
   cli
     .command('load', 'Send online requests at a steady rate and print latencies')
-    .option('--model <name>', 'Model to ask')
-    .option('--rate <number>', 'Requests a second', {default: 50})
-    .option('--seconds <number>', 'How long', {default: 10})
-    .option('--seed <number>', 'Seed of arrivals and prompts', {default: 1})
-    .option('--tokens <number>', 'Tokens of each answer', {default: 16})
-    .option('--whole', 'Ask for whole answers instead of streams')
+    .option('--model <name>', 'Model to request')
+    .option('--rate <number>', 'Requests per second', {default: 50})
+    .option('--seconds <number>', 'Duration in seconds', {default: 10})
+    .option('--seed <number>', 'Random seed for arrivals and prompts', {default: 1})
+    .option('--tokens <number>', 'Tokens per response', {default: 16})
+    .option('--whole', 'Request complete responses instead of streams')
     .example('stallpaddle load --server 127.0.1.11:8000 --model balcao-llm --rate 200')
     .action(async (flags: LoadFlags) => runLoad(targetOf(flags), flags));
   cli.help();
@@ -202,7 +205,7 @@
   return err instanceof Error && err.name === 'CACError' ? EXIT_USAGE : EXIT_FAILED;
 }
 
-function report(err: unknown, json: boolean): void {
+function printError(err: unknown, json: boolean): void {
   const verdict = err instanceof CliCallError || err instanceof RefusalError ? err.verdict : null;
   const code = err instanceof CliCallError || err instanceof RefusalError ? err.code : 'failed';
   const message = errorMessage(err);
@@ -217,8 +220,8 @@
 /**
  * Runs one command.
  *
- * @param argv the process's arguments, with program and script
- * @returns exit code
+ * @param argv arguments of the process, including program and script
+ * @returns the exit code
  */
 export async function runCli(argv: readonly string[]): Promise<number> {
   const json = argv.includes('--json');
@@ -235,7 +238,7 @@
     await cli.runMatchedCommand();
     return 0;
   } catch (err) {
-    report(err, json);
+    printError(err, json);
     return exitCodeOf(err);
   }
 }
--- a/packages/stallpaddle-cli/src/CliBatch.ts
+++ b/packages/stallpaddle-cli/src/CliBatch.ts
@@ -1,5 +1,5 @@
 /**
- * Commands for batch jobs.
+ * Commands that submit, show and cancel batch jobs and fetch their results.
  */
 import {SingleBar} from 'cli-progress';
 import {randomBytes} from 'node:crypto';
@@ -15,12 +15,12 @@
 import {batchText, print} from './CliPrint';
 import {batchSchema, fileSchema} from './CliSchemas';
 
-const LOOK_MS = 500;
+const POLL_INTERVAL_MS = 500;
 
 /** Options of `batch submit`. */
 export interface SubmitOptions {
   readonly json: boolean;
-  /** Key for resends; drawn when missing. */
+  /** Idempotency key; generated when missing. */
   readonly key: string | undefined;
   readonly repeatable: boolean;
   readonly wait: boolean;
@@ -28,7 +28,7 @@
   readonly window: string;
 }
 
-function formOf(
+function buildUploadForm(
   filename: string,
   content: Uint8Array,
 ): {readonly body: Buffer; readonly contentType: string} {
@@ -54,16 +54,16 @@
 /**
  * Uploads a file and creates a job.
  *
- * @param target the VM to ask
+ * @param target VM that receives the call
  * @param file path of a JSONL file
- * @param options see there
+ * @param options deadline, idempotency key and output format
  */
 export async function runSubmit(
   target: CliTarget,
   file: string,
   options: SubmitOptions,
 ): Promise<void> {
-  const form = formOf(path.basename(file), await readFile(file));
+  const form = buildUploadForm(path.basename(file), await readFile(file));
   const uploaded = await callJson(target, {...form, method: 'POST', path: '/v1/files'}, fileSchema);
   const body = Buffer.from(
     JSON.stringify({
@@ -82,7 +82,7 @@
     batchSchema,
   );
   if (options.wait) {
-    batch = await waitForEnd(target, batch);
+    batch = await waitForCompletion(target, batch);
   }
   print(options.json, batch, () => batchText(batch));
 }
@@ -92,7 +92,7 @@
   return callJson(target, call, batchSchema);
 }
 
-async function waitForEnd(target: CliTarget, first: BatchResponse): Promise<BatchResponse> {
+async function waitForCompletion(target: CliTarget, first: BatchResponse): Promise<BatchResponse> {
   const bar = new SingleBar({
     format: '{bar} {value}/{total} items, {failed} failed, {duration_formatted}',
     stream: process.stderr,
@@ -100,7 +100,7 @@
   bar.start(first.request_counts.total, 0, {failed: 0});
   let batch = first;
   while (batch.status === 'in_progress') {
-    await delay(LOOK_MS);
+    await delay(POLL_INTERVAL_MS);
     batch = await getBatch(target, first.id);
     const {completed, failed} = batch.request_counts;
     bar.update(completed + failed, {failed});
@@ -110,11 +110,11 @@
 }
 
 /**
- * Shows a job.
+ * Prints the status of a job.
  *
- * @param target the VM to ask
- * @param jobId the job
- * @param json print JSON
+ * @param target VM that receives the call
+ * @param jobId id of the job
+ * @param json whether to print JSON
  */
 export async function runBatchStatus(
   target: CliTarget,
@@ -126,12 +126,12 @@
 }
 
 /**
- * Writes a job's results.
+ * Writes the results of a job to a file or the standard output.
  *
- * @param target the VM to ask
- * @param jobId the job
- * @param errors the failed items instead of the results
- * @param output path of the file to write; standard output when missing
+ * @param target VM that receives the call
+ * @param jobId id of the job
+ * @param errors whether to write the failed items instead of the results
+ * @param output path of the output file; standard output when missing
  */
 export async function runBatchResults(
   target: CliTarget,
@@ -155,10 +155,10 @@
 /**
  * Cancels a job.
  *
- * @param target the VM to ask
- * @param jobId the job
- * @param asOperator with an operator's key, any customer's job
- * @param json print JSON
+ * @param target VM that receives the call
+ * @param jobId id of the job
+ * @param asOperator whether to cancel as an operator, who may cancel the jobs of any customer
+ * @param json whether to print JSON
  */
 export async function runBatchCancel(
   target: CliTarget,
--- a/packages/stallpaddle-cli/src/CliClient.ts
+++ b/packages/stallpaddle-cli/src/CliClient.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP calls of the command line.
+ * HTTP client of the command line.
  */
 import {errorMessage, refuse, type Verdict, VERDICT_HEADER} from 'stallpaddle';
 import {callServer, type ServerAnswer} from 'stallpaddle-load';
@@ -9,14 +9,14 @@
 
 const errorSchema = z.object({error: z.object({code: z.string(), message: z.string()})});
 
-/** A call that the server refused or that never reached it. */
+/** A call that failed or whose response is an error. */
 export class CliCallError extends Error {
   override readonly name = 'CliCallError';
 
   /**
-   * @param code stable reason
+   * @param code error code
    * @param verdict whether the request may have run
-   * @param message one sentence
+   * @param message error message
    */
   constructor(
     readonly code: string,
@@ -27,14 +27,14 @@
   }
 }
 
-/** Where calls go and who makes them. */
+/** Address of the VM and the key that authenticates the caller. */
 export interface CliTarget {
   readonly host: string;
   readonly key: string;
   readonly port: number;
 }
 
-/** What a call sends. */
+/** Request of one call. */
 export interface CliRequest {
   readonly body?: Uint8Array;
   readonly contentType?: string;
@@ -44,14 +44,15 @@
 }
 
 /**
- * Reads `HOST:PORT`.
+ * Parses `HOST:PORT`.
  *
- * @param text as given
+ * @param text value of `--server`
+ * @throws {RefusalError} when it isn't an IP address and a port
  */
 export function parseServer(text: string): {readonly host: string; readonly port: number} {
   const match = /^\[?([0-9a-fA-F.:]+?)\]?:(\d+)$/.exec(text);
   if (match === null) {
-    throw refuse('badRequest', `--server must be HOST:PORT with an IP number, not ${text}`);
+    throw refuse('badRequest', `--server must be HOST:PORT with an IP address, not ${text}`);
   }
   return {host: match[1]!, port: Number(match[2])};
 }
@@ -61,17 +62,17 @@
 }
 
 /**
- * Makes a call and returns the answer's text.
+ * Makes a call and returns the response body as text.
  *
- * @param target where it goes
- * @param call what it sends
- * @throws {CliCallError} when the answer is an error or none comes
+ * @param target VM that receives the call
+ * @param call the request
+ * @throws {CliCallError} when the call fails or the response is an error
  */
 export async function callText(target: CliTarget, call: CliRequest): Promise<string> {
   const {contentType = 'application/json', headers, ...rest} = call;
-  let answer: ServerAnswer;
+  let response: ServerAnswer;
   try {
-    answer = await callServer({
+    response = await callServer({
       ...target,
       ...rest,
       headers: {...headers, 'content-type': contentType},
@@ -82,13 +83,13 @@
     const verdict = refused ? 'notRun' : 'mayHaveRun';
     throw new CliCallError('unavailable', verdict, errorMessage(err));
   }
-  if (answer.status >= 400) {
-    throw errorOf(answer.text, verdictOf(answer.headers[VERDICT_HEADER]));
+  if (response.status >= 400) {
+    throw parseError(response.text, verdictOf(response.headers[VERDICT_HEADER]));
   }
-  return answer.text;
+  return response.text;
 }
 
-function errorOf(text: string, verdict: Verdict): CliCallError {
+function parseError(text: string, verdict: Verdict): CliCallError {
   try {
     const {error} = errorSchema.parse(JSON.parse(text));
     return new CliCallError(error.code, verdict, error.message);
@@ -98,11 +99,12 @@
 }
 
 /**
- * Makes a call and parses the answer.
+ * Makes a call and parses the response.
  *
- * @param target where it goes
- * @param call what it sends
- * @param schema what is expected
+ * @param target VM that receives the call
+ * @param call the request
+ * @param schema schema of the response
+ * @throws {CliCallError} when the call fails or the response is an error
  */
 export async function callJson<T>(
   target: CliTarget,
--- a/packages/stallpaddle-cli/src/CliExplain.ts
+++ b/packages/stallpaddle-cli/src/CliExplain.ts
@@ -1,27 +1,27 @@
 /**
- * What became of a request, from the logs of several processes: one time line.
+ * Builds the time line of one request from the logs of several processes.
  */
 import {createReadStream} from 'node:fs';
 import {createInterface} from 'node:readline';
 
-/** One line of a process's log. */
+/** One parsed log line. */
 export interface ExplainedLine {
   readonly fields: Readonly<Record<string, unknown>>;
   readonly message: string;
   readonly part: string;
-  /** Wall time as the process wrote it; VMs may differ. */
+  /** Wall-clock time as logged; the clocks of VMs may differ. */
   readonly time: string;
   readonly vm: string;
 }
 
-/** Fields that name a request, an item or a job, and the digest that the attempts of one request share. */
+/** Log fields that identify a request, an item or a job; all attempts of a request share its digest. */
 const ID_FIELDS = ['id', 'job', 'digest', 'request'] as const;
 
-/** Where the time of day stands in a line's time, from hours to milliseconds. */
+/** Range of an ISO timestamp that holds the time of day, from hours to milliseconds. */
 const TIME_OF_DAY = [11, 23] as const;
 
 function parseLine(text: string): ExplainedLine | undefined {
-  // Some collectors put words of their own before the line.
+  // Log collectors may add a prefix before the JSON.
   const start = text.indexOf('{');
   if (start === -1) {
     return undefined;
@@ -47,25 +47,25 @@
   }
 }
 
-function concerns(line: ExplainedLine, names: readonly string[]): boolean {
-  return ID_FIELDS.some((field) => names.includes(String(line.fields[field])));
+function mentionsAny(line: ExplainedLine, ids: readonly string[]): boolean {
+  return ID_FIELDS.some((field) => ids.includes(String(line.fields[field])));
 }
 
 /**
- * Lines about any of some names, oldest first.
+ * Finds the log lines that mention any of the given ids, oldest first.
  *
- * @param lines lines of any processes
- * @param names requests, items, jobs or digests
+ * @param lines log lines of any number of processes
+ * @param ids ids of requests, items or jobs, or digests
  */
 export async function findLines(
   lines: AsyncIterable<string>,
-  ...names: readonly string[]
+  ...ids: readonly string[]
 ): Promise<readonly ExplainedLine[]> {
   const found: ExplainedLine[] = [];
   for await (const text of lines) {
-    // Most lines are about others; reading them all as JSON would take minutes on a day's logs.
-    const line = names.some((name) => text.includes(name)) ? parseLine(text) : undefined;
-    if (line !== undefined && concerns(line, names)) {
+    // The substring test avoids parsing lines about other requests as JSON, which would dominate the run time.
+    const line = ids.some((id) => text.includes(id)) ? parseLine(text) : undefined;
+    if (line !== undefined && mentionsAny(line, ids)) {
       found.push(line);
     }
   }
@@ -73,51 +73,52 @@
 }
 
 /**
- * Digests that lines about a request name: engines ended when they began to run it, whatever its attempts are called.
+ * Returns the digests in the lines about a request. Attempts with other ids that engines crashed on have the same
+ * digest.
  *
- * @param lines what was found
+ * @param lines lines that mention the request
  */
 export function digestsOf(lines: readonly ExplainedLine[]): readonly string[] {
-  const named = lines.flatMap(({fields}) =>
+  const digests = lines.flatMap(({fields}) =>
     typeof fields['digest'] === 'string' ? [fields['digest']] : [],
   );
-  return [...new Set(named)];
+  return [...new Set(digests)];
 }
 
 /**
- * Words one line.
+ * Formats one line for the terminal.
  *
  * @param line the line
  */
 export function describeLine({fields, message, part, time, vm}: ExplainedLine): string {
-  const facts = Object.entries(fields)
+  const attributes = Object.entries(fields)
     .filter(([name]) => name !== 'id' || 'digest' in fields)
     .map(([name, value]) => `${name}=${String(value)}`);
-  return [time.slice(...TIME_OF_DAY), `${vm}/${part}`, message, ...facts].join(' ');
+  return [time.slice(...TIME_OF_DAY), `${vm}/${part}`, message, ...attributes].join(' ');
 }
 
-async function* linesOf(files: readonly string[]): AsyncGenerator<string> {
+async function* readLines(files: readonly string[]): AsyncGenerator<string> {
   for (const file of files) {
     yield* createInterface({input: createReadStream(file)});
   }
 }
 
 /**
- * Prints the way of a request; with a digest, all that became of it under any name.
+ * Prints the time line of a request, including its attempts under other ids if its lines hold a digest.
  *
- * @param id a request, an item or a job
- * @param files logs, in any order
- * @returns whether anything was found
+ * @param id id of a request, an item or a job
+ * @param files paths of the logs, in any order
+ * @returns whether any line was found
  */
 export async function runExplain(id: string, files: readonly string[]): Promise<boolean> {
-  // A reader that has seen enough, such as head, closes the pipe.
+  // A reader such as `head` may close the pipe early.
   process.stdout.on('error', () => process.exit());
-  const own = await findLines(linesOf(files), id);
-  const digests = digestsOf(own);
-  const lines = digests.length === 0 ? own : await findLines(linesOf(files), id, ...digests);
+  const direct = await findLines(readLines(files), id);
+  const digests = digestsOf(direct);
+  const lines = digests.length === 0 ? direct : await findLines(readLines(files), id, ...digests);
   lines.forEach((line) => process.stdout.write(`${describeLine(line)}\n`));
   if (lines.length === 0) {
-    process.stderr.write(`No line tells of ${id}.\n`);
+    process.stderr.write(`No log line mentions ${id}.\n`);
   }
   return lines.length > 0;
 }
--- a/packages/stallpaddle-cli/src/CliLoad.ts
+++ b/packages/stallpaddle-cli/src/CliLoad.ts
@@ -1,5 +1,5 @@
 /**
- * The command that sends a steady load.
+ * The `load` command.
  */
 import {refuse} from 'stallpaddle';
 import {runOpenLoop} from 'stallpaddle-load';
@@ -20,10 +20,10 @@
 }
 
 /**
- * Sends the load and prints what came of it.
+ * Sends online requests at a constant rate and prints counts and latencies.
  *
- * @param target the VM to ask
- * @param flags rate, time and kind of requests
+ * @param target VM that receives the call
+ * @param flags rate, duration and kind of requests
  */
 export async function runLoad(target: CliTarget, flags: LoadFlags): Promise<void> {
   if (flags.model === undefined) {
@@ -43,7 +43,7 @@
     [
       `${result.sent} sent, ${result.answered} answered, ${result.failed} failed`,
       `first byte: p50 ${result.firstByteP50Ms} ms, p99 ${result.firstByteP99Ms} ms`,
-      `whole answer: p50 ${result.wholeP50Ms} ms, p99 ${result.wholeP99Ms} ms`,
+      `full response: p50 ${result.wholeP50Ms} ms, p99 ${result.wholeP99Ms} ms`,
     ].join('\n'),
   );
 }
--- a/packages/stallpaddle-cli/src/CliOperator.ts
+++ b/packages/stallpaddle-cli/src/CliOperator.ts
@@ -11,15 +11,15 @@
 import {auditText, planText, print, statusText} from './CliPrint';
 import {addressesSchema, auditSchema, planSchema, statusSchema} from './CliSchemas';
 
-const WAIT_LOOK_MS = 200;
-const WAIT_MOST_MS = 60_000;
+const IN_FORCE_POLL_INTERVAL_MS = 200;
+const MAX_IN_FORCE_WAIT_MS = 60_000;
 
 /**
- * Plans an intent.
+ * Plans an intent and prints the plan.
  *
- * @param target the VM to ask
+ * @param target VM that receives the call
  * @param intent JSON, or `@FILE`
- * @param json print JSON
+ * @param json whether to print JSON
  */
 export async function runPlan(target: CliTarget, intent: string, json: boolean): Promise<void> {
   const text = intent.startsWith('@') ? await readFile(intent.slice(1), 'utf8') : intent;
@@ -32,12 +32,12 @@
 }
 
 /**
- * Confirms a plan.
+ * Confirms a plan and prints it.
  *
- * @param target the VM to ask
- * @param planId the plan
- * @param wait return only once it is in force everywhere
- * @param json print JSON
+ * @param target VM that receives the call
+ * @param planId id of the plan
+ * @param wait whether to wait until the plan is in force on every VM
+ * @param json whether to print JSON
  */
 export async function runConfirm(
   target: CliTarget,
@@ -48,7 +48,7 @@
   const path = `/admin/plans/${encodeURIComponent(planId)}`;
   let plan = await callJson(target, {method: 'POST', path: `${path}/confirm`}, planSchema);
   if (wait && plan.state.kind === 'confirmed') {
-    plan = await waitInForce(target, path, plan);
+    plan = await waitUntilInForce(target, path, plan);
   }
   print(json, plan, () => planText(plan));
   if (plan.state.kind === 'refused') {
@@ -56,31 +56,31 @@
   }
 }
 
-async function waitInForce(
+async function waitUntilInForce(
   target: CliTarget,
   path: string,
   confirmed: PlanResponse,
 ): Promise<PlanResponse> {
-  const until = Date.now() + WAIT_MOST_MS;
+  const deadline = Date.now() + MAX_IN_FORCE_WAIT_MS;
   let plan = confirmed;
   while (!plan.inForce.everywhere) {
-    if (Date.now() > until) {
+    if (Date.now() > deadline) {
       const missing = plan.inForce.waitingFor.join(', ');
       throw new CliCallError('unavailable', 'ran', `accepted, but not yet in force on ${missing}`);
     }
     const {on, waitingFor} = plan.inForce;
     process.stderr.write(`in force on ${on.length} of ${on.length + waitingFor.length} VMs\n`);
-    await delay(WAIT_LOOK_MS);
+    await delay(IN_FORCE_POLL_INTERVAL_MS);
     plan = await callJson(target, {method: 'GET', path}, planSchema);
   }
   return plan;
 }
 
 /**
- * Shows the fleet.
+ * Prints the status of the fleet.
  *
- * @param target the VM to ask
- * @param json print JSON
+ * @param target VM that receives the call
+ * @param json whether to print JSON
  */
 export async function runStatus(target: CliTarget, json: boolean): Promise<void> {
   const status = await callJson(target, {method: 'GET', path: '/admin/status'}, statusSchema);
@@ -88,12 +88,12 @@
 }
 
 /**
- * Shows the audit trail.
+ * Prints entries of the audit trail.
  *
- * @param target the VM to ask
- * @param after number of the last line already seen
- * @param limit most lines
- * @param json print JSON
+ * @param target VM that receives the call
+ * @param after number of the last entry already seen
+ * @param limit maximum number of entries
+ * @param json whether to print JSON
  */
 export async function runAudit(
   target: CliTarget,
@@ -107,11 +107,11 @@
 }
 
 /**
- * Shows the addresses that callers get.
+ * Prints the addresses that callers should use.
  *
- * @param target the VM to ask
+ * @param target VM that receives the call
  * @param zone the caller's availability zone, if any
- * @param json print JSON
+ * @param json whether to print JSON
  */
 export async function runAddresses(
   target: CliTarget,
@@ -119,15 +119,17 @@
   json: boolean,
 ): Promise<void> {
   const query = zone === undefined ? '' : `?zone=${encodeURIComponent(zone)}`;
-  const answer = await callJson(
+  const response = await callJson(
     target,
     {method: 'GET', path: `/addresses${query}`},
     addressesSchema,
   );
-  print(json, answer, () =>
-    answer.addresses.map(({host, port, vm, zone: at}) => `${host}:${port} ${vm} ${at}`).join('\n'),
+  print(json, response, () =>
+    response.addresses
+      .map(({host, port, vm, zone: at}) => `${host}:${port} ${vm} ${at}`)
+      .join('\n'),
   );
-  if (answer.addresses.length === 0) {
-    throw refuse('unavailable', 'no VM takes new work');
+  if (response.addresses.length === 0) {
+    throw refuse('unavailable', 'no VM accepts new work');
   }
 }
--- a/packages/stallpaddle-cli/src/CliPrint.ts
+++ b/packages/stallpaddle-cli/src/CliPrint.ts
@@ -1,5 +1,5 @@
 /**
- * Answers as a person reads them.
+ * Formats responses as text for the terminal.
  */
 import Table from 'cli-table3';
 import {unreachable} from 'stallpaddle';
@@ -7,20 +7,20 @@
 import type {BatchResponse, PlanResponse, StatusResponse} from './CliSchemas';
 
 /**
- * Writes text or, for scripts, JSON to the standard output.
+ * Prints a value as JSON or as text.
  *
- * @param json whether JSON was asked for
- * @param value the whole answer
- * @param text returns the text for a person
+ * @param json whether to print JSON
+ * @param value value to print as JSON
+ * @param text formats the value as text
  */
 export function print(json: boolean, value: unknown, text: () => string): void {
   process.stdout.write(`${json ? JSON.stringify(value) : text()}\n`);
 }
 
 function table(head: readonly string[], rows: readonly (readonly (number | string)[])[]): string {
-  const made = new Table({head: [...head], style: {border: [], head: []}});
-  rows.forEach((row) => made.push([...row]));
-  return made.toString();
+  const output = new Table({head: [...head], style: {border: [], head: []}});
+  rows.forEach((row) => output.push([...row]));
+  return output.toString();
 }
 
 function planOutcome({state}: PlanResponse): string {
@@ -28,7 +28,7 @@
     case 'confirmed':
       return `accepted as revision ${state.revision}, confirmed by ${state.by}`;
     case 'proposed':
-      return 'not confirmed: nothing has been changed';
+      return 'not confirmed: nothing has changed';
     case 'refused':
       return `refused: ${state.reason}`;
     default:
@@ -37,9 +37,9 @@
 }
 
 /**
- * A plan.
+ * Formats a plan with its steps, capacity changes, warnings and outcome.
  *
- * @param plan as the server shows it
+ * @param plan the plan
  */
 export function planText(plan: PlanResponse): string {
   const {capacity, steps, warnings} = plan.content;
@@ -64,19 +64,19 @@
 }
 
 /**
- * A batch job in one line.
+ * Formats a batch job as one line.
  *
- * @param batch as the server shows it
+ * @param batch the job
  */
 export function batchText(batch: BatchResponse): string {
   const {completed, failed, total} = batch.request_counts;
-  return `${batch.id} ${batch.status}: ${completed} done, ${failed} failed, ${total} in all`;
+  return `${batch.id} ${batch.status}: ${completed} done, ${failed} failed, ${total} in total`;
 }
 
 /**
- * The fleet's state.
+ * Formats the status of the fleet as tables.
  *
- * @param status as the server shows it
+ * @param status the status
  */
 export function statusText(status: StatusResponse): string {
   const vms = status.vms.map((vm) => [
@@ -91,14 +91,14 @@
     replica.role,
     replica.term,
     replica.applied,
-    replica.leader ?? 'none known',
+    replica.leader ?? 'unknown',
     replica.voters.join('\n'),
   ]);
   const engines = status.engines.map((engine) => [
     engine.engine,
     engine.role,
     `${engine.online}+${engine.batch}/${engine.slots}`,
-    engine.loadAgeMs === null ? 'never heard' : `${engine.loadAgeMs} ms`,
+    engine.loadAgeMs === null ? 'no report' : `${engine.loadAgeMs} ms`,
     engine.weights.join('\n'),
   ]);
   const ledger = status.ledger.map((shard) => [
@@ -109,7 +109,7 @@
   ]);
   return [
     `VM ${status.vm}, revision ${status.revision}`,
-    table(['VM', 'availability zone', 'state', 'revision', 'heard'], vms),
+    table(['VM', 'availability zone', 'state', 'revision', 'last seen'], vms),
     table(['group', 'role here', 'term', 'applied', 'leader', 'voters'], replicas),
     table(['engine', 'role', 'online+batch/slots', 'report age', 'weights'], engines),
     table(['shard', 'running jobs', 'open items', 'leases'], ledger),
@@ -117,9 +117,9 @@
 }
 
 /**
- * Lines of the audit trail.
+ * Formats audit entries, one per line.
  *
- * @param entries as the server shows them
+ * @param entries the entries
  */
 export function auditText(
   entries: readonly {
--- a/packages/stallpaddle-cli/src/CliSchemas.ts
+++ b/packages/stallpaddle-cli/src/CliSchemas.ts
@@ -1,9 +1,9 @@
 /**
- * What the command line reads out of answers.
+ * Schemas of the response fields that the command line reads.
  */
 import {z} from 'zod';
 
-/** A plan as the server shows it. */
+/** Response with a plan. */
 export const planSchema = z.looseObject({
   basis: z.number(),
   content: z.looseObject({
@@ -25,7 +25,7 @@
   ]),
 });
 
-/** A batch job as the server shows it. */
+/** Response with a batch job. */
 export const batchSchema = z.looseObject({
   error_file_id: z.string().nullable(),
   id: z.string(),
@@ -34,10 +34,10 @@
   status: z.string(),
 });
 
-/** An uploaded file as the server shows it. */
+/** Response with an uploaded file. */
 export const fileSchema = z.looseObject({id: z.string(), items: z.number()});
 
-/** Lines of the audit trail. */
+/** Response with entries of the audit trail. */
 export const auditSchema = z.object({
   entries: z.array(
     z.object({
@@ -52,7 +52,7 @@
   ),
 });
 
-/** Addresses for callers. */
+/** Response with the addresses that callers should use. */
 export const addressesSchema = z.object({
   addresses: z.array(
     z.object({host: z.string(), port: z.number(), vm: z.string(), zone: z.string()}),
@@ -60,7 +60,7 @@
   lifetimeMs: z.number(),
 });
 
-/** The fleet's state. */
+/** Response with the status of the fleet. */
 export const statusSchema = z.looseObject({
   engines: z.array(
     z.looseObject({
@@ -106,9 +106,9 @@
   ),
 });
 
-/** A plan as the server shows it. */
+/** Parsed response with a plan. */
 export type PlanResponse = z.infer<typeof planSchema>;
-/** A batch job as the server shows it. */
+/** Parsed response with a batch job. */
 export type BatchResponse = z.infer<typeof batchSchema>;
-/** The fleet's state. */
+/** Parsed response with the status of the fleet. */
 export type StatusResponse = z.infer<typeof statusSchema>;
--- a/packages/stallpaddle-cli/src/CliServe.ts
+++ b/packages/stallpaddle-cli/src/CliServe.ts
@@ -1,5 +1,5 @@
 /**
- * The command that runs a process until it is told to stop.
+ * The `serve` command.
  */
 import type {LogFormat, LoggerFactory} from 'stallpaddle';
 import type {Settings} from 'stallpaddle-settings';
@@ -12,11 +12,11 @@
 
 import {EXIT_FAILED} from './CliConstants';
 
-interface Running {
+interface RunningProcess {
   readonly stop: () => Promise<void>;
 }
 
-async function start(settings: Settings, loggers: LoggerFactory): Promise<Running> {
+async function start(settings: Settings, loggers: LoggerFactory): Promise<RunningProcess> {
   switch (settings.kind) {
     case 'engineStandIn': {
       const engine = new StandInEngine(settings);
@@ -32,7 +32,7 @@
     }
     case 'vm':
       return Vm.start(settings, loggers, (err) => {
-        loggers('vm').error('The process ends.', {reason: errorMessage(err)});
+        loggers('vm').error('The process exits after a fatal error.', {reason: errorMessage(err)});
         process.exit(EXIT_FAILED);
       });
     default:
@@ -41,19 +41,19 @@
 }
 
 /**
- * Reads a settings file.
+ * Reads and validates a settings file.
  *
- * @param file its path
+ * @param file path of the file
  */
 export async function readSettings(file: string): Promise<Settings> {
   return parseSettings(await readFile(file, 'utf8'));
 }
 
 /**
- * Runs a process until SIGTERM or SIGINT; a second signal ends it at once.
+ * Runs a process until SIGTERM or SIGINT. A second signal exits at once.
  *
- * @param file path of the settings
- * @param format how logs are written; the settings decide when it is missing
+ * @param file path of the settings file
+ * @param format log format; taken from the settings when missing
  */
 export async function runServe(file: string, format: LogFormat | undefined): Promise<void> {
   const settings = await readSettings(file);
@@ -69,7 +69,7 @@
     running.stop().then(
       () => process.exit(0),
       (err: unknown) => {
-        loggers('vm').error('The stop failed.', {reason: errorMessage(err)});
+        loggers('vm').error('The shutdown failed.', {reason: errorMessage(err)});
         process.exit(EXIT_FAILED);
       },
     );
--- a/packages/stallpaddle-cli/src/__tests__/unit/CliExplain.test.ts
+++ b/packages/stallpaddle-cli/src/__tests__/unit/CliExplain.test.ts
@@ -1,5 +1,5 @@
 /**
- * One time line over several logs.
+ * Guards the time line that `explain` builds from several logs against missing, foreign or misordered lines.
  */
 import {describe, expect, test} from 'vitest';
 
@@ -22,7 +22,7 @@
 }
 
 describe('digestsOf', () => {
-  test('names what the attempts of one request share, so that their lines are found too', async () => {
+  test('returns the digest that leads to the attempts of the request under other ids', async () => {
     const lines = [
       lineOf('01', {digest: 'd', engine: 'e1', id: 'first'}),
       lineOf('02', {id: 'q', request: 'd'}),
@@ -38,7 +38,7 @@
 });
 
 describe('findLines', () => {
-  test('gathers what tells of an id, oldest first, and passes over everything else', async () => {
+  test('finds the lines that mention an id, oldest first, and skips all others', async () => {
     const lines = linesOf(
       lineOf('03', {engine: 'e2', id: 'q'}),
       'not a line of ours q',
--- a/packages/stallpaddle-cli/src/index.ts
+++ b/packages/stallpaddle-cli/src/index.ts
@@ -1,2 +1,2 @@
-/** The command line. */
+/** Runs the commands of the `stallpaddle` binary. */
 export {runCli} from './Cli';
--- a/packages/stallpaddle-cli/src/main.ts
+++ b/packages/stallpaddle-cli/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * Entry point of the binary.
+ * Entry point of the `stallpaddle` binary.
  */
 import {runCli} from './Cli';
 
