--- a/packages/stallpaddle-report/src/ReportCompare.ts
+++ b/packages/stallpaddle-report/src/ReportCompare.ts
@@ -1,95 +1,94 @@
 /**
- * The same days played by two states of the code: how much each day's worth changed, and which parts and prices
- * changed with it. A single pair says nothing: the same day played twice differs by some hundredths.
+ * Compares the results of the same days played by two versions of the code.
  */
 import type {DayRecord} from './ReportRecord';
 
 import {lossesOf} from './ReportLosses';
 
-/** Mean of some figures, and their standard deviation (0 for a single one). */
+/** Mean and sample standard deviation (0 for a single value). */
 export interface Spread {
   readonly mean: number;
   readonly spread: number;
 }
 
-/** One day on both sides. */
+/** Worth of one day in both versions. */
 export interface DayPair {
-  /** Worth, mean of all plays. */
+  /** Mean worth over all runs of the day. */
   readonly after: number;
   readonly before: number;
   readonly name: string;
 }
 
-/** How much more worth a part or price left than before. */
+/** Change in the worth that one part or price costs; positive when it costs less than before. */
 export interface CauseChange {
   readonly cause: string;
   readonly change: Spread;
 }
 
-/** See the module's comment. */
+/** Changes in worth between two versions. Single pairs vary by chance between runs of the same day. */
 export interface Comparison {
-  /** The largest changes first. */
+  /** Sorted by absolute mean change, largest first. */
   readonly causes: readonly CauseChange[];
   readonly pairs: readonly DayPair[];
   readonly worth: Spread;
 }
 
-function meanOf(figures: readonly number[]): number {
-  return figures.reduce((sum, figure) => sum + figure, 0) / Math.max(1, figures.length);
+function meanOf(values: readonly number[]): number {
+  return values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length);
 }
 
-function spreadOf(figures: readonly number[]): Spread {
-  const mean = meanOf(figures);
-  if (figures.length < 2) {
+function spreadOf(values: readonly number[]): Spread {
+  const mean = meanOf(values);
+  if (values.length < 2) {
     return {mean, spread: 0};
   }
-  const squares = figures.reduce((sum, figure) => sum + (figure - mean) ** 2, 0);
-  return {mean, spread: Math.sqrt(squares / (figures.length - 1))};
+  const squares = values.reduce((sum, value) => sum + (value - mean) ** 2, 0);
+  return {mean, spread: Math.sqrt(squares / (values.length - 1))};
 }
 
-function playsByName(days: readonly DayRecord[]): ReadonlyMap<string, readonly DayRecord[]> {
-  const plays = new Map<string, readonly DayRecord[]>();
+function runsByName(days: readonly DayRecord[]): ReadonlyMap<string, readonly DayRecord[]> {
+  const runs = new Map<string, readonly DayRecord[]>();
   for (const day of days) {
     const {name} = lossesOf(day);
-    plays.set(name, [...(plays.get(name) ?? []), day]);
+    runs.set(name, [...(runs.get(name) ?? []), day]);
   }
-  return plays;
+  return runs;
 }
 
-/** Worth that each part and price took from a day, mean of all plays. */
-function takenBy(plays: readonly DayRecord[]): ReadonlyMap<string, number> {
-  const taken = new Map<string, number>();
+/** Returns the mean worth that each part and price cost over all runs of a day. */
+function costByCause(runs: readonly DayRecord[]): ReadonlyMap<string, number> {
+  const costs = new Map<string, number>();
   const add = (cause: string, share: number): void => {
-    taken.set(cause, (taken.get(cause) ?? 0) + share / plays.length);
+    costs.set(cause, (costs.get(cause) ?? 0) + share / runs.length);
   };
-  for (const {parts, prices} of plays) {
+  for (const {parts, prices} of runs) {
     parts.forEach(([cause, weight, earned]) => add(cause, weight * (1 - earned)));
     prices.forEach(([cause, , share]) => add(cause, share));
   }
-  return taken;
+  return costs;
 }
 
 /**
- * Compares days.
+ * Compares days of the same name. Days that only one version played are left out.
  *
- * @param before days played by the earlier code
- * @param after days played by the later code; those without a counterpart are left out, on both sides
+ * @param before days played by the old version
+ * @param after days played by the new version
  */
 export function compareDays(before: readonly DayRecord[], after: readonly DayRecord[]): Comparison {
-  const earlier = playsByName(before);
-  const later = playsByName(after);
+  const runsBefore = runsByName(before);
+  const runsAfter = runsByName(after);
   const pairs: DayPair[] = [];
   const changes = new Map<string, number[]>();
-  for (const [name, plays] of earlier) {
-    const others = later.get(name);
-    if (others === undefined) {
+  for (const [name, runs] of runsBefore) {
+    const counterparts = runsAfter.get(name);
+    if (counterparts === undefined) {
       continue;
     }
     const worthOf = (days: readonly DayRecord[]): number => meanOf(days.map(({G}) => G));
-    pairs.push({after: worthOf(others), before: worthOf(plays), name});
-    const [was, is] = [takenBy(plays), takenBy(others)];
-    for (const cause of new Set([...was.keys(), ...is.keys()])) {
-      const change = (was.get(cause) ?? 0) - (is.get(cause) ?? 0);
+    pairs.push({after: worthOf(counterparts), before: worthOf(runs), name});
+    const [costsBefore, costsAfter] = [costByCause(runs), costByCause(counterparts)];
+    for (const cause of new Set([...costsBefore.keys(), ...costsAfter.keys()])) {
+      const change = (costsBefore.get(cause) ?? 0) - (costsAfter.get(cause) ?? 0);
       changes.set(cause, [...(changes.get(cause) ?? []), change]);
     }
   }
--- a/packages/stallpaddle-report/src/ReportLosses.ts
+++ b/packages/stallpaddle-report/src/ReportLosses.ts
@@ -1,51 +1,49 @@
 /**
- * Where the worth of a day was lost: what each part fell short by, at its weight, and what each price took off.
- * All losses and the worth add up to one; losses too small to show are left out.
+ * Breaks the lost worth of a day down by cause.
  */
 import type {DayRecord} from './ReportRecord';
 
-/** One cause. */
+/** Worth lost to one cause. */
 export interface Loss {
-  /** The part that fell short, with what it earned, or the price. */
+  /** Name of the part, with the share that it earned, or name of the price. */
   readonly cause: string;
-  /** Share of the day's worth. */
+  /** Lost share of the maximum worth, which is 1. */
   readonly share: number;
 }
 
-/** A day's losses, the largest first. */
+/** Losses of a day, largest first. */
 export interface DayLosses {
   readonly losses: readonly Loss[];
-  /** Site, name and seed, as the bench takes them. */
+  /** Site, name and seed, in the form of arguments of the benchmark. */
   readonly name: string;
-  /** What is left after all losses, also those that are not shown. */
+  /** Worth after all losses, including those that are too small to list. */
   readonly worth: number;
 }
 
-/** Losses below this share are not shown: they are within the rounding of what was written. */
-const SHOWN_FROM = 0.0005;
-/** Tenths of a percent in a whole. */
-const TENTHS_IN_WHOLE = 1_000;
-/** Tenths of a percent in a percent. */
-const TENTHS_IN_PERCENT = 10;
+/** Minimum share of a listed loss; smaller ones may be rounding errors of the input. */
+const MIN_LISTED_SHARE = 0.0005;
+const TENTHS_PER_WHOLE = 1_000;
+const TENTHS_PER_PERCENT = 10;
 
-/** A share in percent, to a tenth. */
-function percentOf(share: number): string {
-  return `${Math.round(share * TENTHS_IN_WHOLE) / TENTHS_IN_PERCENT}%`;
+/** Formats a share in percent, rounded to a tenth. */
+function formatPercent(share: number): string {
+  return `${Math.round(share * TENTHS_PER_WHOLE) / TENTHS_PER_PERCENT}%`;
 }
 
 /**
- * A day's losses.
+ * Lists what a day lost: the shortfall of each part times its weight, and each price. Worth and losses, including the
+ * unlisted ones, add up to 1.
  *
- * @param day the day as it was written
+ * @param day the day's record
  */
 export function lossesOf(day: DayRecord): DayLosses {
-  const short = day.parts.map(([cause, weight, earned]) => ({
-    cause: `${cause} (${percentOf(earned)} earned)`,
+  const shortfalls = day.parts.map(([cause, weight, earned]) => ({
+    cause: `${cause} (${formatPercent(earned)} earned)`,
     share: weight * (1 - earned),
   }));
-  const priced = day.prices.map(([cause, , share]) => ({cause, share}));
-  const losses = [...short, ...priced]
-    .filter(({share}) => share >= SHOWN_FROM)
+  const prices = day.prices.map(([cause, , share]) => ({cause, share}));
+  const losses = [...shortfalls, ...prices]
+    .filter(({share}) => share >= MIN_LISTED_SHARE)
     .sort((a, b) => b.share - a.share);
   const seed = (day.seed ?? null) === null ? '' : ` --seed ${day.seed}`;
   const site = day.site === null ? '' : `${day.site} `;
--- a/packages/stallpaddle-report/src/ReportRecord.ts
+++ b/packages/stallpaddle-report/src/ReportRecord.ts
@@ -1,49 +1,49 @@
 /**
- * Reads what the users' bench writes: an entry of its journal (several days) or the report of one day. Fields
- * that are not named here may come and go.
+ * Parses the JSON files of the benchmark: a journal entry with several days, or the report of one day. Unknown fields
+ * are ignored.
  */
 import {errorMessage} from 'stallpaddle';
 import * as z from 'zod/mini';
 
-/** Part of a whole; 1 is all of it. */
+/** Fraction of a whole, from 0 to 1. */
 const share = z.number();
 
-/** Requests that were sent in one stretch of a day. */
+/** Requests sent in one time window of a day, by outcome. */
 const windowSchema = z.object({
   failed: z.number(),
   in_aim: z.number(),
   late: z.number(),
   n: z.number(),
-  /** Second from which it counts, as text. */
+  /** Start of the window in seconds, as text. */
   name: z.string(),
   not_owed: z.number(),
   refused: z.number(),
 });
 
 const daySchema = z.object({
-  /** Worth of the day: its parts by their weights, less its prices. */
+  /** Worth of the day: weighted sum of its parts, minus its prices. */
   G: z.number(),
   name: z.nullish(z.string()),
-  /** Name, weight, share that was earned. */
+  /** Name, weight and earned share of each part. */
   parts: z.array(z.tuple([z.string(), share, share])),
-  /** Name, amount, share that was taken off. */
+  /** Name, amount and deducted share of each price. */
   prices: z.array(z.tuple([z.string(), z.number(), share])),
-  /** Null for a day that was drawn just now. */
+  /** Null for a day that was generated without a fixed seed. */
   seed: z.nullish(z.number()),
   windows: z.nullish(z.array(windowSchema)),
 });
 
 const entrySchema = z.object({days: z.array(daySchema), site: z.string()});
 
-/** An entry of a run that was ended before any day was over. */
-const endedSchema = z.object({cmd: z.string(), id: z.string()});
+/** Journal entry of a run that was stopped before its first day completed. */
+const stoppedSchema = z.object({cmd: z.string(), id: z.string()});
 
-/** Requests that were sent in one stretch of a day. */
+/** Requests sent in one time window of a day, by outcome. */
 export type WindowRecord = Readonly<z.infer<typeof windowSchema>>;
-/** One played day. */
+/** Result of one day; the site is null for the report of a single day. */
 export type DayRecord = Readonly<z.infer<typeof daySchema>> & {readonly site: string | null};
 
-/** A file that is neither an entry of the journal nor the report of a day. */
+/** A file that is neither a journal entry with days nor the report of a day. */
 export class ReportError extends Error {
   override readonly name = 'ReportError';
 }
@@ -57,10 +57,10 @@
 }
 
 /**
- * Reads the days of a file.
+ * Parses the days in a file.
  *
- * @param text the file's content, JSON
- * @throws {ReportError} when it holds no days
+ * @param text content of the file, JSON
+ * @throws {ReportError} when it contains no days
  */
 export function readDays(text: string): readonly DayRecord[] {
   const value = parse(text);
@@ -73,10 +73,10 @@
   if (day.success) {
     return [{...day.data, site: null}];
   }
-  const ended = z.safeParse(endedSchema, value);
-  if (ended.success) {
-    const {cmd, id} = ended.data;
-    throw new ReportError(`The entry ${id} of a ${cmd} holds no days that could be read.`);
+  const stopped = z.safeParse(stoppedSchema, value);
+  if (stopped.success) {
+    const {cmd, id} = stopped.data;
+    throw new ReportError(`The entry ${id} of a ${cmd} contains no readable days.`);
   }
-  throw new ReportError('The file holds neither an entry of the journal nor the report of a day.');
+  throw new ReportError('The file is neither a journal entry nor the report of a day.');
 }
--- a/packages/stallpaddle-report/src/ReportSvg.ts
+++ b/packages/stallpaddle-report/src/ReportSvg.ts
@@ -1,9 +1,9 @@
 /**
- * Text in pictures.
+ * Helpers for SVG output.
  */
 
 /**
- * Text as it may stand in SVG.
+ * Escapes text for the content of an SVG element.
  *
  * @param text plain text
  */
--- a/packages/stallpaddle-report/src/ReportWindows.ts
+++ b/packages/stallpaddle-report/src/ReportWindows.ts
@@ -1,31 +1,30 @@
 /**
- * A picture of a day for a person: for each stretch of time, how many of its requests were in time, late,
- * refused and failed.
+ * Draws a day as a stacked column chart: requests in time, late, refused and failed per time window.
  */
 import type {WindowRecord} from './ReportRecord';
 
 import {escapeText} from './ReportSvg';
 
-/** Width of the picture, in pixels. */
+/** Width of the chart, in pixels. */
 const WIDTH = 900;
-/** Height of the picture, in pixels. */
+/** Height of the chart, in pixels. */
 const HEIGHT = 260;
-/** Space around the columns, in pixels. */
+/** Margin around the columns, in pixels. */
 const MARGIN = 40;
-/** Space between two columns, in pixels. */
+/** Gap between two columns, in pixels. */
 const GAP = 2;
-/** Size of all text, in pixels. */
+/** Font size, in pixels. */
 const FONT_SIZE = 10;
-/** Where the line of the title and the legend stands, from the top, in pixels. */
+/** Y coordinate of the title and the legend, in pixels. */
 const TITLE_Y = 20;
-/** How far below the columns their names stand, in pixels. */
-const NAME_DROP = 14;
-/** Space for one word of the legend, in pixels. */
-const LEGEND_STEP = 80;
-/** Digits after the point of a place or height: a tenth of a pixel. */
-const PIXEL_DIGITS = 1;
+/** Distance of the labels below the columns, in pixels. */
+const LABEL_OFFSET = 14;
+/** Width of one legend item, in pixels. */
+const LEGEND_ITEM_WIDTH = 80;
+/** Decimal places of coordinates. */
+const COORDINATE_DIGITS = 1;
 
-/** What is drawn on top of each other, from the bottom up. */
+/** Layers of a column, from bottom to top. */
 const LAYERS = [
   {color: '#4a8f5d', key: 'in_aim', label: 'in time'},
   {color: '#d9a441', key: 'late', label: 'late'},
@@ -34,24 +33,29 @@
 ] as const;
 
 /**
- * One column: a box for each layer, and the name of its stretch below.
+ * Draws one column: a box for each layer and the start of the window as the label.
  *
- * @param window the stretch
+ * @param window the time window
  * @param x left edge, in pixels
  * @param width width, in pixels
- * @param perRequest height of one request, in pixels
+ * @param heightPerRequest height of one request, in pixels
  */
-function columnOf(window: WindowRecord, x: number, width: number, perRequest: number): string {
+function drawColumn(
+  window: WindowRecord,
+  x: number,
+  width: number,
+  heightPerRequest: number,
+): string {
   let bottom = HEIGHT - MARGIN;
   const boxes = LAYERS.map(({color, key, label}) => {
-    const height = window[key] * perRequest;
+    const height = window[key] * heightPerRequest;
     bottom -= height;
     const title = `${window[key]} ${label}, from ${window.name} s`;
-    return `<rect x="${x}" y="${bottom.toFixed(PIXEL_DIGITS)}" width="${width}" height="${height.toFixed(PIXEL_DIGITS)}" fill="${color}"><title>${title}</title></rect>`;
+    return `<rect x="${x}" y="${bottom.toFixed(COORDINATE_DIGITS)}" width="${width}" height="${height.toFixed(COORDINATE_DIGITS)}" fill="${color}"><title>${title}</title></rect>`;
   });
-  const at = x + width / 2;
+  const centre = x + width / 2;
   boxes.push(
-    `<text x="${at}" y="${HEIGHT - MARGIN + NAME_DROP}" text-anchor="middle">${window.name}</text>`,
+    `<text x="${centre}" y="${HEIGHT - MARGIN + LABEL_OFFSET}" text-anchor="middle">${window.name}</text>`,
   );
   return boxes.join('');
 }
@@ -59,24 +63,24 @@
 /**
  * Draws a day.
  *
- * @param title what stands above it; plain text
- * @param windows the day's stretches, in order
- * @returns SVG
+ * @param title title of the chart, as plain text
+ * @param windows time windows of the day, in order
+ * @returns an SVG document
  */
 export function drawWindows(title: string, windows: readonly WindowRecord[]): string {
-  const most = Math.max(1, ...windows.map(({n}) => n));
-  const perRequest = (HEIGHT - 2 * MARGIN) / most;
+  const maxRequests = Math.max(1, ...windows.map(({n}) => n));
+  const heightPerRequest = (HEIGHT - 2 * MARGIN) / maxRequests;
   const step = (WIDTH - 2 * MARGIN) / Math.max(1, windows.length);
   const columns = windows.map((window, at) =>
-    columnOf(window, MARGIN + at * step, Math.max(1, step - GAP), perRequest),
+    drawColumn(window, MARGIN + at * step, Math.max(1, step - GAP), heightPerRequest),
   );
   const legend = LAYERS.map(
     ({color, label}, at) =>
-      `<text x="${WIDTH - MARGIN - LEGEND_STEP * (LAYERS.length - at)}" y="${TITLE_Y}" fill="${color}">${label}</text>`,
+      `<text x="${WIDTH - MARGIN - LEGEND_ITEM_WIDTH * (LAYERS.length - at)}" y="${TITLE_Y}" fill="${color}">${label}</text>`,
   );
   return [
     `<svg xmlns="http://www.w3.org/2000/svg" width="${WIDTH}" height="${HEIGHT}" font-family="sans-serif" font-size="${FONT_SIZE}">`,
-    `<text x="${MARGIN}" y="${TITLE_Y}">${escapeText(title)}: requests by the second in which they were sent</text>`,
+    `<text x="${MARGIN}" y="${TITLE_Y}">${escapeText(title)}: requests by the time in seconds at which they were sent</text>`,
     ...legend,
     ...columns,
     '</svg>',
--- a/packages/stallpaddle-report/src/__tests__/unit/Report.test.ts
+++ b/packages/stallpaddle-report/src/__tests__/unit/Report.test.ts
@@ -1,5 +1,5 @@
 /**
- * Days as the bench writes them: read whole or refused, their losses complete, their picture in proportion.
+ * Guards against misread files of the benchmark, incomplete losses and charts that are out of proportion.
  */
 import {describe, expect, test} from 'vitest';
 
@@ -22,29 +22,29 @@
 }
 
 describe('report', () => {
-  test('reads an entry of the journal and the report of one day', () => {
+  test('reads a journal entry and the report of one day', () => {
     const entry = JSON.stringify({days: [dayOf(), dayOf({seed: 7})], site: 's'});
     expect(readDays(entry).map((day) => lossesOf(day).name)).toEqual(['s d', 's d --seed 7']);
     expect(readDays(JSON.stringify(dayOf()))).toHaveLength(1);
   });
 
-  test('refuses what is neither', () => {
+  test('rejects files that are neither', () => {
     expect(() => readDays('{"days":3}')).toThrow(ReportError);
     expect(() => readDays('{')).toThrow(ReportError);
   });
 
-  test('reads an entry whose last day was drawn just now, without a seed', () => {
+  test('reads an entry whose last day has no seed', () => {
     const days = [dayOf({seed: 7}), dayOf({name: 'fresh', seed: null, windows: null})];
     const read = readDays(JSON.stringify({days, site: 's'}));
     expect(read.map((day) => lossesOf(day).name)).toEqual(['s d --seed 7', 's fresh']);
   });
 
-  test('says which entry holds no day', () => {
+  test('names the entry that contains no days', () => {
     const entry = JSON.stringify({cmd: 'hunt', days: null, id: 'be9c5ce7', site: null});
     expect(() => readDays(entry)).toThrow(/be9c5ce7 of a hunt/);
   });
 
-  test('compares days that were played on both sides, and leaves the others out', () => {
+  test('compares only the days that both versions played', () => {
     const before = [dayOf({name: 'a'}), dayOf({name: 'b'}), dayOf({name: 'c'})];
     const after = [dayOf({G: 0.66, name: 'a'}), dayOf({G: 0.68, name: 'b'}), dayOf({name: 'd'})];
     const daysOf = (days: readonly object[]) => readDays(JSON.stringify({days, site: 's'}));
@@ -55,7 +55,7 @@
     expect(causes.every(({change}) => change.mean === 0)).toBe(true);
   });
 
-  test('takes the mean of days that were played more than once', () => {
+  test('averages the runs of a day that was played more than once', () => {
     const days = (...worths: readonly number[]) =>
       readDays(JSON.stringify({days: worths.map((G) => dayOf({G})), site: 's'}));
     const {pairs, worth} = compareDays(days(0.5, 0.7), days(0.8));
@@ -64,7 +64,7 @@
     expect(worth.spread).toBe(0);
   });
 
-  test('draws each pair to the side of its change', () => {
+  test('draws an increase to the right and a decrease to the left of the zero line', () => {
     const pairs = [
       {after: 0.8, before: 0.7, name: 'up'},
       {after: 0.6, before: 0.7, name: 'down'},
@@ -76,7 +76,7 @@
     expect(down).toBeLessThan(centre);
   });
 
-  test('losses and worth add up to one, the largest first', () => {
+  test('sorts the losses, which add up to one with the worth', () => {
     const [day] = readDays(JSON.stringify(dayOf()));
     const {losses, worth} = lossesOf(day!);
     expect(losses.map(({cause}) => cause)).toEqual([
@@ -87,7 +87,7 @@
     expect(worth + losses.reduce((sum, {share}) => sum + share, 0)).toBeCloseTo(1);
   });
 
-  test('draws each stretch with heights in proportion to its requests', () => {
+  test('draws each window with heights in proportion to its requests', () => {
     const window = {failed: 0, in_aim: 30, late: 10, n: 40, name: '0', not_owed: 0, refused: 0};
     const svg = drawWindows('t < & u', [
       window,
--- a/packages/stallpaddle-report/src/index.ts
+++ b/packages/stallpaddle-report/src/index.ts
@@ -1,4 +1,4 @@
-/** Where the worth of a played day was lost, from a journal entry or a day's report. */
+/** Reports and comparisons of days that the benchmark played. */
 export {
   type CauseChange,
   compareDays,
--- a/packages/stallpaddle-report/src/main.ts
+++ b/packages/stallpaddle-report/src/main.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run report -- FILE... [--svg FOLDER]` prints where each day of the files lost its worth; with a folder, it
- * draws each day whose file holds its stretches of time. `npm run report -- compare BEFORE AFTER [--svg FILE]`
- * compares the days of two files, or of all files in two folders. Exit code 1 for files that can't be read.
+ * `npm run report -- FILE... [--svg FOLDER]` prints the worth and losses of each day in the files and, with a folder,
+ * draws the days that have time windows. `npm run report -- compare BEFORE AFTER [--svg FILE]` compares the days of two
+ * files, or of all files in two folders. The exit code is 1 if a file can't be read.
  */
 import {cac} from 'cac';
 import {readdirSync, readFileSync, statSync, writeFileSync} from 'node:fs';
@@ -14,25 +14,25 @@
 import {type DayRecord, readDays} from './ReportRecord';
 import {drawWindows} from './ReportWindows';
 
-/** Digits after the point of a share. */
+/** Decimal places of a share. */
 const SHARE_DIGITS = 4;
-/** Width of the column of names and causes, in characters. */
+/** Width of the column with names and causes, in characters. */
 const NAME_WIDTH = 52;
-/** Changes below this share are not shown: they are within the rounding of what was written. */
-const SHOWN_FROM = 0.0005;
+/** Minimum share of a listed change; smaller ones may be rounding errors of the input. */
+const MIN_LISTED_SHARE = 0.0005;
 
-/** A day's report names no day: its file's name stands for it. */
-function daysOf(file: string): readonly DayRecord[] {
+/** Reads the days of a file. A day without a name is named after the file. */
+function readDayFile(file: string): readonly DayRecord[] {
   const name = path.basename(file, '.json');
   return readDays(readFileSync(file, 'utf8')).map((day) => ({...day, name: day.name ?? name}));
 }
 
-function filesOf(place: string): readonly string[] {
-  if (!statSync(place).isDirectory()) {
-    return [place];
+function listFiles(fileOrFolder: string): readonly string[] {
+  if (!statSync(fileOrFolder).isDirectory()) {
+    return [fileOrFolder];
   }
-  const names = readdirSync(place).filter((name) => name.endsWith('.json'));
-  return names.sort().map((name) => path.join(place, name));
+  const names = readdirSync(fileOrFolder).filter((name) => name.endsWith('.json'));
+  return names.sort().map((name) => path.join(fileOrFolder, name));
 }
 
 function printDay(day: DayRecord): void {
@@ -43,7 +43,7 @@
   }
 }
 
-/** Draws a day whose file holds its stretches of time. */
+/** Draws a day, if its record has time windows. */
 function drawDay(day: DayRecord, file: string): void {
   const windows = day.windows ?? [];
   if (windows.length > 0) {
@@ -53,7 +53,7 @@
 
 function report(files: readonly string[], folder: string | undefined): void {
   for (const file of files) {
-    const days = daysOf(file);
+    const days = readDayFile(file);
     days.forEach(printDay);
     if (folder !== undefined) {
       const name = path.basename(file, '.json');
@@ -62,24 +62,27 @@
   }
 }
 
-function spreadText({mean, spread}: Spread): string {
+function formatSpread({mean, spread}: Spread): string {
   const sign = mean < 0 ? '' : '+';
   return `${sign}${mean.toFixed(SHARE_DIGITS)} (deviation ${spread.toFixed(SHARE_DIGITS)})`;
 }
 
 function compare(before: string, after: string, svg: string | undefined): void {
   const {causes, pairs, worth} = compareDays(
-    filesOf(before).flatMap(daysOf),
-    filesOf(after).flatMap(daysOf),
+    listFiles(before).flatMap(readDayFile),
+    listFiles(after).flatMap(readDayFile),
   );
   for (const pair of pairs) {
-    const [was, is] = [pair.before.toFixed(SHARE_DIGITS), pair.after.toFixed(SHARE_DIGITS)];
-    console.log(`${pair.name.padEnd(NAME_WIDTH)} ${was} to ${is}`);
+    const [worthBefore, worthAfter] = [
+      pair.before.toFixed(SHARE_DIGITS),
+      pair.after.toFixed(SHARE_DIGITS),
+    ];
+    console.log(`${pair.name.padEnd(NAME_WIDTH)} ${worthBefore} to ${worthAfter}`);
   }
-  console.log(`${`worth of ${pairs.length} days`.padEnd(NAME_WIDTH)} ${spreadText(worth)}`);
+  console.log(`${`worth of ${pairs.length} days`.padEnd(NAME_WIDTH)} ${formatSpread(worth)}`);
   for (const {cause, change} of causes) {
-    if (Math.abs(change.mean) >= SHOWN_FROM) {
-      console.log(`  ${cause.padEnd(NAME_WIDTH)} ${spreadText(change)}`);
+    if (Math.abs(change.mean) >= MIN_LISTED_SHARE) {
+      console.log(`  ${cause.padEnd(NAME_WIDTH)} ${formatSpread(change)}`);
     }
   }
   if (svg !== undefined) {
@@ -87,10 +90,10 @@
   }
 }
 
-/** Bad input is one line, not a stack trace. */
-function orComplain(work: () => void): void {
+/** Reports an error in one line, without a stack trace. */
+function runOrReportError(action: () => void): void {
   try {
-    work();
+    action();
   } catch (err) {
     console.error(`report: ${errorMessage(err)}`);
     process.exitCode = 1;
@@ -103,14 +106,14 @@
 
 const cli = cac('report');
 cli
-  .command('compare <before> <after>', 'Compares the days of two files or folders')
-  .option('--svg <file>', 'Draws the comparison there')
+  .command('compare <before> <after>', 'Compare the days of two files or folders')
+  .option('--svg <file>', 'Write the comparison as SVG to this file')
   .action((before: string, after: string, {svg}: Options) =>
-    orComplain(() => compare(before, after, svg)),
+    runOrReportError(() => compare(before, after, svg)),
   );
 cli
-  .command('[...files]', 'Prints where the worth of played days was lost')
-  .option('--svg <folder>', 'Draws the days there')
-  .action((files: readonly string[], {svg}: Options) => orComplain(() => report(files, svg)));
+  .command('[...files]', 'Print the worth and losses of played days')
+  .option('--svg <folder>', 'Write the days as SVG to this folder')
+  .action((files: readonly string[], {svg}: Options) => runOrReportError(() => report(files, svg)));
 cli.help();
 cli.parse();
