--- a/packages/stallpaddle-engine/src/EngineAdapter.ts
+++ b/packages/stallpaddle-engine/src/EngineAdapter.ts
@@ -1,66 +1,66 @@
 /**
- * What the system needs of a backend server. Narrow, so that other engines can be put behind it.
+ * Interface to backend servers, kept small so that further kinds of engines are easy to add.
  */
 import type {Verdict} from 'stallpaddle';
 import type {EngineLoad, WorkClass} from 'stallpaddle-routing';
 
-/** A request on its way to a backend server. */
+/** A request to a backend server. */
 export interface BackendRequest {
-  /** Binds the answer to this attempt; never used twice. */
+  /** Unique id of this attempt. */
   readonly attemptId: string;
   readonly body: Uint8Array;
   readonly contentType: string;
   readonly method: string;
-  /** Path with query. */
+  /** Path and query. */
   readonly path: string;
   readonly repeatable: boolean;
-  /** Time that the caller still waits, in milliseconds. */
+  /** Time left until the caller's deadline, in milliseconds. */
   readonly timeoutMs: number;
   readonly work: WorkClass;
 }
 
-/** An answer whose head has arrived. */
+/** A response whose headers have arrived. */
 export interface BackendResponse {
-  /** Ends with an error when the answer breaks off. */
+  /** Throws a {@link BackendError} when the response is truncated. */
   readonly body: AsyncIterable<Uint8Array>;
   readonly contentType: string;
   readonly status: number;
 }
 
-/** Outcome of an order. */
+/** Outcome of an order to load weights. */
 export type OrderOutcome =
   | {readonly kind: 'accepted'}
   | {readonly kind: 'oldFencing'}
   | {readonly kind: 'unknown'; readonly reason: string};
 
-/** What an engine says of itself. */
+/** Load and weights that an engine reports. */
 export interface EngineStatus {
   readonly load: EngineLoad;
   readonly loading: readonly string[];
 }
 
-/** A backend server. */
+/** Client of one backend server. */
 export interface EngineAdapter {
   /**
    * Sends a request.
    *
-   * @throws {BackendError} when no whole head arrives
+   * @throws {BackendError} when the server refuses the request or sends no complete headers
    */
   readonly generate: (req: BackendRequest, signal: AbortSignal) => Promise<BackendResponse>;
-  /** Orders the engine to hold exactly these weights. */
+  /** Orders the engine to load the target weights and unload all others. */
   readonly order: (target: readonly string[], fencing: number) => Promise<OrderOutcome>;
-  /** Asks for load and weights. */
+  /** Fetches load and weights. */
   readonly status: (timeoutMs: number) => Promise<EngineStatus>;
 }
 
-/** A request that got no whole answer from a backend server. */
+/** A request without a complete response from a backend server. */
 export class BackendError extends Error {
   override readonly name = 'BackendError';
 
   /**
    * @param verdict whether the backend server may have run it
-   * @param message one sentence for a person
-   * @param retryAfterMs when the backend server asked to come back
+   * @param message error message
+   * @param retryAfterMs delay before a retry that the backend server asked for, in milliseconds
    */
   constructor(
     readonly verdict: Verdict,
--- a/packages/stallpaddle-engine/src/EngineHttp.ts
+++ b/packages/stallpaddle-engine/src/EngineHttp.ts
@@ -1,5 +1,5 @@
 /**
- * Backend servers that speak HTTP, with the OpenAI-compatible paths for model engines.
+ * HTTP client for backend servers, with load reports and orders for model engines.
  */
 import type {Verdict} from 'stallpaddle';
 
@@ -17,20 +17,20 @@
 
 import {BackendError} from './EngineAdapter';
 
-/** Header that carries the attempt's id. */
+/** Header with the id of the attempt. */
 export const ATTEMPT_HEADER = 'x-request-id';
-/** Header that carries the priority; smaller goes first. */
+/** Header with the priority; lower values are served first. */
 export const PRIORITY_HEADER = 'x-priority';
-/** Header that carries the time the caller still waits, in milliseconds. */
+/** Header with the time left until the caller's deadline, in milliseconds. */
 export const TIMEOUT_HEADER = 'x-timeout-ms';
-/** Path of an engine's load report. */
+/** Path of the load report of an engine. */
 export const LOAD_PATH = '/load';
-/** Path of orders to an engine. */
+/** Path of orders to load weights. */
 export const ORDERS_PATH = '/orders';
 
 const ORDER_TIMEOUT_MS = 2_000;
 const MAX_STATUS_BYTES = 1_048_576;
-const OLD_FENCING_STATUS = 409;
+const STALE_FENCING_STATUS = 409;
 const PRIORITIES = {batch: '10', online: '0'} as const;
 
 const statusSchema = z.object({
@@ -42,36 +42,37 @@
   weights: z.array(z.string()),
 });
 
-/** Errors before the connection stood: nothing was sent. */
-const NOT_CONNECTED = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL']);
+/** Errors while connecting, before anything was sent. */
+const CONNECT_ERRORS = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL']);
 
 function verdictOf(err: unknown): Verdict {
   const code = err instanceof Error && 'code' in err ? String(err.code) : '';
-  return NOT_CONNECTED.has(code) ? 'notRun' : 'mayHaveRun';
+  return CONNECT_ERRORS.has(code) ? 'notRun' : 'mayHaveRun';
 }
 
 /**
- * Body of an answer. Node ends the iteration with an error when the connection breaks off, but not
- * when a body without a length ends early; chunked framing covers that.
+ * Yields the body of a response and throws if it is truncated. Node doesn't detect every truncation itself: a body
+ * without a length is only known to be incomplete when it has chunked framing or its connection was reset.
  */
-async function* bodyOf(res: IncomingMessage): AsyncGenerator<Uint8Array> {
+async function* streamBody(res: IncomingMessage): AsyncGenerator<Uint8Array> {
   try {
     for await (const chunk of res) {
       yield chunk as Buffer;
     }
   } catch (err) {
-    throw new BackendError('mayHaveRun', `the answer broke off: ${errorMessage(err)}`);
+    throw new BackendError('mayHaveRun', `the response was truncated: ${errorMessage(err)}`);
   }
   if (!res.complete) {
-    throw new BackendError('mayHaveRun', 'the answer broke off');
+    throw new BackendError('mayHaveRun', 'the response was truncated');
   }
 }
 
 /**
- * Reads a body whole.
+ * Reads a body into memory.
  *
  * @param body the body
- * @param maxBytes bound on its size
+ * @param maxBytes maximum size
+ * @throws {BackendError} when the body is truncated or larger than the maximum
  */
 export async function readBody(
   body: AsyncIterable<Uint8Array>,
@@ -82,17 +83,17 @@
   for await (const chunk of body) {
     bytes += chunk.length;
     if (bytes > maxBytes) {
-      throw new BackendError('ran', `the answer is longer than ${maxBytes} bytes`);
+      throw new BackendError('ran', `the response is larger than ${maxBytes} bytes`);
     }
     chunks.push(chunk);
   }
   return Buffer.concat(chunks);
 }
 
-/** One backend server, reached by IP number. */
+/** Sends requests and orders to one backend server over HTTP. */
 export class HttpEngine implements EngineAdapter {
   /**
-   * @param host IP number
+   * @param host IP address
    * @param port TCP port
    */
   constructor(
@@ -102,9 +103,9 @@
 
   generate(req: BackendRequest, signal: AbortSignal): Promise<BackendResponse> {
     return new Promise((resolve, reject) => {
-      const sent = request({
-        // Of its own: an engine may answer twice, and what comes late on a kept connection would be taken for the next
-        // request's answer; a kept one may also be closing.
+      const outgoing = request({
+        // Each request gets its own connection: on a reused one, a second response that an engine sends by mistake would
+        // be matched to the next request. A reused connection may also be closing.
         agent: false,
         headers: {
           [ATTEMPT_HEADER]: req.attemptId,
@@ -119,22 +120,22 @@
         port: this.port,
         signal,
       });
-      registerResetDetector(sent);
-      sent.on('error', (err) => reject(new BackendError(verdictOf(err), errorMessage(err))));
-      sent.on('response', (res) => {
-        const refusal = refusalOf(res);
+      registerResetDetector(outgoing);
+      outgoing.on('error', (err) => reject(new BackendError(verdictOf(err), errorMessage(err))));
+      outgoing.on('response', (res) => {
+        const refusal = parseRefusal(res);
         if (refusal !== undefined) {
           res.resume();
           reject(refusal);
           return;
         }
         resolve({
-          body: bodyOf(res),
+          body: streamBody(res),
           contentType: res.headers['content-type'] ?? 'application/octet-stream',
           status: res.statusCode ?? 0,
         });
       });
-      sent.end(req.body);
+      outgoing.end(req.body);
     });
   }
 
@@ -142,7 +143,7 @@
     try {
       const body = Buffer.from(JSON.stringify({fencing, weights: target}));
       const {status} = await this.exchange('POST', ORDERS_PATH, body, ORDER_TIMEOUT_MS);
-      if (status === OLD_FENCING_STATUS) {
+      if (status === STALE_FENCING_STATUS) {
         return {kind: 'oldFencing'};
       }
       return status < 300 ? {kind: 'accepted'} : {kind: 'unknown', reason: `status ${status}`};
@@ -175,22 +176,26 @@
     };
     const deadline = startDeadline(timeoutMs);
     try {
-      const answer = await this.generate(req, deadline.signal);
-      const whole = await readBody(answer.body, MAX_STATUS_BYTES);
-      return {status: answer.status, text: whole.toString()};
+      const response = await this.generate(req, deadline.signal);
+      const content = await readBody(response.body, MAX_STATUS_BYTES);
+      return {status: response.status, text: content.toString()};
     } finally {
       deadline.dispose();
     }
   }
 }
 
-/** An engine that refuses before it starts says so with 429 or 503 and the verdict. */
-function refusalOf(res: IncomingMessage): BackendError | undefined {
+/** Returns an error if the engine refused the request before running it: status 429 or 503 with the verdict `notRun`. */
+function parseRefusal(res: IncomingMessage): BackendError | undefined {
   const busy = res.statusCode === 429 || res.statusCode === 503;
   if (!busy || res.headers[VERDICT_HEADER] !== 'notRun') {
     return undefined;
   }
   const seconds = Number(res.headers['retry-after'] ?? '');
   const retryAfterMs = Number.isFinite(seconds) && seconds > 0 ? seconds * 1000 : undefined;
-  return new BackendError('notRun', `the engine refused with ${res.statusCode}`, retryAfterMs);
+  return new BackendError(
+    'notRun',
+    `the engine refused the request with status ${res.statusCode}`,
+    retryAfterMs,
+  );
 }
--- a/packages/stallpaddle-engine/src/__tests__/unit/EngineHttp.test.ts
+++ b/packages/stallpaddle-engine/src/__tests__/unit/EngineHttp.test.ts
@@ -1,11 +1,11 @@
+/**
+ * Guards against wrong verdicts, truncated responses and responses to other requests, over real sockets.
+ */
 import type {AddressInfo} from 'node:net';
 
 import {createServer, type RequestListener, type Server} from 'node:http';
 import {afterEach, describe, expect, test} from 'vitest';
 
-/**
- * The HTTP adapter against real sockets: what each failure says of the request.
- */
 import type {BackendRequest} from '../../EngineAdapter';
 
 import {HttpEngine, readBody} from '../../EngineHttp';
@@ -44,10 +44,13 @@
   const send = (engine: HttpEngine, changes: Partial<BackendRequest> = {}) =>
     engine.generate(request(changes), new AbortController().signal);
 
-  test('sends attempt, priority and time, and returns the whole answer', async () => {
+  test('sends attempt id, priority and timeout, and returns the complete response', async () => {
     const engine = await serve((req, res) => res.end(JSON.stringify(req.headers)));
-    const answer = await send(engine);
-    const headers = JSON.parse((await readBody(answer.body)).toString()) as Record<string, string>;
+    const response = await send(engine);
+    const headers = JSON.parse((await readBody(response.body)).toString()) as Record<
+      string,
+      string
+    >;
     expect(headers).toMatchObject({
       'x-priority': '10',
       'x-request-id': 'a1',
@@ -55,21 +58,21 @@
     });
   });
 
-  test('says notRun when nothing listens', async () => {
+  test('reports notRun when the connection is refused', async () => {
     const engine = await serve(() => {});
     await new Promise((resolve) => server!.close(resolve));
     await expect(send(engine)).rejects.toMatchObject({verdict: 'notRun'});
   });
 
-  test('says mayHaveRun when the connection goes before the answer', async () => {
+  test('reports mayHaveRun when the connection closes before the response', async () => {
     const engine = await serve((_req, res) => res.destroy());
     await expect(send(engine)).rejects.toMatchObject({verdict: 'mayHaveRun'});
   });
 
-  test('believes a refusal only with the verdict', async () => {
+  test('accepts a refusal only with a verdict', async () => {
     const engine = await serve((req, res) => {
-      const honest = req.url === '/honest';
-      res.writeHead(503, honest ? {'retry-after': '2', 'x-stallpaddle-verdict': 'notRun'} : {});
+      const hasVerdict = req.url === '/honest';
+      res.writeHead(503, hasVerdict ? {'retry-after': '2', 'x-stallpaddle-verdict': 'notRun'} : {});
       res.end('busy');
     });
     await expect(send(engine, {path: '/honest'})).rejects.toMatchObject({
@@ -79,25 +82,25 @@
     expect((await send(engine, {path: '/plain'})).status).toBe(503);
   });
 
-  /** An engine that answers twice: the second time late, when the next request may be under way. */
-  async function serveTwice(lateMs: number): Promise<HttpEngine> {
+  /** Serves an engine that sends a late second response to its first request, when the next request may be in flight. */
+  async function serveDuplicate(lateMs: number): Promise<HttpEngine> {
     let number = 0;
     const listener: RequestListener = (req, res) => {
       const {socket} = req;
-      const answer = `answer to ${String(req.headers['x-request-id'])}`;
+      const text = `answer to ${String(req.headers['x-request-id'])}`;
       const isFirst = number++ === 0;
-      setTimeout(() => res.end(answer), isFirst ? 0 : 4 * lateMs);
+      setTimeout(() => res.end(text), isFirst ? 0 : 4 * lateMs);
       if (isFirst) {
-        const late = `HTTP/1.1 200 OK\r\nContent-Length: ${answer.length}\r\n\r\n${answer}`;
+        const late = `HTTP/1.1 200 OK\r\nContent-Length: ${text.length}\r\n\r\n${text}`;
         setTimeout(() => socket.writable && socket.write(late), lateMs);
       }
     };
     return serve(listener);
   }
 
-  test('hands nobody an answer that an engine gives a second time', async () => {
+  test('never returns a duplicate response to another request', async () => {
     for (const repeatable of [true, false]) {
-      const engine = await serveTwice(30);
+      const engine = await serveDuplicate(30);
       const first = await send(engine, {attemptId: 'a1', repeatable});
       expect((await readBody(first.body)).toString()).toBe('answer to a1');
       const second = await send(engine, {attemptId: 'a2', repeatable});
@@ -107,16 +110,16 @@
     }
   });
 
-  test('never takes an answer without a length for whole when its connection was reset', async () => {
+  test('never treats a response without a length as complete after a connection reset', async () => {
     const engine = await serve((req, res) => {
       req.resume();
       res.useChunkedEncodingByDefault = false;
       res.shouldKeepAlive = false;
       res.write('x'.repeat(100));
-      // Bytes and the reset wait together when the caller reads.
+      // The data and the reset are both pending when the client reads.
       setImmediate(() => req.socket.resetAndDestroy());
     });
-    let whole = 0;
+    let complete = 0;
     for (let number = 0; number < 300; number++) {
       const outcome = await send(engine)
         .then(({body}) => readBody(body))
@@ -124,21 +127,21 @@
           () => 1,
           () => 0,
         );
-      whole += outcome;
+      complete += outcome;
     }
-    expect(whole).toBe(0);
+    expect(complete).toBe(0);
   }, 30_000);
 
-  test('never takes a part of an answer for the whole', async () => {
+  test('never treats a truncated response as complete', async () => {
     const engine = await serve((_req, res) => {
       res.write('half');
       setTimeout(() => res.destroy(), 20);
     });
-    const answer = await send(engine);
-    await expect(readBody(answer.body)).rejects.toMatchObject({verdict: 'mayHaveRun'});
+    const response = await send(engine);
+    await expect(readBody(response.body)).rejects.toMatchObject({verdict: 'mayHaveRun'});
   });
 
-  test('tells an order that was refused for its number from one that got lost', async () => {
+  test('distinguishes an order with an old fencing token from one that was lost', async () => {
     const engine = await serve((_req, res) => res.writeHead(409).end());
     expect(await engine.order([], 1)).toEqual({kind: 'oldFencing'});
     const gone = await serve((_req, res) => res.destroy());
--- a/packages/stallpaddle-engine/src/index.ts
+++ b/packages/stallpaddle-engine/src/index.ts
@@ -1,4 +1,4 @@
-/** Backend servers: the interface, its HTTP implementation and the lanes to them. */
+/** Clients of backend servers: interface, HTTP implementation and concurrency limits. */
 export {
   BackendError,
   type BackendRequest,
