--- a/packages/stallpaddle-standin/src/StandInEngine.ts
+++ b/packages/stallpaddle-standin/src/StandInEngine.ts
@@ -1,6 +1,5 @@
 /**
- * Stand-in for a model engine: continuous batching, priorities, prefix cache, load reports with a
- * lag, orders with optional fencing, and faults on demand. For demos and tests only.
+ * Simulated model engine with an HTTP interface, for demos and tests only.
  */
 import type {EngineStandInSettings} from 'stallpaddle-settings';
 
@@ -23,9 +22,9 @@
 } from './StandInHttp';
 import {StandInScheduler} from './StandInScheduler';
 
-/** Text that an engine can never answer; it says so with 422. */
+/** Prompt text that the engine rejects with status 422. */
 export const UNCOMPLETABLE_MARK = '[[uncompletable]]';
-/** Text at which an engine drops the connection without an answer. */
+/** Prompt text at which the engine closes the connection without a response. */
 export const CRASH_MARK = '[[crash]]';
 
 const DEFAULT_TOKENS = 16;
@@ -44,7 +43,10 @@
 
 type ChatRequest = z.infer<typeof chatSchema>;
 
-/** One stand-in engine. */
+/**
+ * Simulates a model engine: continuous batching, priorities, a prefix cache, delayed load reports, orders with optional
+ * fencing, and faults on request.
+ */
 export class StandInEngine {
   private readonly executions = new Map<string, number>();
   private fencing = 0;
@@ -55,7 +57,7 @@
   private readonly server: Server;
 
   /**
-   * @param settings what the engine is like
+   * @param settings address, capacity and timing of the engine
    */
   constructor(private readonly settings: EngineStandInSettings) {
     this.loaded = new Set(settings.loaded);
@@ -71,12 +73,12 @@
     });
   }
 
-  /** Starts to listen. */
+  /** Starts the server. */
   async start(): Promise<void> {
     await listen(this.server, this.settings.listen);
   }
 
-  /** Ends at once. */
+  /** Stops the server and closes all connections. */
   async stop(): Promise<void> {
     this.scheduler.stop();
     await closeServer(this.server);
@@ -153,7 +155,7 @@
     const prompt = chat.messages.map(({content}) => content).join('\n');
     const priority = Number(req.headers[PRIORITY_HEADER] ?? 0);
     const stream = this.scheduler.enqueue(prompt, priority >= BATCH_PRIORITY ? 'batch' : 'online');
-    // The caller's going away cancels the stream and frees its slot.
+    // A closed connection cancels the stream and frees its slot.
     res.on('close', () => stream.end());
     await stream.admitted;
     this.executions.set(prompt, (this.executions.get(prompt) ?? 0) + 1);
@@ -170,12 +172,12 @@
     const words = answerWords(prompt, chat.max_tokens ?? DEFAULT_TOKENS);
     const id = String(req.headers[ATTEMPT_HEADER] ?? 'chatcmpl');
     await (chat.stream === true
-      ? this.answerStreamed(chat, id, words, stream, res)
-      : this.answerWhole(chat, id, words, stream, res));
+      ? this.streamCompletion(chat, id, words, stream, res)
+      : this.sendCompletion(chat, id, words, stream, res));
     stream.end();
   }
 
-  private async answerWhole(
+  private async sendCompletion(
     chat: ChatRequest,
     id: string,
     words: readonly string[],
@@ -196,7 +198,7 @@
     });
   }
 
-  private async answerStreamed(
+  private async streamCompletion(
     chat: ChatRequest,
     id: string,
     words: readonly string[],
--- a/packages/stallpaddle-standin/src/StandInHttp.ts
+++ b/packages/stallpaddle-standin/src/StandInHttp.ts
@@ -1,18 +1,18 @@
 /**
- * HTTP helpers of the stand-ins.
+ * HTTP helpers of the simulated backend servers.
  */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 
 import {hash32} from 'stallpaddle';
 
-/** Last event of a stream. */
+/** Final event of a stream. */
 export const SSE_END = 'data: [DONE]\n\n';
 
 /**
- * Starts to listen.
+ * Starts a server.
  *
  * @param server the server
- * @param address where
+ * @param address host and port to listen on
  */
 export async function listen(
   server: Server,
@@ -25,7 +25,7 @@
 }
 
 /**
- * Ends a server with all its connections.
+ * Stops a server and closes all its connections.
  *
  * @param server the server
  */
@@ -35,7 +35,7 @@
 }
 
 /**
- * Reads a request's JSON body.
+ * Reads and parses the JSON body of a request.
  *
  * @param req the request
  */
@@ -52,7 +52,7 @@
  *
  * @param res the response
  * @param status HTTP status
- * @param body plain data
+ * @param body value to send as JSON
  */
 export function sendJson(res: ServerResponse, status: number, body: unknown): void {
   const text = JSON.stringify(body);
@@ -64,19 +64,19 @@
 }
 
 /**
- * Error body in the form that OpenAI clients expect.
+ * Builds an error body in the format of the OpenAI API.
  *
- * @param message one sentence
+ * @param message error message
  */
 export function errorBody(message: string): unknown {
   return {error: {code: null, message, param: null, type: 'invalid_request_error'}};
 }
 
 /**
- * Words that answer a prompt; the same prompt always gets the same ones, so that a test can tell
- * whose answer it holds.
+ * Returns the words of the response to a prompt. They depend only on the prompt, so that a test can check that a response
+ * belongs to its request.
  *
- * @param prompt the whole prompt
+ * @param prompt the complete prompt
  * @param count number of words
  */
 export function answerWords(prompt: string, count: number): readonly string[] {
@@ -85,23 +85,23 @@
 }
 
 /**
- * One event of a streamed answer.
+ * Builds one event of a streamed response.
  *
- * @param id answer's id
- * @param model model that answers
- * @param delta what is new, or undefined for an event without a choice
- * @param finish why the answer ends, or null
+ * @param id id of the response
+ * @param model name of the model
+ * @param delta new content, or undefined for an event without a choice
+ * @param finishReason reason why the response ends, or null
  * @param usage token counts, in the last event
  */
 export function sseChunk(
   id: string,
   model: string,
   delta: unknown,
-  finish: string | null,
+  finishReason: string | null,
   usage?: unknown,
 ): string {
   const chunk = {
-    choices: delta === undefined ? [] : [{delta, finish_reason: finish, index: 0}],
+    choices: delta === undefined ? [] : [{delta, finish_reason: finishReason, index: 0}],
     created: Math.floor(Date.now() / 1000),
     id,
     model,
--- a/packages/stallpaddle-standin/src/StandInScheduler.ts
+++ b/packages/stallpaddle-standin/src/StandInScheduler.ts
@@ -1,36 +1,36 @@
 /**
- * Continuous batching of a stand-in engine: slots, priorities, prefix cache and lagged load.
+ * Scheduling and timing of a simulated engine.
  */
 import type {EngineStandInSettings} from 'stallpaddle-settings';
 
 import {delay, hash32} from 'stallpaddle';
 
-/** Prefixes that the cache holds. */
-const CACHE_ENTRIES = 256;
-/** Characters of a prompt that make its prefix. */
+/** Maximum number of prefixes in the cache. */
+const MAX_CACHE_ENTRIES = 256;
+/** Length of the prefix of a prompt, in characters. */
 const PREFIX_CHARACTERS = 256;
 const CHARACTERS_PER_TOKEN = 4;
-/** Part of the prefill that a cached prefix leaves. */
-const CACHED_FRACTION = 0.2;
-/** How much slower tokens come when all slots are taken. */
+/** Fraction of the prefill time that remains with a cached prefix. */
+const CACHED_PREFILL_FRACTION = 0.2;
+/** Relative increase of the time per token when all slots are in use. */
 const FULL_BATCH_SLOWDOWN = 0.5;
 
-/** Kind of work, by the priority that came with it. */
+/** Work class, derived from the priority of the request. */
 export type StandInWork = 'batch' | 'online';
 
-/** A stream in the engine. */
+/** A request in the engine. */
 export interface StandInStream {
-  /** Resolves once the stream has a slot. */
+  /** Resolves once the request has a slot. */
   readonly admitted: Promise<void>;
-  /** Frees the slot, or leaves the queue. */
+  /** Frees the slot, or removes the request from the queue. */
   readonly end: () => void;
-  /** Waits for the prompt to be read. */
+  /** Waits for the prefill. */
   readonly prefilled: () => Promise<void>;
-  /** Waits for one token. */
+  /** Waits for the next token. */
   readonly token: () => Promise<void>;
 }
 
-interface Waiting {
+interface QueueEntry {
   readonly admit: () => void;
   readonly work: StandInWork;
 }
@@ -42,42 +42,42 @@
   readonly tokenMs: number;
 }
 
-/** Slots of one stand-in engine. */
+/** Simulates continuous batching with a fixed number of slots, priorities, a prefix cache and delayed load reports. */
 export class StandInScheduler {
-  /** Makes everything so many times slower. */
+  /** Factor by which prefill and decoding are slowed down. */
   slowdown = 1;
 
   private readonly cache = new Map<number, true>();
   private reported: Load = {batch: 0, online: 0, queued: 0, tokenMs: 0};
   private readonly running = {batch: 0, online: 0};
   private readonly timer: NodeJS.Timeout;
-  private waiting: readonly Waiting[] = [];
+  private waiting: readonly QueueEntry[] = [];
 
   /**
-   * @param settings what the engine is like
+   * @param settings capacity and timing of the engine
    */
   constructor(private readonly settings: EngineStandInSettings) {
-    const lag = Math.max(1, settings.reportLagMs);
+    const intervalMs = Math.max(1, settings.reportLagMs);
     this.timer = setInterval(() => {
       this.reported = this.load();
-    }, lag);
+    }, intervalMs);
   }
 
-  /** Ends the reports. */
+  /** Stops the load reports. */
   stop(): void {
     clearInterval(this.timer);
   }
 
-  /** Load as it was when the last report was made. */
+  /** Returns the load at the time of the last report. */
   laggedLoad(): Load {
     return this.settings.reportLagMs === 0 ? this.load() : this.reported;
   }
 
   /**
-   * Queues a stream; online ones go before batch ones, else in order.
+   * Queues a request. Online requests are admitted before batch requests, each class in order of arrival.
    *
-   * @param prompt the whole prompt
-   * @param work kind of work
+   * @param prompt the complete prompt
+   * @param work work class
    */
   enqueue(prompt: string, work: StandInWork): StandInStream {
     let state: 'ended' | 'running' | 'waiting' = 'waiting';
@@ -91,7 +91,7 @@
     });
     const entry = {admit, work};
     this.waiting = [...this.waiting, entry];
-    this.fill();
+    this.admitWaiting();
     return {
       admitted,
       end: () => {
@@ -100,14 +100,14 @@
         }
         state = 'ended';
         this.waiting = this.waiting.filter((other) => other !== entry);
-        this.fill();
+        this.admitWaiting();
       },
       prefilled: () => delay(this.prefillMs(prompt)),
       token: () => delay(this.tokenMs()),
     };
   }
 
-  private fill(): void {
+  private admitWaiting(): void {
     while (this.running.batch + this.running.online < this.settings.slots) {
       const next = this.waiting.find(({work}) => work === 'online') ?? this.waiting[0];
       if (next === undefined) {
@@ -128,8 +128,8 @@
   }
 
   private tokenMs(): number {
-    const fill = (this.running.batch + this.running.online) / this.settings.slots;
-    return this.settings.tokenMs * this.slowdown * (1 + FULL_BATCH_SLOWDOWN * fill);
+    const utilization = (this.running.batch + this.running.online) / this.settings.slots;
+    return this.settings.tokenMs * this.slowdown * (1 + FULL_BATCH_SLOWDOWN * utilization);
   }
 
   private prefillMs(prompt: string): number {
@@ -137,10 +137,10 @@
     const prefix = hash32(prompt.slice(0, PREFIX_CHARACTERS));
     const cached = this.cache.delete(prefix);
     this.cache.set(prefix, true);
-    if (this.cache.size > CACHE_ENTRIES) {
+    if (this.cache.size > MAX_CACHE_ENTRIES) {
       this.cache.delete(this.cache.keys().next().value!);
     }
-    const fraction = cached ? CACHED_FRACTION : 1;
+    const fraction = cached ? CACHED_PREFILL_FRACTION : 1;
     return (tokens / 1000) * this.settings.prefillMsPer1kTokens * fraction * this.slowdown;
   }
 }
--- a/packages/stallpaddle-standin/src/StandInService.ts
+++ b/packages/stallpaddle-standin/src/StandInService.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in for a plain service: answers each call by what it got and counts the runs.
+ * Simulated backend service, for demos and tests only.
  */
 import type {ServiceStandInSettings} from 'stallpaddle-settings';
 
@@ -7,13 +7,13 @@
 
 import {closeServer, listen, sendJson} from './StandInHttp';
 
-/** One stand-in service. */
+/** Echoes each request and counts how often each body was received. */
 export class StandInService {
   private readonly executions = new Map<string, number>();
   private readonly server: Server;
 
   /**
-   * @param settings name and address
+   * @param settings name and address of the service
    */
   constructor(private readonly settings: ServiceStandInSettings) {
     this.server = createServer((req, res) => {
@@ -32,12 +32,12 @@
     });
   }
 
-  /** Starts to listen. */
+  /** Starts the server. */
   async start(): Promise<void> {
     await listen(this.server, this.settings.listen);
   }
 
-  /** Ends at once. */
+  /** Stops the server and closes all connections. */
   async stop(): Promise<void> {
     await closeServer(this.server);
   }
