--- a/packages/stallpaddle-engine/src/EngineHttp.ts
+++ b/packages/stallpaddle-engine/src/EngineHttp.ts
@@ -104,8 +104,8 @@
   generate(req: BackendRequest, signal: AbortSignal): Promise<BackendResponse> {
     return new Promise((resolve, reject) => {
       const outgoing = request({
-        // Each request gets its own connection: on a reused one, a second response that an engine sends by mistake would
-        // be matched to the next request. A reused connection may also be closing.
+        // Each request gets its own connection: on a reused one, a second response that an engine sends by mistake
+        // would be matched to the next request. A reused connection may also be closing.
         agent: false,
         headers: {
           [ATTEMPT_HEADER]: req.attemptId,
@@ -185,7 +185,7 @@
   }
 }
 
-/** Returns an error if the engine refused the request before running it: status 429 or 503 with the verdict `notRun`. */
+/** Returns an error if the engine refused the request before running it: 429 or 503 with the verdict `notRun`. */
 function parseRefusal(res: IncomingMessage): BackendError | undefined {
   const busy = res.statusCode === 429 || res.statusCode === 503;
   if (!busy || res.headers[VERDICT_HEADER] !== 'notRun') {
--- a/packages/stallpaddle-engine/src/EngineLanes.ts
+++ b/packages/stallpaddle-engine/src/EngineLanes.ts
@@ -9,8 +9,8 @@
 const PRIORITIES: Readonly<Record<WorkClass, number>> = {batch: 0, online: 1};
 
 /**
- * Limits the concurrent requests of this VM to each engine. Each engine has a lane, a queue that is created on first use
- * and starts online requests before batch requests.
+ * Limits the concurrent requests of this VM to each engine. Each engine has a lane, a queue that is created on first
+ * use and starts online requests before batch requests.
  */
 export class EngineLanes {
   private readonly lanes = new Map<EngineId, PQueue>();
--- a/packages/stallpaddle-engine/src/__tests__/unit/EngineHttp.test.ts
+++ b/packages/stallpaddle-engine/src/__tests__/unit/EngineHttp.test.ts
@@ -82,7 +82,7 @@
     expect((await send(engine, {path: '/plain'})).status).toBe(503);
   });
 
-  /** Serves an engine that sends a late second response to its first request, when the next request may be in flight. */
+  /** Serves an engine that sends a second response to its first request while the next request may be in flight. */
   async function serveDuplicate(lateMs: number): Promise<HttpEngine> {
     let number = 0;
     const listener: RequestListener = (req, res) => {
