--- a/packages/stallpaddle-engine/src/index.ts
+++ b/packages/stallpaddle-engine/src/index.ts
@@ -1,8 +1,8 @@
-/** Backend servers: the interface, its HTTP implementation and the lanes to them. */
+/** Clients of backend servers: interface, HTTP implementation and concurrency limits. */
 export {
-  type BackendAnswer,
   BackendError,
   type BackendRequest,
+  type BackendResponse,
   type EngineAdapter,
   type EngineStatus,
   type OrderOutcome,
