--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
@@ -4,7 +4,7 @@
 import {request} from 'node:http';
 import {delay, type LogFields, seededRandom, systemClock} from 'stallpaddle';
 import {EMPTY_VIEW} from 'stallpaddle-fleet';
-import {PLAIN, plainRelay, StreamEngine, SuspectBoard} from 'stallpaddle-testing';
+import {FakeSuspectStore, PLAIN, plainRelay, StreamEngine} from 'stallpaddle-testing';
 import {afterEach, describe, expect, test} from 'vitest';
 
 import type {JobsDispatcherOptions} from '../../JobsContext';
@@ -151,7 +151,7 @@
       return group.blobs.get(ref.offset)!;
     },
     state: () => group.state,
-    suspects: new SuspectBoard().view(plainRelay, () => view().news.engines),
+    suspects: new FakeSuspectStore().view(plainRelay, () => view().news.engines),
     view,
     wire: plainRelay,
   });
--- a/packages/stallpaddle-relay/src/__tests__/RelayFixture.ts
+++ b/packages/stallpaddle-relay/src/__tests__/RelayFixture.ts
@@ -6,7 +6,7 @@
 import {createServer, request, type Server} from 'node:http';
 import {type AddressInfo} from 'node:net';
 import {seededRandom, systemClock} from 'stallpaddle';
-import {PLAIN, plainRelay, StreamEngine, SuspectBoard} from 'stallpaddle-testing';
+import {FakeSuspectStore, PLAIN, plainRelay, StreamEngine} from 'stallpaddle-testing';
 
 import type {RelayCaller, RelayContext, RelayEnd} from '../RelayTypes';
 
@@ -89,7 +89,7 @@
     latencies: new RelayLatencies(),
     online,
     random: seededRandom(1),
-    suspects: new SuspectBoard().view(plainRelay, () => views),
+    suspects: new FakeSuspectStore().view(plainRelay, () => views),
     viewAgeMs: () => 0,
     wire: plainRelay,
     zone: 'z',
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
@@ -4,7 +4,7 @@
  */
 import {delay, VERDICT_HEADER} from 'stallpaddle';
 import {QUARANTINE_LEVEL} from 'stallpaddle-fleet';
-import {PLAIN, plainRelay, type StreamEngine, SuspectBoard} from 'stallpaddle-testing';
+import {FakeSuspectStore, PLAIN, plainRelay, type StreamEngine} from 'stallpaddle-testing';
 import {afterEach, describe, expect, test} from 'vitest';
 
 import type {RelayContext} from '../../RelayTypes';
@@ -37,7 +37,7 @@
 }
 
 /** Context of another VM with the same engines. */
-function contextOfVm(board: SuspectBoard, engines: readonly StreamEngine[]): RelayContext {
+function contextOfVm(board: FakeSuspectStore, engines: readonly StreamEngine[]): RelayContext {
   const context = contextOf(engines);
   return {...context, suspects: board.view(plainRelay, context.engines)};
 }
@@ -57,7 +57,7 @@
   );
 
   test('a request that may not be repeated gets its response at once and is still detected', async () => {
-    const board = new SuspectBoard();
+    const board = new FakeSuspectStore();
     const engines = await startCrashingEngines(6);
     const route = routeOf({maxAttempts: 1, resumable: false});
     const relays = await Promise.all(
@@ -75,7 +75,7 @@
   });
 
   test('is refused at every VM with the quarantine time as retry-after; other requests are served', async () => {
-    const board = new SuspectBoard();
+    const board = new FakeSuspectStore();
     const engines = await startCrashingEngines(6);
     const route = routeOf();
     const [first, second] = await Promise.all(
@@ -92,7 +92,7 @@
   });
 
   test('concurrent crashes at two VMs raise the level only once', async () => {
-    const board = new SuspectBoard();
+    const board = new FakeSuspectStore();
     const engines = await startCrashingEngines(6);
     const route = routeOf({maxAttempts: 1, resumable: false});
     const relays = await Promise.all(
@@ -105,7 +105,7 @@
   });
 
   test('is quarantined at the VM that detected it even if it can’t be recorded', async () => {
-    const board = new SuspectBoard();
+    const board = new FakeSuspectStore();
     board.isTold = false;
     const engines = await startCrashingEngines(6);
     const {port} = await startRelay(contextOfVm(board, engines), routeOf());
@@ -119,7 +119,7 @@
   test.each(['reset', 'wrongRequest'] as const)(
     'is no suspect when live engines respond with %s',
     async (kind) => {
-      const board = new SuspectBoard();
+      const board = new FakeSuspectStore();
       const engines = await startEngines(2);
       engines.forEach((engine) => (engine.manners = [{kind}, {kind}, {kind}]));
       const {port} = await startRelay(contextOfVm(board, engines), routeOf());
@@ -130,7 +130,7 @@
   );
 
   test('is cleared for all VMs by a complete run', async () => {
-    const board = new SuspectBoard();
+    const board = new FakeSuspectStore();
     const engines = await startEngines(3);
     const [first, second] = await Promise.all(
       [1, 2].map(() => startRelay(contextOfVm(board, engines), routeOf())),
@@ -154,7 +154,7 @@
    * were running when two engines exited.
    */
   test('is no suspect when it continues past its first events, and its stream is resumed at the next engine', async () => {
-    const board = new SuspectBoard();
+    const board = new FakeSuspectStore();
     const engines = await startCrashingEngines(6, 2);
     const {port} = await startRelay(contextOfVm(board, engines), routeOf());
     expect(await sendRequest(port, undefined, {}, FATAL)).toMatchObject({
@@ -167,7 +167,7 @@
   });
 
   test('is cleared once a run passes its start, and continues although it was quarantined meanwhile', async () => {
-    const board = new SuspectBoard();
+    const board = new FakeSuspectStore();
     const engines = await startEngines(3);
     const context = contextOfVm(board, engines);
     const {port} = await startRelay(context, routeOf());
@@ -202,7 +202,7 @@
   });
 
   test('is no suspect when the engine was draining or removed', async () => {
-    const board = new SuspectBoard();
+    const board = new FakeSuspectStore();
     const [engine] = await startEngines(1);
     const [view] = contextOf([engine!]).engines();
     const run = {digest: 'd', engine: view!, id: 'q', known: 0};
--- a/packages/stallpaddle-testing/src/SuspectBoard.ts
+++ b/packages/stallpaddle-testing/src/FakeSuspectStore.ts
@@ -13,7 +13,7 @@
 import {RelaySuspects, type RelayWire} from 'stallpaddle-relay';
 
 /** See the module's comment. */
-export class SuspectBoard {
+export class FakeSuspectStore {
   /** Whether what one process finds is told to the others. */
   isTold = true;
   /** Suspects as the control group would keep them. */
--- a/packages/stallpaddle-testing/src/index.ts
+++ b/packages/stallpaddle-testing/src/index.ts
@@ -1,9 +1,9 @@
 /** Helpers of tests; never shipped. */
 export {FakeCrashError, FakeDisk, type TornKeep} from './FakeDisk';
+export {FakeSuspectStore} from './FakeSuspectStore';
 export {assertHistories, fuzzTimeoutMs} from './FuzzParameters';
 export {BARE, bulkOf, type ListItem, listMachine, type ListState} from './ListMachine';
 export {PLAIN, plainRelay} from './PlainWire';
 export {SlowLink, type SlowLinkOptions} from './SlowLink';
 export {type EngineManner, type SeenRequest, StreamEngine} from './StreamEngine';
-export {SuspectBoard} from './SuspectBoard';
 export {UnheldClock} from './UnheldClock';
