--- a/packages/stallpaddle-node/src/__tests__/unit/NodeGroup.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeGroup.test.ts
@@ -13,7 +13,7 @@
   systemClock,
 } from 'stallpaddle';
 import {startRpcServer} from 'stallpaddle-rpc';
-import {FakeDisk, SlowLink, UnheldClock} from 'stallpaddle-testing';
+import {FakeDisk, SlowLink, StarvationFreeClock} from 'stallpaddle-testing';
 import {afterEach, describe, expect, test} from 'vitest';
 
 import {GROUP_TIMING} from '../../NodeConstants';
@@ -261,7 +261,7 @@
   });
 
   test('large commands over slow links are committed without a change of leader', async () => {
-    const clock = new UnheldClock();
+    const clock = new StarvationFreeClock();
     undo.push(() => clock.stop());
     const fleet = new Fleet(1_600, clock);
     const ids = [1, 2, 3].map((number) => `127.0.7.${number}/first`);
--- a/packages/stallpaddle-testing/src/UnheldClock.ts
+++ b/packages/stallpaddle-testing/src/StarvationFreeClock.ts
@@ -13,7 +13,7 @@
 const KEPT_MS = 10_000;
 
 /** See the module's comment. */
-export class UnheldClock implements Clock {
+export class StarvationFreeClock implements Clock {
   private coreMs = 0;
   private leftOut: readonly {readonly at: number; readonly ms: number}[] = [];
   private lookedAt = performance.now();
--- a/packages/stallpaddle-testing/src/index.ts
+++ b/packages/stallpaddle-testing/src/index.ts
@@ -5,5 +5,5 @@
 export {BARE, bulkOf, type ListItem, listMachine, type ListState} from './ListMachine';
 export {PLAIN, plainRelay} from './PlainWire';
 export {SlowLink, type SlowLinkOptions} from './SlowLink';
+export {StarvationFreeClock} from './StarvationFreeClock';
 export {type EngineManner, type SeenRequest, StreamEngine} from './StreamEngine';
-export {UnheldClock} from './UnheldClock';
