--- a/packages/stallpaddle-testing/src/StreamEngine.ts
+++ b/packages/stallpaddle-testing/src/StreamEngine.ts
@@ -10,7 +10,7 @@
 import {PLAIN} from './PlainWire';
 
 /** How an engine treats the next request. */
-export type EngineManner =
+export type EngineBehavior =
   /** Breaks off in the middle of an event after some whole ones. */
   | {readonly after: number; readonly kind: 'breakOff'}
   /** Ends the body as if it were whole, within an event. */
@@ -49,7 +49,7 @@
 /** Time from the begin of a request that ends its engine to that end, in milliseconds; 34 to 95 were seen. */
 const END_AFTER_MS = 30;
 
-const SERVE: EngineManner = {kind: 'serve'};
+const SERVE: EngineBehavior = {kind: 'serve'};
 
 function eventText(number: number): string {
   return `id: ${number}\ndata: piece ${number}\n\n`;
@@ -58,7 +58,7 @@
 /** See the module's comment. */
 export class StreamEngine {
   /** Treats the next requests, in order; then all are served. */
-  manners: EngineManner[] = [];
+  manners: EngineBehavior[] = [];
   /** Orders on runs, method and name. */
   readonly orders: string[] = [];
   readonly seen: SeenRequest[] = [];
@@ -161,7 +161,7 @@
   }
 
   private async treat(
-    manner: EngineManner,
+    manner: EngineBehavior,
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<void> {
@@ -205,7 +205,7 @@
   }
 
   private async stream(
-    manner: EngineManner,
+    manner: EngineBehavior,
     resumeAfter: number,
     res: ServerResponse,
   ): Promise<void> {
--- a/packages/stallpaddle-testing/src/index.ts
+++ b/packages/stallpaddle-testing/src/index.ts
@@ -6,4 +6,4 @@
 export {PLAIN, plainRelay} from './PlainWire';
 export {SlowLink, type SlowLinkOptions} from './SlowLink';
 export {StarvationFreeClock} from './StarvationFreeClock';
-export {type EngineManner, type SeenRequest, StreamEngine} from './StreamEngine';
+export {type EngineBehavior, type SeenRequest, StreamEngine} from './StreamEngine';
