--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
@@ -245,7 +245,7 @@
     await delay(100);
     dispatcher.online.update('entry', 1, {e0: 2});
     dispatcher.schedulePass();
-    await waitUntil(() => engines[0]!.seen.every(({left}) => left));
+    await waitUntil(() => engines[0]!.seen.every(({aborted: left}) => left));
     dispatcher.online.update('entry', 2, {});
     await waitUntil(() => group.results.length === 2);
     expect([group.textOf(0), group.textOf(1)]).toEqual([expectedOutput(40), expectedOutput(40)]);
@@ -280,7 +280,7 @@
     let ends = 0;
     engines.forEach((engine) => {
       engine.fatal.add('body 0');
-      engine.onEnded = () => {
+      engine.onCrashed = () => {
         if (++ends === 2) {
           engines.forEach((other) => other.fatal.clear());
         }
@@ -297,7 +297,7 @@
     const engines = await startEngines(6, 5, 2);
     engines.forEach((engine) => {
       engine.fatal.add('body 0');
-      engine.eventsBeforeEnd = 2;
+      engine.eventsBeforeCrash = 2;
     });
     const group = new FakeGroup();
     const decided: string[] = [];
@@ -406,16 +406,16 @@
     const group = new FakeGroup();
     group.submit(1);
     startLeader(group, () => viewOf(engines));
-    await waitUntil(() => engines[0]!.seen[0]!.left);
+    await waitUntil(() => engines[0]!.seen[0]!.aborted);
     await delay(300);
     expect(engines[0]!.seen[1]!.open).toBe(true);
-    expect(engines[0]!.orders).toEqual(['POST i0', 'DELETE i0']);
+    expect(engines[0]!.controlRequests).toEqual(['POST i0', 'DELETE i0']);
     expect(engines[1]!.seen.map(({headers}) => headers[PLAIN.request])).toEqual(['i0']);
   });
 
   test('starts items on engines that do not report their occupancy', async () => {
     const [engine] = await startEngines(1, 5, 2);
-    engine!.tellsOccupancy = false;
+    engine!.reportsOccupancy = false;
     const group = new FakeGroup();
     startLeader(group, () => viewOf([engine!]));
     group.submit(1);
@@ -461,7 +461,7 @@
 
   test('rejects an event out of order and resumes after the last valid one', async () => {
     const engines = await startEngines(1, 5, 2);
-    engines[0]!.manners = [{kind: 'skipEvent'}, {after: 2, kind: 'endWithin'}];
+    engines[0]!.behaviors = [{kind: 'skipEvent'}, {after: 2, kind: 'endWithin'}];
     const group = new FakeGroup();
     startLeader(group, () => viewOf(engines));
     group.submit(1);
@@ -471,7 +471,7 @@
 
   test('does not treat an answer without a length as complete when its connection was reset', async () => {
     const engines = await startEngines(1, 5, 2);
-    engines[0]!.manners = [{after: 3, kind: 'resetUnframed'}];
+    engines[0]!.behaviors = [{after: 3, kind: 'resetUnframed'}];
     const group = new FakeGroup();
     startLeader(group, () => viewOf(engines));
     group.submit(1);
@@ -481,7 +481,7 @@
 
   test('gives an item up after the maximum number of failures, and at once when it is impossible', async () => {
     const engines = await startEngines(1, 5, 2);
-    engines[0]!.manners = [
+    engines[0]!.behaviors = [
       {kind: 'fail', status: 500},
       {kind: 'fail', status: 500},
     ];
@@ -493,7 +493,7 @@
     expect(engines[0]!.seen).toHaveLength(2);
 
     const other = new FakeGroup();
-    engines[0]!.manners = [{kind: 'fail', status: 422}];
+    engines[0]!.behaviors = [{kind: 'fail', status: 422}];
     startLeader(other, () => viewOf(engines));
     other.submit(1);
     await waitUntil(() => other.results.length === 1);
@@ -503,7 +503,7 @@
 
   test('does not count a declined request as a run of the item', async () => {
     const engines = await startEngines(1, 5, 2);
-    engines[0]!.manners = [{kind: 'decline'}, {kind: 'decline'}, {kind: 'decline'}];
+    engines[0]!.behaviors = [{kind: 'decline'}, {kind: 'decline'}, {kind: 'decline'}];
     const group = new FakeGroup();
     startLeader(group, () => viewOf(engines));
     group.submit(1);
@@ -513,7 +513,7 @@
 
   test('reports a stalled engine and continues on another one', async () => {
     const engines = await startEngines(2, 5, 2);
-    engines.forEach((engine) => (engine.manners = [{kind: 'mute'}]));
+    engines.forEach((engine) => (engine.behaviors = [{kind: 'mute'}]));
     const group = new FakeGroup();
     const dispatcher = startLeader(group, () => viewOf(engines));
     group.submit(1);
@@ -582,7 +582,7 @@
     const dispatcher = startLeader(group, () => viewOf(engines), {propose, term: () => term});
     group.submit(2);
     // One item ends in the first term without its end being recorded; the other is running when the term changes.
-    engines[0]!.manners = [{kind: 'fail', status: 422}];
+    engines[0]!.behaviors = [{kind: 'fail', status: 422}];
     await waitUntil(() => engines[0]!.seen.length === 2);
     await delay(60);
     term = 3;
@@ -630,7 +630,7 @@
     for (let turn = 0; turn < 6; turn++) {
       engines.forEach((engine) => {
         engine.seen.length = 0;
-        engine.manners = [0, 1, 2].map(
+        engine.behaviors = [0, 1, 2].map(
           () => ({after: 2, kind: draw(), status: random() < 0.3 ? 422 : 500}) as never,
         );
       });
@@ -675,7 +675,7 @@
     group.submit(1);
     await waitUntil(() => engines[0]!.seen.length > 0);
     await group.propose({job: 'job', kind: 'endJob'});
-    await waitUntil(() => engines[0]!.seen.every(({left}) => left));
+    await waitUntil(() => engines[0]!.seen.every(({aborted: left}) => left));
     await delay(100);
     expect(engines[0]!.seen).toHaveLength(1);
 
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeGroup.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeGroup.test.ts
@@ -270,7 +270,7 @@
     const {term} = driver.status;
     let lapses = 0;
     // Time in which the machine itself held the processes back does not count as a lapse.
-    const isHeld = (): boolean => clock.heldMs(LEASE_MS) >= LEAST_HELD_MS;
+    const isHeld = (): boolean => clock.excludedMs(LEASE_MS) >= LEAST_HELD_MS;
     const watch = setInterval(() => (lapses += driver.leads || isHeld() ? 0 : 1), 10);
     undo.push(() => clearInterval(watch));
     for (const letter of ['a', 'b', 'c']) {
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
@@ -41,7 +41,7 @@
 
   test('headers in which a caller identifies itself are replaced by the customer on every attempt', async () => {
     const engines = await startEngines(2);
-    engines.forEach((engine) => (engine.manners = [{after: 2, kind: 'breakOff'}]));
+    engines.forEach((engine) => (engine.behaviors = [{after: 2, kind: 'breakOff'}]));
     const caller = {kind: 'customer', name: 'acme'} as const;
     const {port} = await startRelay(contextOf(engines), routeOf({maxAttempts: 3}), 0, caller);
     const own = {
@@ -74,10 +74,10 @@
 
   test('resumes an interrupted stream without lost or duplicated events', async () => {
     const engines = await startEngines(2);
-    engines.forEach((engine) => (engine.manners = [{after: 2, kind: 'breakOff'}]));
+    engines.forEach((engine) => (engine.behaviors = [{after: 2, kind: 'breakOff'}]));
     const {port} = await startRelay(contextOf(engines), routeOf({maxAttempts: 3}));
-    engines[1]!.manners = [];
-    engines[0]!.manners = [{after: 2, kind: 'breakOff'}];
+    engines[1]!.behaviors = [];
+    engines[0]!.behaviors = [{after: 2, kind: 'breakOff'}];
     const responses = await Promise.all([sendRequest(port), sendRequest(port)]);
     for (const response of responses) {
       expect(response).toMatchObject({body: engines[0]!.wholeText, isComplete: true});
@@ -92,7 +92,7 @@
     'a stream that is not resumable is incomplete for the caller after %s',
     async (kind) => {
       const engines = await startEngines(2);
-      engines.forEach((engine) => (engine.manners = [{after: 2, kind}]));
+      engines.forEach((engine) => (engine.behaviors = [{after: 2, kind}]));
       const {ends, port} = await startRelay(contextOf(engines), routeOf({resumable: false}));
       const response = await sendRequest(port);
       expect(response.isComplete).toBe(false);
@@ -105,7 +105,7 @@
     'a %s response without a length is not complete when its connection was reset',
     async (type) => {
       const [engine] = await startEngines(1);
-      engine!.manners = [{after: 3, kind: 'resetUnframed'}];
+      engine!.behaviors = [{after: 3, kind: 'resetUnframed'}];
       const {ends, port} = await startRelay(contextOf([engine!]), routeOf({resumable: false}));
       const response = await sendRequest(port, undefined, {[PLAIN.wanted]: type});
       expect(response.isComplete && response.status === 200).toBe(false);
@@ -115,7 +115,7 @@
 
   test('never forwards an event that does not follow the last one', async () => {
     const engines = await startEngines(1);
-    engines[0]!.manners = [{kind: 'skipEvent'}];
+    engines[0]!.behaviors = [{kind: 'skipEvent'}];
     const {port} = await startRelay(contextOf(engines), routeOf({resumable: false}));
     const response = await sendRequest(port);
     expect(response.isComplete).toBe(false);
@@ -124,7 +124,7 @@
 
   test('sends retry-after only for a request that certainly did not run', async () => {
     const [engine] = await startEngines(1);
-    engine!.manners = [{kind: 'decline'}];
+    engine!.behaviors = [{kind: 'decline'}];
     const {port} = await startRelay(contextOf([engine!]), routeOf());
     const declined = await sendRequest(port);
     expect(declined.status).toBe(503);
@@ -135,7 +135,7 @@
     'does not claim that a request that may have run did not run, after %s',
     async (kind) => {
       const engines = await startEngines(2);
-      engines.forEach((engine) => (engine.manners = [{kind}]));
+      engines.forEach((engine) => (engine.behaviors = [{kind}]));
       const route = routeOf({resumable: false, timeoutMs: 300});
       const {port} = await startRelay(contextOf(engines), route);
       const response = await sendRequest(port);
@@ -148,14 +148,14 @@
 
   test('does not forward an engine’s 503, which would say that nothing ran', async () => {
     const [engine] = await startEngines(1);
-    engine!.manners = [{kind: 'fail', status: 503}];
+    engine!.behaviors = [{kind: 'fail', status: 503}];
     const {port} = await startRelay(contextOf([engine!]), routeOf({resumable: false}));
     expect((await sendRequest(port)).status).toBe(502);
   });
 
   test('forwards an engine’s 500 response unchanged', async () => {
     const [engine] = await startEngines(1);
-    engine!.manners = [{kind: 'fail', status: 500}];
+    engine!.behaviors = [{kind: 'fail', status: 500}];
     const {ends, port} = await startRelay(contextOf([engine!]), routeOf({resumable: false}));
     const response = await sendRequest(port);
     expect(response).toMatchObject({body: 'it failed', isComplete: true, status: 500});
@@ -165,9 +165,9 @@
 
   test('tries another engine when the address belongs to a different one', async () => {
     const engines = await startEngines(2);
-    engines.forEach((engine) => (engine.manners = [{kind: 'otherEngine'}, {kind: 'serve'}]));
-    engines[1]!.manners = [];
-    engines[0]!.manners = [{kind: 'otherEngine'}];
+    engines.forEach((engine) => (engine.behaviors = [{kind: 'otherEngine'}, {kind: 'serve'}]));
+    engines[1]!.behaviors = [];
+    engines[0]!.behaviors = [{kind: 'otherEngine'}];
     const {port} = await startRelay(
       contextOf(engines),
       routeOf({maxAttempts: 1, resumable: false}),
@@ -182,7 +182,7 @@
     const {ends, port} = await startRelay(contextOf([engine]), routeOf());
     await sendRequest(port, 100);
     await new Promise((resolve) => setTimeout(resolve, 200));
-    expect(engine.seen.map(({left}) => left)).toEqual([true]);
+    expect(engine.seen.map(({aborted: left}) => left)).toEqual([true]);
     expect(ends).toEqual(['left']);
   });
 
@@ -194,7 +194,7 @@
     for (let turn = 0; turn < 40; turn++) {
       engines.forEach((engine) => {
         engine.seen.length = 0;
-        engine.manners = [0, 1, 2].map(() => ({after: 2, kind: draw(), status: 500}) as never);
+        engine.behaviors = [0, 1, 2].map(() => ({after: 2, kind: draw(), status: 500}) as never);
       });
       const lines: {decision: string; fields: LogFields}[] = [];
       const context = {
@@ -290,7 +290,7 @@
     const context = contextOf(engines, false);
     Array.from({length: 20}, () => context.latencies.firstEvent.observe(20));
     context.online.registerRequest('e1');
-    engines[0]!.manners = [{kind: 'mute'}];
+    engines[0]!.behaviors = [{kind: 'mute'}];
     const {port} = await startRelay(context, routeOf());
     const startedAt = performance.now();
     expect((await sendRequest(port)).status).toBe(200);
@@ -337,7 +337,7 @@
       const context = learnedContext(engines);
       // The second engine has a higher load, so the first one is selected first.
       context.online.registerRequest('e1');
-      engines[0]!.manners = [manner];
+      engines[0]!.behaviors = [manner];
       const {port} = await startRelay(context, routeOf());
       const startedAt = performance.now();
       expect(await sendRequest(port)).toMatchObject({
@@ -346,7 +346,7 @@
       });
       expect(performance.now() - startedAt).toBeLessThan(500);
       expect(engines[1]!.seen).toHaveLength(1);
-      expect(engines[0]!.seen[0]!.left).toBe(true);
+      expect(engines[0]!.seen[0]!.aborted).toBe(true);
     },
   );
 
@@ -354,7 +354,7 @@
     const engines = await startEngines(2);
     const context = learnedContext(engines);
     const ends = Array.from({length: 4}, () => context.online.registerRequest('e1'));
-    engines[0]!.manners = [{kind: 'mute'}];
+    engines[0]!.behaviors = [{kind: 'mute'}];
     const {port} = await startRelay(context, routeOf());
     const response = sendRequest(port);
     await new Promise((resolve) => setTimeout(resolve, 300));
@@ -369,14 +369,14 @@
     const {ends, port} = await startRelay(context, routeOf());
     // The engine selected first pauses for longer than usual; the other one resets the connection.
     engines.forEach((engine) => {
-      engine.manners = [{after: 2, kind: 'pause'}];
+      engine.behaviors = [{after: 2, kind: 'pause'}];
     });
     const responded = sendRequest(port);
     while (engines.every(({seen}) => seen.length === 0)) {
       await new Promise((resolve) => setTimeout(resolve, 2));
     }
     const [other] = engines.filter(({seen}) => seen.length === 0);
-    other!.manners = [{kind: 'reset'}];
+    other!.behaviors = [{kind: 'reset'}];
     const {body, isComplete, status} = await responded;
     expect({body, isComplete, status}).toEqual({
       body: engines[0]!.wholeText,
@@ -391,7 +391,7 @@
   test('limits how often a request is sent that every engine resets', async () => {
     const engines = await startEngines(3);
     engines.forEach((engine) => {
-      engine.manners = Array.from({length: 20}, () => ({kind: 'reset'}) as const);
+      engine.behaviors = Array.from({length: 20}, () => ({kind: 'reset'}) as const);
     });
     const {ends, port} = await startRelay(contextOf(engines), routeOf());
     expect((await sendRequest(port)).status).toBe(502);
@@ -405,7 +405,7 @@
     const engines = await startEngines(2);
     const context = learnedContext(engines);
     context.online.registerRequest('e1');
-    engines[0]!.manners = [{kind: 'mute'}];
+    engines[0]!.behaviors = [{kind: 'mute'}];
     const {port} = await startRelay(context, routeOf({resumable: false, timeoutMs: 400}));
     expect((await sendRequest(port)).status).toBe(504);
     expect(engines[1]!.seen).toHaveLength(0);
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
@@ -27,7 +27,7 @@
   const engines = await startEngines(count);
   engines.forEach((engine) => {
     engine.fatal.add(FATAL);
-    engine.eventsBeforeEnd = eventsBeforeEnd;
+    engine.eventsBeforeCrash = eventsBeforeEnd;
   });
   return engines;
 }
@@ -106,7 +106,7 @@
 
   test('is quarantined at the VM that detected it even if it can’t be recorded', async () => {
     const board = new FakeSuspectStore();
-    board.isTold = false;
+    board.isShared = false;
     const engines = await startCrashingEngines(6);
     const {port} = await startRelay(contextOfVm(board, engines), routeOf());
     await sendRequest(port, undefined, {}, FATAL);
@@ -121,7 +121,7 @@
     async (kind) => {
       const board = new FakeSuspectStore();
       const engines = await startEngines(2);
-      engines.forEach((engine) => (engine.manners = [{kind}, {kind}, {kind}]));
+      engines.forEach((engine) => (engine.behaviors = [{kind}, {kind}, {kind}]));
       const {port} = await startRelay(contextOfVm(board, engines), routeOf());
       await sendRequest(port);
       await delay(CHECK_MS);
@@ -135,16 +135,16 @@
     const [first, second] = await Promise.all(
       [1, 2].map(() => startRelay(contextOfVm(board, engines), routeOf())),
     );
-    engines.forEach((engine) => (engine.manners = [{after: 1, kind: 'pause'}]));
+    engines.forEach((engine) => (engine.behaviors = [{after: 1, kind: 'pause'}]));
     const pending = sendRequest(first!.port);
     await delay(50);
     const busy = engines.find(({seen}) => seen.length > 0)!;
-    engines.forEach((engine) => (engine.manners = [{kind: 'reset'}]));
+    engines.forEach((engine) => (engine.behaviors = [{kind: 'reset'}]));
     // Exits for an external reason soon after the request started.
     await busy.stop();
     await pending;
     await delay(CHECK_MS);
-    engines.forEach((engine) => (engine.manners = []));
+    engines.forEach((engine) => (engine.behaviors = []));
     expect((await sendRequest(second!.port)).status).toBe(200);
     expect(board.suspects.size).toBe(0);
   });
@@ -188,14 +188,14 @@
       expect(await seen.noteInterruption({digest, engine, id: 'q', known})).toBe(true);
     };
     await suspect(0);
-    engines.forEach((engine) => (engine.manners = [{after: 2, kind: 'pause'}]));
+    engines.forEach((engine) => (engine.behaviors = [{after: 2, kind: 'pause'}]));
     const pending = sendRequest(port);
     await delay(100);
     expect(board.suspects.size).toBe(0);
     await suspect(0);
     await suspect(1);
     expect(others.levelOf(digest)).toBe(QUARANTINE_LEVEL);
-    engines.forEach((engine) => (engine.manners = []));
+    engines.forEach((engine) => (engine.behaviors = []));
     await engines.find(({seen}) => seen.length > 0)!.stop();
     expect(await pending).toMatchObject({isComplete: true, status: 200});
     expect(others.levelOf(digest)).toBe(0);
@@ -237,7 +237,7 @@
   test('is false for an engine that accepts connections and does not respond', async () => {
     const [engine] = await startEngines(1);
     const [view] = contextOf([engine!]).engines();
-    engine!.tellsOccupancy = false;
+    engine!.reportsOccupancy = false;
     expect(await hasExited(plainRelay, view!)).toBe(false);
   });
 });
--- a/packages/stallpaddle-testing/src/FakeSuspectStore.ts
+++ b/packages/stallpaddle-testing/src/FakeSuspectStore.ts
@@ -15,7 +15,7 @@
 /** See the module's comment. */
 export class FakeSuspectStore {
   /** Whether what one process finds is told to the others. */
-  isTold = true;
+  isShared = true;
   /** Suspects as the control group would keep them. */
   suspects: ReadonlyMap<string, FleetSuspect> = new Map();
   private views: readonly SuspectView[] = [];
@@ -36,7 +36,7 @@
           finding.kind === 'noteEngineEnd'
             ? afterEngineEnd(this.suspects, finding, 0)
             : afterRelease(this.suspects, finding);
-        if (this.isTold) {
+        if (this.isShared) {
           this.views = [...this.suspects.values()].map(suspectView);
         }
         return Promise.resolve();
--- a/packages/stallpaddle-testing/src/StarvationFreeClock.ts
+++ b/packages/stallpaddle-testing/src/StarvationFreeClock.ts
@@ -37,7 +37,7 @@
    *
    * @param lastMs how far back, by the machine's clock, in milliseconds
    */
-  heldMs(lastMs: number): number {
+  excludedMs(lastMs: number): number {
     this.monotonicMs();
     const since = this.lookedAt - lastMs;
     return this.leftOut.reduce((sum, {at, ms}) => sum + (at > since ? ms : 0), 0);
--- a/packages/stallpaddle-testing/src/StreamEngine.ts
+++ b/packages/stallpaddle-testing/src/StreamEngine.ts
@@ -38,7 +38,7 @@
   readonly body: string;
   readonly headers: IncomingMessage['headers'];
   /** Whether its connection was closed before the last event. */
-  left: boolean;
+  aborted: boolean;
   /** Whether it is still under way. */
   open: boolean;
   readonly url: string;
@@ -58,18 +58,18 @@
 /** See the module's comment. */
 export class StreamEngine {
   /** Treats the next requests, in order; then all are served. */
-  manners: EngineBehavior[] = [];
+  behaviors: EngineBehavior[] = [];
   /** Orders on runs, method and name. */
-  readonly orders: string[] = [];
+  readonly controlRequests: string[] = [];
   readonly seen: SeenRequest[] = [];
   /** Events of an answer that are sent before a request that ends the engine does so. */
-  eventsBeforeEnd = 0;
+  eventsBeforeCrash = 0;
   /** Bodies of requests that end the engine which begins to run them. */
   readonly fatal = new Set<string>();
   /** Called once such a request has ended the engine. */
-  onEnded: (body: string) => void = () => {};
+  onCrashed: (body: string) => void = () => {};
   /** Whether it answers the question how many requests it holds. */
-  tellsOccupancy = true;
+  reportsOccupancy = true;
 
   private readonly running = new Map<string, ServerResponse>();
 
@@ -110,14 +110,14 @@
 
   private async answer(req: IncomingMessage, res: ServerResponse): Promise<void> {
     if (req.url === PLAIN.occupancy) {
-      if (this.tellsOccupancy) {
+      if (this.reportsOccupancy) {
         res.end([...this.running.keys()].join(' '));
       }
       return;
     }
     if (req.url?.startsWith(`${PLAIN.stop}/`)) {
       const id = req.url.slice(PLAIN.stop.length + 1);
-      this.orders.push(`${req.method} ${id}`);
+      this.controlRequests.push(`${req.method} ${id}`);
       this.running.get(id)?.destroy();
       res.end(id);
       return;
@@ -128,9 +128,9 @@
     }
     const body = Buffer.concat(chunks).toString();
     const seen: SeenRequest = {
+      aborted: false,
       body,
       headers: req.headers,
-      left: false,
       open: true,
       url: req.url ?? '',
     };
@@ -139,25 +139,25 @@
     this.running.set(id, res);
     res.on('close', () => {
       this.running.delete(id);
-      seen.left = !res.writableFinished;
+      seen.aborted = !res.writableFinished;
       seen.open = false;
     });
     if (this.fatal.has(body)) {
       await this.endBy(body, req, res);
       return;
     }
-    await this.treat(this.manners.shift() ?? SERVE, req, res);
+    await this.treat(this.behaviors.shift() ?? SERVE, req, res);
   }
 
   /** Begins to run a request, and ends as a process that crashes: all connections are reset, none comes up any more. */
   private async endBy(body: string, req: IncomingMessage, res: ServerResponse): Promise<void> {
-    if (this.eventsBeforeEnd > 0) {
-      await this.treat({after: this.eventsBeforeEnd, kind: 'pause'}, req, res);
+    if (this.eventsBeforeCrash > 0) {
+      await this.treat({after: this.eventsBeforeCrash, kind: 'pause'}, req, res);
     }
     await new Promise((resolve) => setTimeout(resolve, END_AFTER_MS));
     this.server.close();
     this.server.closeAllConnections();
-    this.onEnded(body);
+    this.onCrashed(body);
   }
 
   private async treat(
