--- a/packages/stallpaddle-soak/src/SoakCallers.ts
+++ b/packages/stallpaddle-soak/src/SoakCallers.ts
@@ -8,7 +8,7 @@
 import type {SoakFleet} from './SoakFleet';
 import type {SoakHistory} from './SoakHistory';
 import type {SoakRoute} from './SoakTypes';
-import type {SoakCall, SoakWords} from './SoakWords';
+import type {SoakCall, SoakWire} from './SoakWire';
 
 import {makeCall, type SoakReply} from './SoakHttp';
 import {fatalAttempt, fatalContent, IMPOSSIBLE} from './SoakOutput';
@@ -18,7 +18,7 @@
   readonly fleet: SoakFleet;
   readonly history: SoakHistory;
   readonly seed: number;
-  readonly words: SoakWords;
+  readonly words: SoakWire;
 }
 
 /** Online requests a second. */
--- a/packages/stallpaddle-soak/src/SoakEngine.ts
+++ b/packages/stallpaddle-soak/src/SoakEngine.ts
@@ -9,7 +9,7 @@
 import {delay, generateId, type Random} from 'stallpaddle';
 
 import type {SoakHistory} from './SoakHistory';
-import type {EngineWord, SoakWords} from './SoakWords';
+import type {EngineWord, SoakWire} from './SoakWire';
 
 import {makeCall} from './SoakHttp';
 import {eventText, fatalOf, IMPOSSIBLE, onceText, OUTPUT_EVENTS} from './SoakOutput';
@@ -23,7 +23,7 @@
   readonly name: string;
   readonly port: number;
   readonly random: Random;
-  readonly words: SoakWords;
+  readonly words: SoakWire;
   readonly zone: string;
 }
 
@@ -168,7 +168,7 @@
     }
   }
 
-  private async tell(call: () => ReturnType<SoakWords['report']>): Promise<boolean> {
+  private async tell(call: () => ReturnType<SoakWire['report']>): Promise<boolean> {
     for (let tries = 0; tries < MOST_TRIES && this.server !== undefined; tries++) {
       if (await this.tellOnce(call())) {
         return true;
@@ -178,7 +178,7 @@
     return false;
   }
 
-  private async tellOnce(call: ReturnType<SoakWords['report']>): Promise<boolean> {
+  private async tellOnce(call: ReturnType<SoakWire['report']>): Promise<boolean> {
     const {controls, random} = this.options;
     const address = controls[Math.floor(random() * controls.length)]!;
     const reply = await makeCall(call, {address, agent: false, mostMs: ACKNOWLEDGE_MS});
--- a/packages/stallpaddle-soak/src/SoakFleet.ts
+++ b/packages/stallpaddle-soak/src/SoakFleet.ts
@@ -8,7 +8,7 @@
 import type {SoakHistory} from './SoakHistory';
 import type {SoakShape} from './SoakPlan';
 import type {SoakFault} from './SoakTypes';
-import type {SoakWords} from './SoakWords';
+import type {SoakWire} from './SoakWire';
 
 import {SoakEngine} from './SoakEngine';
 import {makeCall} from './SoakHttp';
@@ -55,7 +55,7 @@
   readonly program: SoakProgram;
   readonly seed: number;
   readonly shape: SoakShape;
-  readonly words: SoakWords;
+  readonly words: SoakWire;
 }
 
 /** Zones of the VMs and engines. */
--- a/packages/stallpaddle-soak/src/SoakHttp.ts
+++ b/packages/stallpaddle-soak/src/SoakHttp.ts
@@ -3,7 +3,7 @@
  */
 import {type Agent, request} from 'node:http';
 
-import type {SoakCall} from './SoakWords';
+import type {SoakCall} from './SoakWire';
 
 /** What came of a call. */
 export type SoakReply =
--- a/packages/stallpaddle-soak/src/SoakRun.ts
+++ b/packages/stallpaddle-soak/src/SoakRun.ts
@@ -6,7 +6,7 @@
 import type {SoakProgram} from './SoakFleet';
 import type {SoakShape} from './SoakPlan';
 import type {PlannedFault, SoakBounds, SoakBreak, SoakEvent} from './SoakTypes';
-import type {SoakWords} from './SoakWords';
+import type {SoakWire} from './SoakWire';
 
 import {SoakCallers} from './SoakCallers';
 import {judgeHistory} from './SoakChecker';
@@ -25,7 +25,7 @@
   readonly program: SoakProgram;
   readonly seed: number;
   readonly shape: SoakShape;
-  readonly words: SoakWords;
+  readonly words: SoakWire;
 }
 
 /** What came of a soak. */
--- a/packages/stallpaddle-soak/src/SoakWords.ts
+++ b/packages/stallpaddle-soak/src/SoakWire.ts
@@ -35,7 +35,7 @@
 }
 
 /** See the module's comment. */
-export interface SoakWords {
+export interface SoakWire {
   /** Asks which VMs to use. */
   readonly addresses: SoakCall;
   readonly readAddresses: (body: string) => readonly string[];
--- a/packages/stallpaddle-soak/src/index.ts
+++ b/packages/stallpaddle-soak/src/index.ts
@@ -16,4 +16,4 @@
   SoakResult,
   SoakRoute,
 } from './SoakTypes';
-export type {EngineRequest, EngineWord, SoakCall, SoakWords} from './SoakWords';
+export type {EngineRequest, EngineWord, SoakCall, SoakWire} from './SoakWire';
