--- a/packages/stallpaddle-soak/src/SoakEngine.ts
+++ b/packages/stallpaddle-soak/src/SoakEngine.ts
@@ -9,7 +9,7 @@
 import {delay, generateId, type Random} from 'stallpaddle';
 
 import type {SoakHistory} from './SoakHistory';
-import type {EngineWord, SoakWire} from './SoakWire';
+import type {EngineReport, SoakWire} from './SoakWire';
 
 import {makeCall} from './SoakHttp';
 import {eventText, fatalOf, IMPOSSIBLE, onceText, OUTPUT_EVENTS} from './SoakOutput';
@@ -149,7 +149,7 @@
     return `${this.name}@${this.startedAt}`;
   }
 
-  private word(): EngineWord {
+  private word(): EngineReport {
     const {host, port, zone} = this.options;
     return {
       address: `${host}:${port}`,
--- a/packages/stallpaddle-soak/src/SoakWire.ts
+++ b/packages/stallpaddle-soak/src/SoakWire.ts
@@ -15,7 +15,7 @@
 }
 
 /** What an engine says of itself. */
-export interface EngineWord {
+export interface EngineReport {
   readonly address: string;
   readonly isLeaving: boolean;
   readonly name: string;
@@ -57,8 +57,8 @@
   };
   readonly endJob: (job: string) => SoakCall;
   /** An engine's report, or its word that it leaves. */
-  readonly report: (engine: EngineWord) => SoakCall;
-  readonly farewell: (engine: EngineWord) => SoakCall;
+  readonly report: (engine: EngineReport) => SoakCall;
+  readonly farewell: (engine: EngineReport) => SoakCall;
   readonly readEngineRequest: (headers: IncomingHttpHeaders) => EngineRequest | null;
   readonly engineHeaders: (id: string) => OutgoingHttpHeaders;
   /** Headers of an engine's word that it has not run a request. */
--- a/packages/stallpaddle-soak/src/index.ts
+++ b/packages/stallpaddle-soak/src/index.ts
@@ -16,4 +16,4 @@
   SoakResult,
   SoakRoute,
 } from './SoakTypes';
-export type {EngineRequest, EngineWord, SoakCall, SoakWire} from './SoakWire';
+export type {EngineReport, EngineRequest, SoakCall, SoakWire} from './SoakWire';
