--- a/packages/stallpaddle-soak/src/SoakChecker.ts
+++ b/packages/stallpaddle-soak/src/SoakChecker.ts
@@ -379,7 +379,7 @@
  * @param bounds bounds that the fleet's settings promise
  * @returns broken promises, in order
  */
-export function judgeHistory(
+export function checkHistory(
   events: readonly SoakEvent[],
   bounds: SoakBounds,
 ): readonly SoakBreak[] {
--- a/packages/stallpaddle-soak/src/SoakRun.ts
+++ b/packages/stallpaddle-soak/src/SoakRun.ts
@@ -9,7 +9,7 @@
 import type {SoakWire} from './SoakWire';
 
 import {SoakCallers} from './SoakCallers';
-import {judgeHistory} from './SoakChecker';
+import {checkHistory} from './SoakChecker';
 import {SoakFleet} from './SoakFleet';
 import {SoakHistory} from './SoakHistory';
 import {planFaults} from './SoakPlan';
@@ -114,6 +114,6 @@
     await fleet.stop();
   }
   const {events} = history;
-  const breaks = judgeHistory(events, bounds);
+  const breaks = checkHistory(events, bounds);
   return {...callers.counts, breaks, events, logFiles: fleet.logFiles, ownEnds: fleet.ownEnds};
 }
--- a/packages/stallpaddle-soak/src/__tests__/unit/SoakChecker.test.ts
+++ b/packages/stallpaddle-soak/src/__tests__/unit/SoakChecker.test.ts
@@ -6,7 +6,7 @@
 import type {SoakHappening} from '../../SoakHistory';
 import type {SoakEvent, SoakPromise} from '../../SoakTypes';
 
-import {judgeHistory} from '../../SoakChecker';
+import {checkHistory} from '../../SoakChecker';
 import {fatalAttempt, fatalContent, itemText, onceText, streamText} from '../../SoakOutput';
 
 const BOUNDS = {
@@ -23,7 +23,7 @@
 
 function judge(...history: readonly Timed[]): readonly SoakPromise[] {
   const events = history.map(([at, happening]) => ({...happening, at}) as SoakEvent);
-  return judgeHistory(events, BOUNDS).map(({promise}) => promise);
+  return checkHistory(events, BOUNDS).map(({promise}) => promise);
 }
 
 function asked(id: string, route: 'once' | 'stream' = 'stream', vm = 'v'): SoakHappening {
--- a/packages/stallpaddle-soak/src/index.ts
+++ b/packages/stallpaddle-soak/src/index.ts
@@ -1,6 +1,6 @@
 /** Runs a fleet's real processes under seeded faults and judges by the product's promises what came of it. */
 export {readSoakArguments, shapeOf, type SoakArguments, SoakArgumentsError} from './SoakArguments';
-export {judgeHistory} from './SoakChecker';
+export {checkHistory} from './SoakChecker';
 export type {SoakPorts, SoakProgram, SoakVm} from './SoakFleet';
 export {eventText, itemText, onceText, OUTPUT_EVENTS, streamText} from './SoakOutput';
 export {planFaults, type SoakPlanInput, type SoakShape} from './SoakPlan';
