--- a/packages/stallpaddle-soak/src/SoakHistory.ts
+++ b/packages/stallpaddle-soak/src/SoakHistory.ts
@@ -4,7 +4,7 @@
 import type {SoakEvent} from './SoakTypes';
 
 /** An event without its moment. */
-export type SoakHappening = SoakEvent extends infer Event
+export type SoakEventDetails = SoakEvent extends infer Event
   ? Event extends SoakEvent
     ? Omit<Event, 'at'>
     : never
@@ -25,7 +25,7 @@
    *
    * @param happening what happens
    */
-  note(happening: SoakHappening): void {
+  note(happening: SoakEventDetails): void {
     this.events.push({...happening, at: this.now} as SoakEvent);
   }
 }
--- a/packages/stallpaddle-soak/src/__tests__/unit/SoakChecker.test.ts
+++ b/packages/stallpaddle-soak/src/__tests__/unit/SoakChecker.test.ts
@@ -3,7 +3,7 @@
  */
 import {describe, expect, test} from 'vitest';
 
-import type {SoakHappening} from '../../SoakHistory';
+import type {SoakEventDetails} from '../../SoakHistory';
 import type {SoakEvent, SoakPromise} from '../../SoakTypes';
 
 import {checkHistory} from '../../SoakChecker';
@@ -19,22 +19,22 @@
 /** A moment after everything else. */
 const LATE = 60_000;
 
-type Timed = readonly [number, SoakHappening];
+type Timed = readonly [number, SoakEventDetails];
 
 function judge(...history: readonly Timed[]): readonly SoakPromise[] {
   const events = history.map(([at, happening]) => ({...happening, at}) as SoakEvent);
   return checkHistory(events, BOUNDS).map(({promise}) => promise);
 }
 
-function asked(id: string, route: 'once' | 'stream' = 'stream', vm = 'v'): SoakHappening {
+function asked(id: string, route: 'once' | 'stream' = 'stream', vm = 'v'): SoakEventDetails {
   return {id, kind: 'asked', route, vm};
 }
 
-function answered(id: string, text: string, status = 200, whole = true): SoakHappening {
+function answered(id: string, text: string, status = 200, whole = true): SoakEventDetails {
   return {id, kind: 'answered', status, text, whole};
 }
 
-function ran(id: string, engine = 'e'): SoakHappening {
+function ran(id: string, engine = 'e'): SoakEventDetails {
   return {engine, id, kind: 'ran', resumeAfter: 0};
 }
 
@@ -42,7 +42,7 @@
   return {id, outcome: 'completed', text} as const;
 }
 
-function read(job: string, ids: readonly string[], total: number, from = 0): SoakHappening {
+function read(job: string, ids: readonly string[], total: number, from = 0): SoakEventDetails {
   const results = ids.map((id) => completed(id));
   return {from, job, kind: 'jobRead', results, total, vm: 'v'};
 }
