--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
@@ -623,9 +623,9 @@
   });
 
   test('logs the outcome of each item and every engine that it was sent to', async () => {
-    const manners = ['serve', 'decline', 'fail', 'reset', 'breakOff', 'otherEngine', 'skipEvent'];
+    const behaviors = ['serve', 'decline', 'fail', 'reset', 'breakOff', 'otherEngine', 'skipEvent'];
     const random = seededRandom(20_261);
-    const draw = () => manners[Math.floor(random() * manners.length)];
+    const draw = () => behaviors[Math.floor(random() * behaviors.length)];
     const engines = await startEngines(3, 6, 2);
     for (let turn = 0; turn < 6; turn++) {
       engines.forEach((engine) => {
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
@@ -187,9 +187,17 @@
   });
 
   test('the log states the outcome that the caller saw and the last engine that got the request', async () => {
-    const manners = ['serve', 'decline', 'fail', 'mute', 'wrongRequest', 'breakOff', 'otherEngine'];
+    const behaviors = [
+      'serve',
+      'decline',
+      'fail',
+      'mute',
+      'wrongRequest',
+      'breakOff',
+      'otherEngine',
+    ];
     const random = seededRandom(20_261);
-    const draw = () => manners[Math.floor(random() * manners.length)];
+    const draw = () => behaviors[Math.floor(random() * behaviors.length)];
     const engines = await startEngines(3);
     for (let turn = 0; turn < 40; turn++) {
       engines.forEach((engine) => {
@@ -332,12 +340,12 @@
 
   test.each([[{kind: 'mute'}], [{after: 2, kind: 'pause'}]] as const)(
     'moves to another engine after a pause that is longer than usual: %o',
-    async (manner) => {
+    async (behavior) => {
       const engines = await startEngines(2);
       const context = learnedContext(engines);
       // The second engine has a higher load, so the first one is selected first.
       context.online.registerRequest('e1');
-      engines[0]!.behaviors = [manner];
+      engines[0]!.behaviors = [behavior];
       const {port} = await startRelay(context, routeOf());
       const startedAt = performance.now();
       expect(await sendRequest(port)).toMatchObject({
--- a/packages/stallpaddle-testing/src/FakeDisk.ts
+++ b/packages/stallpaddle-testing/src/FakeDisk.ts
@@ -1,18 +1,16 @@
-/**
- * A disk in memory that can crash between any two operations, tear writes, fail them or be lost.
- */
+/** An in-memory disk for tests of crash recovery. */
 import type {Disk, DiskFile} from 'stallpaddle-storage';
 
-/** Raised by every operation once the disk's machine has crashed, and by the one that crashes. */
+/** Thrown by the operation at which the simulated machine crashes, and by all later ones until it restarts. */
 export class FakeCrashError extends Error {
   override readonly name = 'FakeCrashError';
 }
 
-/** A change of a file's content that no sync has covered yet. */
+/** An unsynced change of a file's content. */
 interface FakeChange {
-  readonly apply: (content: Uint8Array, part: number) => Uint8Array;
-  /** A sync that failed gave it up: no later sync brings it to the disk. */
-  givenUp: boolean;
+  readonly apply: (content: Uint8Array, fraction: number) => Uint8Array;
+  /** Whether a failed sync dropped the change: no later sync makes it durable. */
+  dropped: boolean;
 }
 
 interface FakeInode {
@@ -24,16 +22,16 @@
 
 type Names = Map<string, FakeInode>;
 
-/** A change of the folder that no sync has covered yet. */
+/** An unsynced change of the directory. */
 type FakeNameChange = (names: Names) => void;
 
-/** What stays of bytes that were written but not synced when the machine crashes. */
+/** Returns how many of a file's unsynced bytes survive a crash. */
 export type TornKeep = (unsyncedBytes: number) => number;
 
-/** Part of the losses of power that take all unsynced content. */
-const ALL_GONE_PART = 0.3;
+/** Probability that a power loss drops all unsynced content. */
+const DROP_ALL_PROBABILITY = 0.3;
 
-/** Writes bytes at a place; what lies before it and was never written reads as zeros. */
+/** Writes bytes at an offset; a gap before it is filled with zeros. */
 function writeAt(content: Uint8Array, at: number, bytes: Uint8Array): Uint8Array {
   const written = new Uint8Array(Math.max(content.length, at + bytes.length));
   written.set(content);
@@ -41,7 +39,7 @@
   return written;
 }
 
-/** Sets a length, as the file system does: a file that was shorter ends with zeros. */
+/** Truncates the content, or extends it with zeros. */
 function withLength(content: Uint8Array, length: number): Uint8Array {
   return length <= content.length
     ? content.slice(0, length)
@@ -49,67 +47,67 @@
 }
 
 function writeChange(at: number, bytes: Uint8Array): FakeChange {
-  const apply = (content: Uint8Array, part: number): Uint8Array =>
-    writeAt(content, at, bytes.subarray(0, Math.floor(bytes.length * part)));
-  return {apply, givenUp: false};
+  const apply = (content: Uint8Array, fraction: number): Uint8Array =>
+    writeAt(content, at, bytes.subarray(0, Math.floor(bytes.length * fraction)));
+  return {apply, dropped: false};
 }
 
-/** See the module's comment. */
+/** Simulates a disk that can crash before any operation, tear or fail writes, fail syncs and lose power. */
 export class FakeDisk implements Disk {
-  /** Operations until the crash; undefined for none. */
+  /** Number of operations before the machine crashes; undefined for no crash. */
   crashAfter: number | undefined;
-  /** Makes every write fail with this, as a full disk does. */
+  /** Error with which every write fails, for example of a full disk; null for none. */
   failAppends: Error | null = null;
-  /** Makes every sync fail without writing; what it should have written no later sync writes either. */
+  /** Makes every sync fail; the changes that it covered are dropped and never become durable. */
   failSyncs = false;
   operations = 0;
-  /** Called before each write to a file; may hold it up, or fail it by throwing. */
+  /** Called before each append to a file; may delay it, or fail it by throwing. */
   onAppend: (name: string) => Promise<void> = () => Promise.resolve();
-  /** Called before each sync of a file; may hold it up. */
+  /** Called before each sync of a file; may delay it. */
   onSync: (name: string) => Promise<void> = () => Promise.resolve();
-  /** Called before each write, sync and change of names takes effect; may hold it up. */
+  /** Called before each write, sync and directory change takes effect; may delay it. */
   pause: (() => Promise<void>) | null = null;
   private crashed = false;
   private durableNames: Names = new Map();
   private names: Names = new Map();
   private pendingNames: FakeNameChange[] = [];
-  /** Rises when the machine goes: files opened before it fail. */
-  private start = 0;
+  /** Incremented when the process ends or the machine restarts: files opened before then fail. */
+  private incarnation = 0;
 
   async list(): Promise<readonly string[]> {
-    this.operate();
+    this.countOperation();
     return [...this.names.keys()];
   }
 
   async open(name: string): Promise<DiskFile> {
-    this.operate();
+    this.countOperation();
     const known = this.names.get(name);
     const inode = known ?? {durable: new Uint8Array(), pending: [], volatile: new Uint8Array()};
     if (known === undefined) {
       this.changeNames((names) => names.set(name, inode));
     }
-    return this.fileOf(name, inode);
+    return this.openFile(name, inode);
   }
 
   async read(name: string): Promise<Uint8Array | undefined> {
-    this.operate();
+    this.countOperation();
     return this.names.get(name)?.volatile.slice();
   }
 
   async remove(name: string): Promise<void> {
-    await this.hold();
-    this.operate();
+    await this.awaitPause();
+    this.countOperation();
     if (this.names.has(name)) {
       this.changeNames((names) => names.delete(name));
     }
   }
 
   async rename(from: string, to: string): Promise<void> {
-    await this.hold();
-    this.operate();
+    await this.awaitPause();
+    this.countOperation();
     const inode = this.names.get(from);
     if (inode === undefined) {
-      throw new Error(`there is no file ${from}`);
+      throw new Error(`file ${from} does not exist`);
     }
     this.changeNames((names) => {
       names.delete(from);
@@ -119,30 +117,30 @@
 
   async syncDirectory(): Promise<void> {
     const covered = this.pendingNames.length;
-    await this.hold();
-    this.operate();
-    const last = this.pendingNames.splice(0, covered);
-    last.forEach((change) => change(this.durableNames));
+    await this.awaitPause();
+    this.countOperation();
+    const synced = this.pendingNames.splice(0, covered);
+    synced.forEach((change) => change(this.durableNames));
   }
 
   async truncate(name: string, length: number): Promise<void> {
-    await this.hold();
-    this.operate();
+    await this.awaitPause();
+    this.countOperation();
     const inode = this.names.get(name)!;
     inode.volatile = withLength(inode.volatile, length);
     inode.pending.push({
-      apply: (content, part) => (part < 1 ? content : withLength(content, length)),
-      givenUp: false,
+      apply: (content, fraction) => (fraction < 1 ? content : withLength(content, length)),
+      dropped: false,
     });
   }
 
   /**
-   * Brings the machine back: what was not synced is gone, but for a torn part.
+   * Restarts the machine: unsynced content is lost, except for a torn piece at the end of each file.
    *
-   * @param tornKeep how many unsynced bytes at a file's end stay
+   * @param tornKeep returns how many unsynced bytes of a file survive
    */
   restart(tornKeep: TornKeep = () => 0): void {
-    this.comeBack(new Map(this.durableNames), ({durable, volatile}) => {
+    this.restartWith(new Map(this.durableNames), ({durable, volatile}) => {
       const unsynced = Math.max(0, volatile.length - durable.length);
       const kept = unsynced > 0 ? Math.min(unsynced, tornKeep(unsynced)) : 0;
       return writeAt(durable, durable.length, volatile.slice(durable.length).slice(0, kept));
@@ -150,34 +148,34 @@
   }
 
   /**
-   * Takes the machine's power and brings it back. Of what no sync has covered each write is there, missing or torn, or
-   * all are gone; each file that was made, renamed or removed without a sync of the folder is kept or lost by itself.
+   * Simulates a power loss and a restart. Each unsynced write survives, is lost or is torn, or all of them are lost; each
+   * unsynced change of the directory survives or is lost independently.
    *
-   * @param chance draws numbers from 0 to below 1
+   * @param random returns random numbers from 0 to below 1
    */
-  losePower(chance: () => number): void {
+  losePower(random: () => number): void {
     const names = new Map(this.durableNames);
-    this.pendingNames.filter(() => chance() < 0.5).forEach((change) => change(names));
-    const allGone = chance() < ALL_GONE_PART;
-    this.comeBack(names, ({durable, pending}) =>
+    this.pendingNames.filter(() => random() < 0.5).forEach((change) => change(names));
+    const allDropped = random() < DROP_ALL_PROBABILITY;
+    this.restartWith(names, ({durable, pending}) =>
       pending.reduce((content, change) => {
-        const drawn = allGone || change.givenUp ? 0 : 3 * chance();
-        // There, torn and missing are as likely.
+        const drawn = allDropped || change.dropped ? 0 : 3 * random();
+        // The change is lost, torn or complete with equal probability.
         return drawn < 1 ? content : change.apply(content, Math.min(1, drawn - 1));
       }, durable),
     );
   }
 
-  /** Ends the process that uses the disk: its files fail from now on, and what it wrote stays as it is. */
+  /** Ends the process that uses the disk: its open files fail from now on; the content stays. */
   endProcess(): void {
-    this.start++;
+    this.incarnation++;
   }
 
   /**
-   * Flips one byte, as bad media would.
+   * Inverts one byte, to simulate corruption of the medium.
    *
-   * @param name the file
-   * @param offset which byte
+   * @param name file name
+   * @param offset offset of the byte
    */
   flip(name: string, offset: number): void {
     const inode = this.names.get(name)!;
@@ -189,30 +187,30 @@
   }
 
   /**
-   * Size of a file, in bytes.
+   * Returns the size of a file, in bytes.
    *
-   * @param name the file
+   * @param name file name
    */
   sizeOf(name: string): number {
     return this.names.get(name)?.volatile.length ?? 0;
   }
 
-  /** An open file; like a real one it writes on from where the file ended when it was opened. */
-  private fileOf(name: string, inode: FakeInode): DiskFile {
-    const {start} = this;
+  /** Opens a file; appends continue at the end that the file had when it was opened. */
+  private openFile(name: string, inode: FakeInode): DiskFile {
+    const {incarnation} = this;
     let end = inode.volatile.length;
     let closed = false;
-    const use = async (): Promise<void> => {
-      this.checkOpen(start, closed);
-      await this.hold();
-      this.checkOpen(start, closed);
-      this.operate();
+    const beginOperation = async (): Promise<void> => {
+      this.checkOpen(incarnation, closed);
+      await this.awaitPause();
+      this.checkOpen(incarnation, closed);
+      this.countOperation();
     };
     return {
       append: async (bytes) => {
         const at = end;
         await this.onAppend(name);
-        await use();
+        await beginOperation();
         if (this.failAppends !== null) {
           throw this.failAppends;
         }
@@ -224,11 +222,11 @@
         closed = true;
       },
       read: async (offset, length) => {
-        this.checkOpen(start, closed);
+        this.checkOpen(incarnation, closed);
         return inode.volatile.slice(offset, offset + length);
       },
       rewrite: async (offset, bytes) => {
-        await use();
+        await beginOperation();
         if (this.failAppends !== null) {
           throw this.failAppends;
         }
@@ -236,36 +234,36 @@
         inode.pending.push(writeChange(offset, bytes));
       },
       sync: async () => {
-        // A sync answers for what was written before it began, and for nothing else.
+        // A sync covers only what was written before it began.
         const covered = [...inode.pending];
         await this.onSync(name);
-        await use();
+        await beginOperation();
         if (this.failSyncs) {
           covered.forEach((change) => {
-            change.givenUp = true;
+            change.dropped = true;
           });
           throw new Error('the sync failed');
         }
-        this.keep(inode, covered);
+        this.makeDurable(inode, covered);
       },
     };
   }
 
-  private keep(inode: FakeInode, covered: readonly FakeChange[]): void {
-    const isAll = inode.pending.every((change) => covered.includes(change) && !change.givenUp);
-    if (isAll) {
+  private makeDurable(inode: FakeInode, covered: readonly FakeChange[]): void {
+    const coversAll = inode.pending.every((change) => covered.includes(change) && !change.dropped);
+    if (coversAll) {
       inode.durable = inode.volatile;
       inode.pending = [];
       return;
     }
-    const still = inode.pending.filter((change) => covered.includes(change));
-    const lasting = still.filter(({givenUp}) => !givenUp);
-    inode.durable = lasting.reduce((content, change) => change.apply(content, 1), inode.durable);
-    inode.pending = inode.pending.filter((change) => !lasting.includes(change));
+    const stillPending = inode.pending.filter((change) => covered.includes(change));
+    const synced = stillPending.filter(({dropped}) => !dropped);
+    inode.durable = synced.reduce((content, change) => change.apply(content, 1), inode.durable);
+    inode.pending = inode.pending.filter((change) => !synced.includes(change));
   }
 
-  private comeBack(names: Names, contentOf: (inode: FakeInode) => Uint8Array): void {
-    this.start++;
+  private restartWith(names: Names, contentOf: (inode: FakeInode) => Uint8Array): void {
+    this.incarnation++;
     this.crashed = false;
     this.crashAfter = undefined;
     this.names = names;
@@ -283,14 +281,14 @@
     this.pendingNames.push(change);
   }
 
-  private async hold(): Promise<void> {
-    const {start} = this;
+  private async awaitPause(): Promise<void> {
+    const {incarnation} = this;
     await this.pause?.();
-    this.checkOpen(start, false);
+    this.checkOpen(incarnation, false);
   }
 
-  private checkOpen(start: number, closed: boolean): void {
-    if (start !== this.start) {
+  private checkOpen(incarnation: number, closed: boolean): void {
+    if (incarnation !== this.incarnation) {
       throw new FakeCrashError();
     }
     if (closed) {
@@ -298,7 +296,7 @@
     }
   }
 
-  private operate(): void {
+  private countOperation(): void {
     if (this.crashed) {
       throw new FakeCrashError();
     }
--- a/packages/stallpaddle-testing/src/FakeSuspectStore.ts
+++ b/packages/stallpaddle-testing/src/FakeSuspectStore.ts
@@ -1,6 +1,4 @@
-/**
- * Suspects as several processes share them, without a network between.
- */
+/** Shares suspects between relays in one process, for tests. */
 import {systemClock} from 'stallpaddle';
 import {
   afterEngineEnd,
@@ -12,19 +10,19 @@
 } from 'stallpaddle-fleet';
 import {RelaySuspects, type RelayWire} from 'stallpaddle-relay';
 
-/** See the module's comment. */
+/** Keeps suspects as the control group does, and shares them with all views without a network. */
 export class FakeSuspectStore {
-  /** Whether what one process finds is told to the others. */
+  /** Whether new findings become visible to the views. */
   isShared = true;
-  /** Suspects as the control group would keep them. */
+  /** Suspects by request, as the control group stores them. */
   suspects: ReadonlyMap<string, FleetSuspect> = new Map();
   private views: readonly SuspectView[] = [];
 
   /**
-   * What one process knows of them.
+   * Returns the suspects as one process sees them.
    *
-   * @param wire the engines' words
-   * @param engines engines as that process knows them
+   * @param wire wire format of the engines
+   * @param engines returns the engines that the process knows
    */
   view(wire: RelayWire, engines: () => readonly EngineView[]): RelaySuspects {
     return new RelaySuspects({
--- a/packages/stallpaddle-testing/src/FuzzParameters.ts
+++ b/packages/stallpaddle-testing/src/FuzzParameters.ts
@@ -1,6 +1,4 @@
-/**
- * Property tests over histories of failures: fixed seeds in CI, longer under `npm run fuzz`.
- */
+/** Parameters of property tests: a fixed seed in CI, a time limit under `npm run fuzz`. */
 import fc from 'fast-check';
 
 const CI_SEED = 20_261;
@@ -11,9 +9,9 @@
 }
 
 /**
- * Parameters of a property.
+ * Returns the fast-check parameters of a property.
  *
- * @param histories number of histories in CI
+ * @param histories number of generated histories in CI
  */
 function parametersOf(histories: number): fc.Parameters<unknown> {
   const seed = Number(process.env.STALLPADDLE_FUZZ_SEED ?? CI_SEED);
@@ -29,11 +27,11 @@
 }
 
 /**
- * Checks a property over histories; a failure names the seed and the shrunk history.
+ * Checks a property over generated histories; the error of a failure contains the seed and the shrunk history.
  *
- * @param name what the histories are of
- * @param property what must hold in each
- * @param histories number of histories in CI
+ * @param name name of the histories in the output of `npm run fuzz`
+ * @param property property to check
+ * @param histories number of generated histories in CI
  */
 export async function assertHistories<T>(
   name: string,
@@ -51,7 +49,7 @@
   }
 }
 
-/** Longest time of a property test, in milliseconds. */
+/** Returns the timeout of a property test, in milliseconds. */
 export function fuzzTimeoutMs(): number {
   return (fuzzMinutes() + 2) * MS_PER_MINUTE;
 }
--- a/packages/stallpaddle-testing/src/ListMachine.ts
+++ b/packages/stallpaddle-testing/src/ListMachine.ts
@@ -1,38 +1,36 @@
-/**
- * A state machine for tests: a list of texts, most of them with bulk data.
- */
+/** A replicated state machine for tests. */
 import type {ReplicaMachine} from 'stallpaddle-replication';
 import type {BlobRef} from 'stallpaddle-storage';
 
 import {decodeValue, encodeValue} from 'stallpaddle';
 import {placeBlob} from 'stallpaddle-storage';
 
-/** Begins a text that brings no bulk data. */
+/** Prefix of a text without bulk data. */
 export const BARE = '#';
 
-/** One command, as it was applied. */
+/** An applied command. */
 export interface ListItem {
-  /** Null for a text that brings no bulk data. */
+  /** Null for a text without bulk data. */
   readonly ref: BlobRef | null;
   readonly text: string;
 }
 
-/** All commands, in order. */
+/** All applied commands, in order. */
 export interface ListState {
   readonly blobEnd: number;
   readonly items: readonly ListItem[];
 }
 
 /**
- * Bulk data of a text.
+ * Returns the bulk data that belongs to a text.
  *
- * @param text the text
+ * @param text text of the command
  */
 export function bulkOf(text: string): Buffer {
   return Buffer.from(`bulk of ${text}`);
 }
 
-/** See the module's comment. */
+/** Appends each command's text to a list, with bulk data in a blob unless the text starts with {@link BARE}. */
 export const listMachine: ReplicaMachine<ListState> = {
   apply: ({blobEnd, items}, command) => {
     const text = Buffer.from(command).toString();
--- a/packages/stallpaddle-testing/src/PlainWire.ts
+++ b/packages/stallpaddle-testing/src/PlainWire.ts
@@ -1,22 +1,20 @@
-/**
- * The words of a made-up platform, for tests of the relay and the dispatcher.
- */
+/** Wire format of a fictitious platform, for tests of the relay and the dispatcher. */
 import type {HeaderLine, RelayWire} from 'stallpaddle-relay';
 
-/** Header names of the made-up platform. */
+/** Header names and paths of the fictitious platform. */
 export const PLAIN = {
   customer: 'x-customer',
   declined: 'x-declined',
   engine: 'x-engine',
-  /** Where an engine says how many requests it holds. */
+  /** Path of an engine's occupancy. */
   occupancy: '/occupancy',
   request: 'x-request',
   resumeAfter: 'x-resume-after',
   signature: 'x-signature',
-  /** Where an engine is told to stop a run. */
+  /** Path prefix for stopping a run or releasing its retained state. */
   stop: '/stop',
   timeLeft: 'x-time-left',
-  /** Content type that a stand-in engine gives an answer without a length. */
+  /** Request header with the content type of an unframed response of the fake engine. */
   wanted: 'x-wanted-type',
 } as const;
 
@@ -24,7 +22,7 @@
   return typeof value === 'string' ? value : null;
 }
 
-/** See the module's comment. */
+/** Maps relay requests and responses to the headers of the fictitious platform. */
 export const plainRelay: RelayWire = {
   callerHeaders: ['authorization', PLAIN.customer],
   engineHeaders: ({customer, deadlineMs, engine, requestId, resumeAfter}) => {
@@ -67,10 +65,10 @@
     signed: headers[PLAIN.signature] !== undefined,
   }),
   readRetainedState: (body) => (body === '' ? null : body),
-  releaseRetainedState: (remains) => ({
+  releaseRetainedState: (requestId) => ({
     body: '',
     method: 'DELETE',
-    path: `${PLAIN.stop}/${remains}`,
+    path: `${PLAIN.stop}/${requestId}`,
   }),
   stopRun: (requestId) => ({body: '', method: 'POST', path: `${PLAIN.stop}/${requestId}`}),
 };
--- a/packages/stallpaddle-testing/src/SlowLink.ts
+++ b/packages/stallpaddle-testing/src/SlowLink.ts
@@ -1,31 +1,29 @@
-/**
- * A link between two processes under a test's control: so many bytes a millisecond, and silent when the test says so.
- */
+/** A TCP proxy with limited bandwidth for tests. */
 import {connect, createServer, type Socket} from 'node:net';
 
-/** Where a link lies. */
+/** Addresses and bandwidth of a link. */
 export interface SlowLinkOptions {
-  /** What each connection carries each way, in bytes a millisecond; as much as the machine does when left out. */
+  /** Bandwidth of each connection in each direction, in bytes per millisecond; unlimited by default. */
   readonly bytesPerMs?: number;
   readonly host: string;
   readonly port: number;
-  /** Port of the same host to which it leads. */
+  /** Port of the same host to which connections are forwarded. */
   readonly target: number;
 }
 
-/** See the module's comment. */
+/** Forwards connections with a limited bandwidth, and drops all bytes while a test sets `silent`. */
 export class SlowLink {
-  /** While true, bytes are lost and nothing is closed, as on a cut link. */
+  /** While true, bytes are dropped and connections stay open, as in a network partition. */
   silent = false;
-  private readonly server = createServer((near) => this.join(near));
+  private readonly server = createServer((client) => this.accept(client));
   private readonly sockets = new Set<Socket>();
 
   private constructor(private readonly options: SlowLinkOptions) {}
 
   /**
-   * Opens a link.
+   * Starts to listen.
    *
-   * @param options where it lies
+   * @param options addresses and bandwidth
    */
   static async open(options: SlowLinkOptions): Promise<SlowLink> {
     const link = new SlowLink(options);
@@ -34,20 +32,20 @@
     return link;
   }
 
-  /** Ends all connections. */
+  /** Closes all connections and stops listening. */
   close(): void {
     this.sockets.forEach((socket) => socket.destroy());
     this.server.close();
   }
 
-  private join(near: Socket): void {
+  private accept(client: Socket): void {
     const {host, target} = this.options;
-    const far = connect(target, host);
-    this.carry(near, far);
-    this.carry(far, near);
+    const upstream = connect(target, host);
+    this.forward(client, upstream);
+    this.forward(upstream, client);
   }
 
-  private carry(from: Socket, to: Socket): void {
+  private forward(from: Socket, to: Socket): void {
     const {bytesPerMs = Infinity} = this.options;
     this.sockets.add(from);
     from.on('data', (bytes) => {
--- a/packages/stallpaddle-testing/src/StreamEngine.ts
+++ b/packages/stallpaddle-testing/src/StreamEngine.ts
@@ -1,7 +1,4 @@
-/**
- * A stand-in engine for opaque requests: streams numbered events, goes on where it is asked to, and fails
- * in the ways that engines do.
- */
+/** A fake engine for tests of the relay and the dispatcher. */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {AddressInfo} from 'node:net';
 
@@ -9,45 +6,45 @@
 
 import {PLAIN} from './PlainWire';
 
-/** How an engine treats the next request. */
+/** How an engine handles a request. */
 export type EngineBehavior =
-  /** Breaks off in the middle of an event after some whole ones. */
+  /** Closes the connection within the event that follows `after` complete events. */
   | {readonly after: number; readonly kind: 'breakOff'}
-  /** Ends the body as if it were whole, within an event. */
+  /** Ends the body normally, but within an event. */
   | {readonly after: number; readonly kind: 'endWithin'}
   | {readonly kind: 'decline'}
   | {readonly kind: 'fail'; readonly status: number}
-  /** Takes the request and never says a word. */
+  /** Accepts the request and never responds. */
   | {readonly kind: 'mute'}
-  /** Another engine has the address. */
+  /** Responds as another engine that has taken over the address. */
   | {readonly kind: 'otherEngine'}
-  /** Falls silent after some whole events, and keeps the connection. */
+  /** Stalls after `after` complete events and keeps the connection open. */
   | {readonly after: number; readonly kind: 'pause'}
-  /** Sends some whole events of an answer without a length, and resets the connection. */
+  /** Sends `after` complete events in a body without length or chunks, then resets the connection. */
   | {readonly after: number; readonly kind: 'resetUnframed'}
-  /** Takes the request and resets the connection. */
+  /** Accepts the request and resets the connection. */
   | {readonly kind: 'reset'}
-  /** Leaves numbers out. */
+  /** Omits the second event that it sends. */
   | {readonly kind: 'skipEvent'}
   | {readonly kind: 'serve'}
-  /** Answers with the name of another request. */
+  /** Responds with the id of another request. */
   | {readonly kind: 'wrongRequest'};
 
-/** A request as the engine saw it. */
+/** A request that the engine received. */
 export interface SeenRequest {
   readonly body: string;
   readonly headers: IncomingMessage['headers'];
-  /** Whether its connection was closed before the last event. */
+  /** Whether the connection was closed before the response was complete. */
   aborted: boolean;
-  /** Whether it is still under way. */
+  /** Whether the request is still in progress. */
   open: boolean;
   readonly url: string;
 }
 
 const EVENT_STREAM = 'text/event-stream';
 
-/** Time from the begin of a request that ends its engine to that end, in milliseconds; 34 to 95 were seen. */
-const END_AFTER_MS = 30;
+/** Time from the start of a fatal request to the crash of the engine, in milliseconds. */
+const CRASH_AFTER_MS = 30;
 
 const SERVE: EngineBehavior = {kind: 'serve'};
 
@@ -55,27 +52,27 @@
   return `id: ${number}\ndata: piece ${number}\n\n`;
 }
 
-/** See the module's comment. */
+/** Streams numbered events, resumes after a given one, and fails on request in the ways that real engines do. */
 export class StreamEngine {
-  /** Treats the next requests, in order; then all are served. */
+  /** Behaviors for the next requests, in order; further requests are served. */
   behaviors: EngineBehavior[] = [];
-  /** Orders on runs, method and name. */
+  /** Received control requests on runs: method and request id. */
   readonly controlRequests: string[] = [];
   readonly seen: SeenRequest[] = [];
-  /** Events of an answer that are sent before a request that ends the engine does so. */
+  /** Number of events that a fatal request streams before the engine crashes. */
   eventsBeforeCrash = 0;
-  /** Bodies of requests that end the engine which begins to run them. */
+  /** Bodies of the requests that crash the engine. */
   readonly fatal = new Set<string>();
-  /** Called once such a request has ended the engine. */
+  /** Called after a fatal request has crashed the engine. */
   onCrashed: (body: string) => void = () => {};
-  /** Whether it answers the question how many requests it holds. */
+  /** Whether the engine responds to occupancy queries. */
   reportsOccupancy = true;
 
   private readonly running = new Map<string, ServerResponse>();
 
   private constructor(
     private readonly server: Server,
-    /** IP number and port, also once the engine has ended. */
+    /** IP address and port; stays valid after the engine has exited. */
     readonly address: string,
     private readonly events: number,
     private readonly gapMs: number,
@@ -84,7 +81,7 @@
   /**
    * Starts an engine on a free port.
    *
-   * @param events events of each whole answer
+   * @param events number of events in a complete response
    * @param gapMs pause between two events, in milliseconds
    */
   static async start(events = 5, gapMs = 2): Promise<StreamEngine> {
@@ -92,23 +89,23 @@
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
     const engine = new StreamEngine(server, address, events, gapMs);
-    server.on('request', (req, res) => void engine.answer(req, res));
+    server.on('request', (req, res) => void engine.handle(req, res));
     return engine;
   }
 
-  /** Text of a whole answer. */
+  /** Body of a complete response. */
   get wholeText(): string {
     return Array.from({length: this.events}, (_, at) => eventText(at + 1)).join('');
   }
 
-  /** Ends the engine with all its connections. */
+  /** Stops the engine and closes all its connections. */
   async stop(): Promise<void> {
     this.server.closeAllConnections();
-    // An engine that has ended already answers with an error, which is as good.
+    // The callback gets an error if the server is closed already, which is fine.
     await new Promise<void>((resolve) => this.server.close(() => resolve()));
   }
 
-  private async answer(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  private async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
     if (req.url === PLAIN.occupancy) {
       if (this.reportsOccupancy) {
         res.end([...this.running.keys()].join(' '));
@@ -143,36 +140,36 @@
       seen.open = false;
     });
     if (this.fatal.has(body)) {
-      await this.endBy(body, req, res);
+      await this.crashBy(body, req, res);
       return;
     }
-    await this.treat(this.behaviors.shift() ?? SERVE, req, res);
+    await this.respond(this.behaviors.shift() ?? SERVE, req, res);
   }
 
-  /** Begins to run a request, and ends as a process that crashes: all connections are reset, none comes up any more. */
-  private async endBy(body: string, req: IncomingMessage, res: ServerResponse): Promise<void> {
+  /** Starts a request and then crashes: closes all connections and refuses new ones. */
+  private async crashBy(body: string, req: IncomingMessage, res: ServerResponse): Promise<void> {
     if (this.eventsBeforeCrash > 0) {
-      await this.treat({after: this.eventsBeforeCrash, kind: 'pause'}, req, res);
+      await this.respond({after: this.eventsBeforeCrash, kind: 'pause'}, req, res);
     }
-    await new Promise((resolve) => setTimeout(resolve, END_AFTER_MS));
+    await new Promise((resolve) => setTimeout(resolve, CRASH_AFTER_MS));
     this.server.close();
     this.server.closeAllConnections();
     this.onCrashed(body);
   }
 
-  private async treat(
-    manner: EngineBehavior,
+  private async respond(
+    behavior: EngineBehavior,
     req: IncomingMessage,
     res: ServerResponse,
   ): Promise<void> {
     const id = String(req.headers[PLAIN.request]);
     const signed = {[PLAIN.request]: id, [PLAIN.signature]: `signed-${id}`};
-    switch (manner.kind) {
+    switch (behavior.kind) {
       case 'decline':
         res.writeHead(503, {[PLAIN.declined]: '1', [PLAIN.request]: id}).end();
         return;
       case 'fail':
-        res.writeHead(manner.status, signed).end('it failed');
+        res.writeHead(behavior.status, signed).end('it failed');
         return;
       case 'mute':
         return;
@@ -186,7 +183,7 @@
         res.useChunkedEncodingByDefault = false;
         res.shouldKeepAlive = false;
         res.writeHead(200, {...signed, 'content-type': req.headers[PLAIN.wanted] ?? EVENT_STREAM});
-        res.write(Array.from({length: manner.after}, (_, at) => eventText(at + 1)).join(''));
+        res.write(Array.from({length: behavior.after}, (_, at) => eventText(at + 1)).join(''));
         await new Promise((resolve) => setTimeout(resolve, this.gapMs));
         req.socket.resetAndDestroy();
         return;
@@ -196,7 +193,7 @@
       case 'serve':
       case 'skipEvent':
         res.writeHead(200, {...signed, 'content-type': EVENT_STREAM});
-        await this.stream(manner, Number(req.headers[PLAIN.resumeAfter] ?? 0), res);
+        await this.stream(behavior, Number(req.headers[PLAIN.resumeAfter] ?? 0), res);
         return;
       case 'wrongRequest':
         res.writeHead(200, {...signed, [PLAIN.request]: 'another'}).end('not yours');
@@ -205,26 +202,26 @@
   }
 
   private async stream(
-    manner: EngineBehavior,
+    behavior: EngineBehavior,
     resumeAfter: number,
     res: ServerResponse,
   ): Promise<void> {
     for (let number = resumeAfter + 1; number <= this.events && !res.destroyed; number++) {
-      const isCut = 'after' in manner && number > resumeAfter + manner.after;
-      if (isCut && manner.kind === 'pause') {
+      const isAfterLast = 'after' in behavior && number > resumeAfter + behavior.after;
+      if (isAfterLast && behavior.kind === 'pause') {
         return;
       }
-      if (isCut) {
+      if (isAfterLast) {
         res.write(eventText(number).slice(0, 8));
         await new Promise((resolve) => setTimeout(resolve, this.gapMs));
-        if (manner.kind === 'breakOff') {
+        if (behavior.kind === 'breakOff') {
           res.destroy();
         } else {
           res.end();
         }
         return;
       }
-      if (manner.kind !== 'skipEvent' || number !== resumeAfter + 2) {
+      if (behavior.kind !== 'skipEvent' || number !== resumeAfter + 2) {
         res.write(eventText(number));
       }
       await new Promise((resolve) => setTimeout(resolve, this.gapMs));
--- a/packages/stallpaddle-testing/src/__tests__/unit/Teeth.test.ts
+++ b/packages/stallpaddle-testing/src/__tests__/unit/Teeth.test.ts
@@ -1,7 +1,4 @@
-/**
- * The deliberate faults: code that moves takes their places along, and a fault that finds no place proves nothing. Ten of 98
- * had lost theirs when this was written.
- */
+/** Guards against deliberate faults whose text no longer occurs in the source: they would test nothing. */
 import {readFileSync} from 'node:fs';
 import {describe, expect, test} from 'vitest';
 import {z} from 'zod';
@@ -22,11 +19,14 @@
   .parse(JSON.parse(readFileSync(new URL('scripts/teeth.json', ROOT), 'utf8')));
 
 describe('deliberate faults', () => {
-  test.each(faults)('the place is found once: $fault', ({edits, file, find = '', put = ''}) => {
-    let code = readFileSync(new URL(`packages/${file}`, ROOT), 'utf8');
-    for (const edit of edits ?? [{find, put}]) {
-      expect(code.split(edit.find)).toHaveLength(2);
-      code = code.replace(edit.find, () => edit.put);
-    }
-  });
+  test.each(faults)(
+    'the text to replace occurs exactly once: $fault',
+    ({edits, file, find = '', put = ''}) => {
+      let code = readFileSync(new URL(`packages/${file}`, ROOT), 'utf8');
+      for (const edit of edits ?? [{find, put}]) {
+        expect(code.split(edit.find)).toHaveLength(2);
+        code = code.replace(edit.find, () => edit.put);
+      }
+    },
+  );
 });
--- a/packages/stallpaddle-testing/src/index.ts
+++ b/packages/stallpaddle-testing/src/index.ts
@@ -1,4 +1,4 @@
-/** Helpers of tests; never shipped. */
+/** Fakes and fixtures for the tests of the other packages; not published. */
 export {FakeCrashError, FakeDisk, type TornKeep} from './FakeDisk';
 export {FakeSuspectStore} from './FakeSuspectStore';
 export {assertHistories, fuzzTimeoutMs} from './FuzzParameters';
