--- a/packages/stallpaddle-soak/src/SoakCallers.ts
+++ b/packages/stallpaddle-soak/src/SoakCallers.ts
@@ -1,7 +1,4 @@
-/**
- * Callers of a soak: online requests over connections that stay open, batch jobs that are sent until they are taken, read
- * all the while, and some of them ended.
- */
+/** Callers of a soak. */
 import {Agent} from 'node:http';
 import {delay, exponentialMs, type Random, seededRandom} from 'stallpaddle';
 
@@ -13,85 +10,85 @@
 import {makeCall, type SoakReply} from './SoakHttp';
 import {fatalAttempt, fatalContent, IMPOSSIBLE} from './SoakOutput';
 
-/** What callers are made of. */
+/** Options of the callers. */
 export interface SoakCallersOptions {
   readonly fleet: SoakFleet;
   readonly history: SoakHistory;
   readonly seed: number;
-  readonly words: SoakWire;
+  readonly wire: SoakWire;
 }
 
-/** Online requests a second. */
+/** Online requests per second. */
 const ONLINE_PER_SECOND = 15;
-/** Batch jobs a second. */
+/** Batch jobs per second. */
 const JOBS_PER_SECOND = 1;
-const LEAST_ITEMS = 2;
-const MOST_ITEMS = 6;
-/** Part of the items that no engine can do. */
-const IMPOSSIBLE_PART = 0.04;
-/** Part of the jobs that are ended. */
-const ENDED_PART = 0.1;
-/** Longest time that a caller waits, in milliseconds. */
+const MIN_ITEMS = 2;
+const MAX_ITEMS = 6;
+/** Fraction of the items that every engine rejects. */
+const IMPOSSIBLE_FRACTION = 0.04;
+/** Fraction of the jobs that are cancelled. */
+const CANCELLED_FRACTION = 0.1;
+/** Deadline of an online request, in milliseconds. */
 const DEADLINE_MS = 4_000;
-/** Time that a caller allows beyond its deadline, in milliseconds. */
-const PATIENCE_MS = 1_000;
-/** Longest wait for an answer about a job, in milliseconds. */
-const JOB_MS = 2_000;
-/** Pause between two tries to send a job, in milliseconds. */
-const SEND_AGAIN_MS = 200;
-/** Most tries to send a job. */
-const MOST_SENDS = 60;
+/** Time that a caller waits beyond the deadline, in milliseconds. */
+const DEADLINE_MARGIN_MS = 1_000;
+/** Timeout of calls about a job, in milliseconds. */
+const JOB_TIMEOUT_MS = 2_000;
+/** Pause between two attempts to submit a job, in milliseconds. */
+const SEND_RETRY_MS = 200;
+/** Maximum number of attempts to submit or cancel a job. */
+const MAX_SENDS = 60;
 /** Pause between two reads of results, in milliseconds. */
-const READ_AGAIN_MS = 150;
-/** Pause between two questions which VMs to use, in milliseconds. */
-const ADDRESSES_AGAIN_MS = 1_000;
-/** Time for which a caller sends one request that ends engines, in milliseconds. */
-const FATAL_FOR_MS = 8_000;
-/** Pause of that caller after an answer, in milliseconds. */
-const FATAL_AGAIN_MS = 120;
-/** Statuses that promise that nothing runs. */
+const READ_INTERVAL_MS = 150;
+/** Pause between two queries of the addresses, in milliseconds. */
+const ADDRESSES_INTERVAL_MS = 1_000;
+/** Time for which a caller repeats one fatal request, in milliseconds. */
+const FATAL_DURATION_MS = 8_000;
+/** Pause between two attempts at a fatal request, in milliseconds. */
+const FATAL_PAUSE_MS = 120;
+/** Statuses that guarantee that nothing of a job runs. */
 const REFUSALS: ReadonlySet<number> = new Set([429, 503]);
 
-interface TakenJob {
+interface AcceptedJob {
   readonly id: string;
   readonly items: readonly string[];
-  isEnded: boolean;
-  /** Results that were read. */
+  isCancelled: boolean;
+  /** Number of results that were read. */
   seen: number;
 }
 
-/** See the module's comment. */
+/** Sends online requests, submits batch jobs until they are accepted, reads their results and cancels some of them. */
 export class SoakCallers {
   private addresses: readonly string[] = [];
   private readonly agent = new Agent({keepAlive: true, maxSockets: 4});
-  private readonly jobs: TakenJob[] = [];
+  private readonly jobs: AcceptedJob[] = [];
   private number = 0;
   private readonly open = new Set<Promise<void>>();
   private readonly random: Random;
   private stopped = false;
 
   /**
-   * @param options what they are made of
+   * @param options options of the callers
    */
   constructor(private readonly options: SoakCallersOptions) {
     this.random = seededRandom(options.seed + 1);
   }
 
-  /** Online requests and jobs so far. */
+  /** Number of accepted jobs, and of requests and jobs sent so far. */
   get counts(): {readonly jobs: number; readonly requests: number} {
     return {jobs: this.jobs.length, requests: this.number};
   }
 
-  /** Begins. */
+  /** Starts all callers. */
   start(): void {
-    this.keep(this.learnAddresses());
-    this.keep(this.askOn());
-    this.keep(this.submitOn());
-    this.keep(this.readOn());
-    this.keep(this.askFatallyOn());
+    this.track(this.refreshAddresses());
+    this.track(this.sendRequests());
+    this.track(this.submitJobs());
+    this.track(this.readJobs());
+    this.track(this.sendFatalRequests());
   }
 
-  /** Sends nothing new, and waits for what is under way. */
+  /** Stops sending and waits for all open calls. */
   async stop(): Promise<void> {
     this.stopped = true;
     while (this.open.size > 0) {
@@ -100,95 +97,95 @@
   }
 
   /**
-   * Reads every job until all of it is listed, at the VMs in turn.
+   * Reads the results of every job until all its items are listed, each time at a random VM.
    *
-   * @param mostMs longest time for all, in milliseconds
+   * @param timeoutMs timeout for all jobs together, in milliseconds
    */
-  async readAll(mostMs: number): Promise<void> {
-    const endAt = performance.now() + mostMs;
-    const read = async (job: TakenJob): Promise<void> => {
-      while (!job.isEnded && job.seen < job.items.length && performance.now() < endAt) {
-        await this.readOnce(job, job.seen);
-        await delay(READ_AGAIN_MS);
+  async readAll(timeoutMs: number): Promise<void> {
+    const endAt = performance.now() + timeoutMs;
+    const read = async (job: AcceptedJob): Promise<void> => {
+      while (!job.isCancelled && job.seen < job.items.length && performance.now() < endAt) {
+        await this.readJobOnce(job, job.seen);
+        await delay(READ_INTERVAL_MS);
       }
-      // Once more from the start, as it was read before.
-      await this.readOnce(job, 0);
+      // Reads all results again, so that the checker compares them with the earlier reads.
+      await this.readJobOnce(job, 0);
     };
     await Promise.all(this.jobs.map(read));
     this.agent.destroy();
   }
 
-  private keep(work: Promise<void>): void {
-    const kept: Promise<void> = work.finally(() => this.open.delete(kept));
-    this.open.add(kept);
+  private track(work: Promise<void>): void {
+    const tracked: Promise<void> = work.finally(() => this.open.delete(tracked));
+    this.open.add(tracked);
   }
 
-  private anyEntry(): string {
+  private randomEntry(): string {
     const {entryNames} = this.options.fleet;
     return entryNames[Math.floor(this.random() * entryNames.length)]!;
   }
 
-  /** Where the next connection goes; null while nobody has told. */
-  private anyAddress(): null | string {
+  /** Returns a random address for callers; null while none is known. */
+  private randomAddress(): null | string {
     return this.addresses[Math.floor(this.random() * this.addresses.length)] ?? null;
   }
 
-  private async learnAddresses(): Promise<void> {
-    const {fleet, words} = this.options;
+  private async refreshAddresses(): Promise<void> {
+    const {fleet, wire} = this.options;
     while (!this.stopped) {
-      const address = fleet.addressOf(this.anyEntry(), 'directory');
-      const reply = await this.callOnce(words.addresses, address, JOB_MS);
+      const address = fleet.addressOf(this.randomEntry(), 'directory');
+      const reply = await this.callOnce(wire.addresses, address, JOB_TIMEOUT_MS);
       if (reply.kind === 'answer' && reply.status === 200 && reply.whole) {
-        this.addresses = words.readAddresses(reply.text);
+        this.addresses = wire.readAddresses(reply.text);
       }
-      await delay(this.addresses.length > 0 ? ADDRESSES_AGAIN_MS : READ_AGAIN_MS);
+      await delay(this.addresses.length > 0 ? ADDRESSES_INTERVAL_MS : READ_INTERVAL_MS);
     }
   }
 
-  private async askOn(): Promise<void> {
+  private async sendRequests(): Promise<void> {
     while (!this.stopped) {
       await delay(exponentialMs(this.random, ONLINE_PER_SECOND));
-      const address = this.anyAddress();
+      const address = this.randomAddress();
       if (address !== null) {
-        this.keep(this.ask(address, this.random() < 0.3 ? 'once' : 'stream'));
+        this.track(this.ask(address, this.random() < 0.3 ? 'once' : 'stream'));
       }
     }
   }
 
-  /** One request that ends engines after the other: each comes again at once, at any VM, over and over. */
-  private async askFatallyOn(): Promise<void> {
+  /** Sends fatal requests, one after the other, each of them repeatedly and at random VMs. */
+  private async sendFatalRequests(): Promise<void> {
     for (let number = 1; !this.stopped; number++) {
       const content = fatalContent(number);
-      const endAt = performance.now() + FATAL_FOR_MS;
+      const endAt = performance.now() + FATAL_DURATION_MS;
       for (let attempt = 1; performance.now() < endAt && !this.stopped; attempt++) {
-        const address = this.anyAddress();
+        const address = this.randomAddress();
         if (address !== null) {
           const route = number % 2 === 0 ? 'once' : 'stream';
-          await this.askAs(fatalAttempt(content, attempt), content, address, route);
+          await this.sendAttempt(fatalAttempt(content, attempt), content, address, route);
         }
-        await delay(FATAL_AGAIN_MS);
+        await delay(FATAL_PAUSE_MS);
       }
     }
   }
 
   private ask(address: string, route: SoakRoute): Promise<void> {
     const id = `q${++this.number}`;
-    return this.askAs(id, id, address, route);
+    return this.sendAttempt(id, id, address, route);
   }
 
-  private async askAs(
+  private async sendAttempt(
     id: string,
     content: string,
     address: string,
     route: SoakRoute,
   ): Promise<void> {
-    const {fleet, history, words} = this.options;
+    const {fleet, history, wire} = this.options;
     history.note({id, kind: 'asked', route, vm: fleet.vmAt(address)});
-    const mostMs = DEADLINE_MS + PATIENCE_MS;
-    const reply = await makeCall(words.ask(id, route, DEADLINE_MS, content), {
+    const timeoutMs = DEADLINE_MS + DEADLINE_MARGIN_MS;
+    const reply = await makeCall(wire.ask(id, route, DEADLINE_MS, content), {
       address,
       agent: this.agent,
-      mostMs,
+      timeoutMs,
     });
     if (reply.kind === 'broken') {
       history.note({id, kind: 'broken'});
@@ -198,86 +195,87 @@
     }
   }
 
-  private async submitOn(): Promise<void> {
+  private async submitJobs(): Promise<void> {
     while (!this.stopped) {
       await delay(exponentialMs(this.random, JOBS_PER_SECOND));
-      this.keep(this.submit());
+      this.track(this.submit());
     }
   }
 
   private async submit(): Promise<void> {
-    const {history, words} = this.options;
+    const {history, wire} = this.options;
     const id = `job${++this.number}`;
-    const count = LEAST_ITEMS + Math.floor(this.random() * (MOST_ITEMS - LEAST_ITEMS + 1));
+    const count = MIN_ITEMS + Math.floor(this.random() * (MAX_ITEMS - MIN_ITEMS + 1));
     const items = Array.from({length: count}, (_, at) =>
-      this.random() < IMPOSSIBLE_PART ? `${id}-${at}-${IMPOSSIBLE}` : `${id}-${at}`,
+      this.random() < IMPOSSIBLE_FRACTION ? `${id}-${at}-${IMPOSSIBLE}` : `${id}-${at}`,
     );
     history.note({items, job: id, kind: 'jobSent'});
-    const endsEarly = this.random() < ENDED_PART;
-    let isUnclear = false;
-    for (let tries = 0; tries < MOST_SENDS; tries++) {
-      const address = this.anyAddress();
-      const reply = address && (await this.callOnce(words.submit(id, items), address, JOB_MS));
+    const isToCancel = this.random() < CANCELLED_FRACTION;
+    let mayBeAccepted = false;
+    for (let attempt = 0; attempt < MAX_SENDS; attempt++) {
+      const address = this.randomAddress();
+      const reply =
+        address && (await this.callOnce(wire.submit(id, items), address, JOB_TIMEOUT_MS));
       if (reply && reply.kind === 'answer' && reply.status === 202) {
         history.note({job: id, kind: 'jobAccepted'});
-        const job = {id, isEnded: false, items, seen: 0};
+        const job = {id, isCancelled: false, items, seen: 0};
         this.jobs.push(job);
-        await (endsEarly ? this.end(job) : Promise.resolve());
+        await (isToCancel ? this.cancel(job) : Promise.resolve());
         return;
       }
-      isUnclear ||= reply !== null && reply !== '' && !isRefusal(reply);
-      await delay(SEND_AGAIN_MS);
+      mayBeAccepted ||= reply !== null && reply !== '' && !isRefusal(reply);
+      await delay(SEND_RETRY_MS);
     }
-    if (!isUnclear) {
+    if (!mayBeAccepted) {
       history.note({job: id, kind: 'jobRefused'});
     }
   }
 
-  private async end(job: TakenJob): Promise<void> {
-    const {history, words} = this.options;
-    // From here on nobody owes its items.
-    job.isEnded = true;
-    for (let tries = 0; tries < MOST_SENDS; tries++) {
-      const address = this.anyAddress();
-      const reply = address && (await this.callOnce(words.endJob(job.id), address, JOB_MS));
+  private async cancel(job: AcceptedJob): Promise<void> {
+    const {history, wire} = this.options;
+    // The checker no longer requires results of all its items.
+    job.isCancelled = true;
+    for (let attempt = 0; attempt < MAX_SENDS; attempt++) {
+      const address = this.randomAddress();
+      const reply = address && (await this.callOnce(wire.endJob(job.id), address, JOB_TIMEOUT_MS));
       if (reply && reply.kind === 'answer' && reply.status === 200) {
         history.note({job: job.id, kind: 'jobEndAccepted'});
         return;
       }
-      await delay(SEND_AGAIN_MS);
+      await delay(SEND_RETRY_MS);
     }
   }
 
-  private async readOn(): Promise<void> {
+  private async readJobs(): Promise<void> {
     while (!this.stopped) {
-      await delay(READ_AGAIN_MS);
+      await delay(READ_INTERVAL_MS);
       const job = this.jobs[Math.floor(this.random() * this.jobs.length)];
       if (job !== undefined) {
-        await this.readOnce(job, Math.floor(this.random() * (job.seen + 1)));
+        await this.readJobOnce(job, Math.floor(this.random() * (job.seen + 1)));
       }
     }
   }
 
-  private async readOnce(job: TakenJob, from: number): Promise<void> {
-    const {fleet, history, words} = this.options;
-    const vm = this.anyEntry();
+  private async readJobOnce(job: AcceptedJob, from: number): Promise<void> {
+    const {fleet, history, wire} = this.options;
+    const vm = this.randomEntry();
     const sentAt = history.now;
     const address = fleet.addressOf(vm, 'callers');
-    const reply = await this.callOnce(words.readJob(job.id, from), address, JOB_MS);
+    const reply = await this.callOnce(wire.readJob(job.id, from), address, JOB_TIMEOUT_MS);
     if (reply.kind === 'broken' || !reply.whole) {
       return;
     }
     if (reply.status === 404) {
       history.note({job: job.id, kind: 'jobNotFound', sentAt, vm});
     } else if (reply.status === 200) {
-      const {results, total} = words.readResults(reply.text);
+      const {results, total} = wire.readResults(reply.text);
       history.note({from, job: job.id, kind: 'jobRead', results, total, vm});
       job.seen = Math.max(job.seen, from + results.length);
     }
   }
 
-  private callOnce(call: SoakCall, address: string, mostMs: number): Promise<SoakReply> {
-    return makeCall(call, {address, agent: false, mostMs});
+  private callOnce(call: SoakCall, address: string, timeoutMs: number): Promise<SoakReply> {
+    return makeCall(call, {address, agent: false, timeoutMs});
   }
 }
 
--- a/packages/stallpaddle-soak/src/SoakChecker.ts
+++ b/packages/stallpaddle-soak/src/SoakChecker.ts
@@ -1,6 +1,4 @@
-/**
- * Judges a soak's history by the product's promises. Pure: it sees only what callers, engines and the operator saw.
- */
+/** Checks the history of a soak against the product's promises. Pure: uses only events observed from outside. */
 import type {
   SoakBounds,
   SoakBreak,
@@ -13,18 +11,18 @@
 import {SoakFatals} from './SoakFatals';
 import {fatalOf, IMPOSSIBLE, itemText, onceText, streamText} from './SoakOutput';
 
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses that guarantee that a request has not run and never will. */
 const NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** First status that is no success. */
+/** Lowest status that is not a success. */
 const FIRST_FAILURE = 300;
-/** Time after a fault during which bounds of time are not held against the fleet, in milliseconds. */
-const CALM_MS = 4_000;
-/** Least part of the requests after the recovery that must be served. */
-const SERVED_PART = 0.5;
+/** Time after a disturbance during which time bounds are not checked, in milliseconds. */
+const SETTLE_AFTER_FAULT_MS = 4_000;
+/** Least fraction of the requests after the recovery that must succeed. */
+const MIN_SERVED_FRACTION = 0.5;
 
 type EventOf<Kind extends SoakEvent['kind']> = Extract<SoakEvent, {kind: Kind}>;
 
-/** What is remembered of a job. */
+/** Observed state of a batch job. */
 interface SeenJob {
   acceptedAt: number | undefined;
   endAcceptedAt: number | undefined;
@@ -36,8 +34,8 @@
   return a.id === b.id && a.outcome === b.outcome && a.text === b.text;
 }
 
-/** Faults of processes or links: while one lasts, and a while after, a bound of time says nothing. */
-function troublesFleet({kind}: SoakFault): boolean {
+/** Whether a fault disturbs processes or links: time bounds are not checked during it and shortly after. */
+function disturbsFleet({kind}: SoakFault): boolean {
   switch (kind) {
     case 'cut':
     case 'freeze':
@@ -57,8 +55,8 @@
   }
 }
 
-/** One pass over a history. */
-class Judge {
+/** Checks one history, event by event. */
+class HistoryCheck {
   private acceptedConfig: {readonly at: number; readonly version: number}[] = [];
   readonly breaks: SoakBreak[] = [];
   private readonly asked = new Map<string, EventOf<'asked'>>();
@@ -67,7 +65,7 @@
   private readonly items = new Map<string, string>();
   private readonly jobs = new Map<string, SeenJob>();
   private readonly leftAt = new Map<string, number>();
-  private openTroubles = 0;
+  private openDisturbances = 0;
   private recoveredAt = Infinity;
   private readonly refused = new Set<string>();
   private readonly refusedJobs = new Set<string>();
@@ -75,14 +73,14 @@
   private sentConfig = 0;
   private servedSince = 0;
   private stops = new Map<string, number>();
-  private troubledUntil = -Infinity;
+  private disturbedUntil = -Infinity;
   private unservedSince = 0;
 
   constructor(private readonly bounds: SoakBounds) {
     this.fatals = new SoakFatals(bounds.contactMs);
   }
 
-  take(event: SoakEvent): void {
+  apply(event: SoakEvent): void {
     switch (event.kind) {
       case 'answered':
         this.onAnswer(event);
@@ -106,7 +104,7 @@
         this.onEnd(event.at);
         return;
       case 'engineEnded':
-        this.fatals.noteEnd(event.at, event.request);
+        this.fatals.noteCrash(event.at, event.request);
         return;
       case 'faultBegan':
         this.onFault(event, 1);
@@ -165,22 +163,22 @@
     this.breaks.push({at, detail, promise});
   }
 
-  /** Whether processes and links have been left alone for a while. */
-  private isCalm(at: number): boolean {
-    return this.openTroubles === 0 && at - this.troubledUntil > CALM_MS;
+  /** Whether processes and links have been undisturbed long enough for time bounds to apply. */
+  private isUndisturbed(at: number): boolean {
+    return this.openDisturbances === 0 && at - this.disturbedUntil > SETTLE_AFTER_FAULT_MS;
   }
 
-  private onFault({at, fault}: EventOf<'faultBegan' | 'faultEnded'>, by: 1 | -1): void {
+  private onFault({at, fault}: EventOf<'faultBegan' | 'faultEnded'>, change: 1 | -1): void {
     if (fault.kind === 'stop') {
-      if (by > 0) {
+      if (change > 0) {
         this.stops.set(fault.vm, at);
       } else {
         this.stops.delete(fault.vm);
       }
     }
-    if (troublesFleet(fault)) {
-      this.openTroubles += by;
-      this.troubledUntil = at;
+    if (disturbsFleet(fault)) {
+      this.openDisturbances += change;
+      this.disturbedUntil = at;
     }
   }
 
@@ -190,16 +188,20 @@
       this.countServed(at, status < FIRST_FAILURE && whole);
     }
     if (asked === undefined) {
-      this.fail(at, 'answerIsOwnAndWhole', `an answer to ${id}, which nobody asked`);
+      this.fail(at, 'answerIsOwnAndWhole', `response to ${id}, which was never sent`);
       return;
     }
     const expected = asked.route === 'once' ? onceText(id) : streamText(id);
     if (status < FIRST_FAILURE && whole && text !== expected) {
       this.fail(at, 'answerIsOwnAndWhole', `${id} got ${JSON.stringify(text.slice(0, 200))}`);
     }
-    // What came before an answer that broke off must be the beginning of the caller's own.
+    // An incomplete response must be a prefix of the expected one.
     if (status < FIRST_FAILURE && !whole && !expected.startsWith(text)) {
-      this.fail(at, 'answerIsOwnAndWhole', `${id} got part ${JSON.stringify(text.slice(0, 200))}`);
+      this.fail(
+        at,
+        'answerIsOwnAndWhole',
+        `${id} got incomplete ${JSON.stringify(text.slice(0, 200))}`,
+      );
     }
     if (NOT_RUN.has(status) && asked.route === 'once') {
       this.refused.add(id);
@@ -216,8 +218,8 @@
     this.countServed(at, false);
     const asked = this.asked.get(id);
     const stoppedAt = asked === undefined ? undefined : this.stops.get(asked.vm);
-    const isCut = stoppedAt !== undefined && asked!.at >= stoppedAt - CALM_MS;
-    if (isCut && this.isCalm(at) && this.runs.has(id)) {
+    const duringStop = stoppedAt !== undefined && asked!.at >= stoppedAt - SETTLE_AFTER_FAULT_MS;
+    if (duringStop && this.isUndisturbed(at) && this.runs.has(id)) {
       this.fail(at, 'plannedStopCutsNothing', `${id} at ${asked!.vm}`);
     }
   }
@@ -252,14 +254,14 @@
       this.checkCancelled(at, id, jobId);
     }
     const leftAt = this.leftAt.get(engine);
-    if (leftAt !== undefined && at - leftAt > this.bounds.drainMs && this.isCalm(at)) {
+    if (leftAt !== undefined && at - leftAt > this.bounds.drainMs && this.isUndisturbed(at)) {
       this.fail(at, 'leavingEngineGetsNothing', `${id} at ${engine}, which left at ${leftAt}`);
     }
   }
 
-  /** Who has been troubled lately may not know yet. */
+  /** Skipped after a disturbance: VMs may not have received the evidence yet. */
   private checkFatal(at: number, engine: string, id: string): void {
-    const detail = this.isCalm(at) ? this.fatals.noteRun(at, engine, id) : null;
+    const detail = this.isUndisturbed(at) ? this.fatals.noteRun(at, engine, id) : null;
     if (detail !== null) {
       this.fail(at, 'requestEndsFewEngines', detail);
     }
@@ -274,8 +276,12 @@
 
   private checkCancelled(at: number, item: string, jobId: string): void {
     const endedAt = this.jobs.get(jobId)?.endAcceptedAt;
-    if (endedAt !== undefined && at - endedAt > this.bounds.cancelMs && this.isCalm(at)) {
-      this.fail(at, 'cancelledJobStops', `item ${item} of ${jobId}, which ended at ${endedAt}`);
+    if (endedAt !== undefined && at - endedAt > this.bounds.cancelMs && this.isUndisturbed(at)) {
+      this.fail(
+        at,
+        'cancelledJobStops',
+        `item ${item} of ${jobId}, which was cancelled at ${endedAt}`,
+      );
     }
   }
 
@@ -289,14 +295,18 @@
   private onNotFound({at, job, sentAt, vm}: EventOf<'jobNotFound'>): void {
     const acceptedAt = this.jobs.get(job)?.acceptedAt;
     if (acceptedAt !== undefined && sentAt - acceptedAt > this.bounds.settleMs) {
-      this.fail(at, 'acceptedJobIsFound', `${vm} knows no job ${job}, accepted at ${acceptedAt}`);
+      this.fail(
+        at,
+        'acceptedJobIsFound',
+        `${vm} does not find job ${job}, accepted at ${acceptedAt}`,
+      );
     }
   }
 
   private onJobRead({at, from, job, results, total, vm}: EventOf<'jobRead'>): void {
     const seen = this.jobs.get(job);
     if (seen === undefined) {
-      this.fail(at, 'acceptedJobIsFound', `${vm} has job ${job}, which nobody sent`);
+      this.fail(at, 'acceptedJobIsFound', `${vm} returned job ${job}, which was never sent`);
       return;
     }
     if (total !== seen.items.length) {
@@ -312,10 +322,14 @@
     position: number,
     result: SoakResult,
   ): void {
-    const before = seen.results[position];
-    if (before !== undefined) {
-      if (!isSameResult(before, result)) {
-        this.fail(at, 'resultsStay', `job ${job} position ${position}: ${before.id}, ${result.id}`);
+    const previous = seen.results[position];
+    if (previous !== undefined) {
+      if (!isSameResult(previous, result)) {
+        this.fail(
+          at,
+          'resultsStay',
+          `job ${job} position ${position}: ${previous.id}, ${result.id}`,
+        );
       }
       return;
     }
@@ -323,9 +337,9 @@
     if (!seen.items.includes(result.id)) {
       this.fail(at, 'resultIsWhole', `job ${job} lists ${result.id}, which is not its own`);
     }
-    const places = seen.results.filter((other) => other?.id === result.id);
-    if (places.length > 1) {
-      this.fail(at, 'itemEndsOnce', `item ${result.id} of ${job} stands at two positions`);
+    const positions = seen.results.filter((other) => other?.id === result.id);
+    if (positions.length > 1) {
+      this.fail(at, 'itemEndsOnce', `item ${result.id} of ${job} is listed at two positions`);
     }
     this.checkOutcome(at, job, seen, result);
   }
@@ -336,7 +350,7 @@
       const text = JSON.stringify(result.text.slice(0, 200));
       this.fail(at, 'resultIsWhole', `item ${result.id} of ${job}: ${text}`);
     }
-    // An ended job may list what was given up.
+    // Items of a cancelled job may be given up.
     if (result.outcome === 'givenUp' && !isImpossible && seen.endAcceptedAt === undefined) {
       this.fail(at, 'itemEndsOnce', `item ${result.id} of ${job} was given up`);
     }
@@ -345,12 +359,16 @@
   private onConfigRead({at, sentAt, version, vm}: EventOf<'configRead'>): void {
     const due = this.acceptedConfig
       .filter((accepted) => sentAt - accepted.at > this.bounds.applyMs)
-      .reduce((most, accepted) => Math.max(most, accepted.version), 0);
+      .reduce((highest, accepted) => Math.max(highest, accepted.version), 0);
     if (version < due) {
-      this.fail(at, 'acceptedConfigStays', `${vm} gave version ${version} after ${due}`);
+      this.fail(at, 'acceptedConfigStays', `${vm} returned version ${version} after ${due}`);
     }
     if (version > this.sentConfig) {
-      this.fail(at, 'acceptedConfigStays', `${vm} gave version ${version}, which nobody sent`);
+      this.fail(
+        at,
+        'acceptedConfigStays',
+        `${vm} returned version ${version}, which was never sent`,
+      );
     }
   }
 
@@ -363,27 +381,27 @@
       }
     }
     const asked = this.servedSince + this.unservedSince;
-    if (this.recoveredAt < Infinity && this.servedSince < asked * SERVED_PART) {
+    if (this.recoveredAt < Infinity && this.servedSince < asked * MIN_SERVED_FRACTION) {
       this.fail(at, 'fleetRecovers', `${this.servedSince} of ${asked} requests served`);
     }
     if (this.recoveredAt < Infinity && asked === 0) {
-      this.fail(at, 'fleetRecovers', 'nobody could ask anything');
+      this.fail(at, 'fleetRecovers', 'no requests after the recovery');
     }
   }
 }
 
 /**
- * Judges a history.
+ * Checks a history.
  *
- * @param events what happened, in order
- * @param bounds bounds that the fleet's settings promise
- * @returns broken promises, in order
+ * @param events events in order
+ * @param bounds time bounds that the fleet must keep
+ * @returns violations, in order
  */
 export function checkHistory(
   events: readonly SoakEvent[],
   bounds: SoakBounds,
 ): readonly SoakBreak[] {
-  const judge = new Judge(bounds);
-  events.forEach((event) => judge.take(event));
-  return judge.breaks;
+  const check = new HistoryCheck(bounds);
+  events.forEach((event) => check.apply(event));
+  return check.breaks;
 }
--- a/packages/stallpaddle-soak/src/SoakEngine.ts
+++ b/packages/stallpaddle-soak/src/SoakEngine.ts
@@ -1,7 +1,4 @@
-/**
- * A stand-in engine that registers itself, streams numbered events, and fails when it is told to. Each start knows nothing
- * of the one before.
- */
+/** Fake engine of a soak. */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 
 import {createServer} from 'node:http';
@@ -14,46 +11,46 @@
 import {makeCall} from './SoakHttp';
 import {eventText, fatalOf, IMPOSSIBLE, onceText, OUTPUT_EVENTS} from './SoakOutput';
 
-/** What an engine is made of. */
+/** Options of an engine. */
 export interface SoakEngineOptions {
-  /** Addresses at which engines report themselves. */
+  /** Addresses to which the engine reports. */
   readonly controls: readonly string[];
   readonly history: SoakHistory;
   readonly host: string;
   readonly name: string;
   readonly port: number;
   readonly random: Random;
-  readonly words: SoakWire;
+  readonly wire: SoakWire;
   readonly zone: string;
 }
 
-/** Requests that an engine works on at a time. */
+/** Number of requests that an engine runs at a time. */
 export const ENGINE_SLOTS = 4;
-/** Pause between two events, in milliseconds. */
+/** Pause between two events or attempts, in milliseconds. */
 const GAP_MS = 15;
 /** Time between two reports, in milliseconds. */
-const REPORT_MS = 600;
-/** Longest wait for an acknowledgement, in milliseconds. */
-const ACKNOWLEDGE_MS = 1_000;
-/** Time for which an engine that leaves serves on, in milliseconds. */
-const SERVE_ON_MS = 2_500;
-/** Most tries to have a word acknowledged. */
-const MOST_TRIES = 12;
-/** Time from the begin of a request that ends the engine to that end, in milliseconds. */
+const REPORT_INTERVAL_MS = 600;
+/** Timeout of a report, in milliseconds. */
+const REPORT_TIMEOUT_MS = 1_000;
+/** Time for which a draining engine keeps serving, in milliseconds. */
+const DRAIN_MS = 2_500;
+/** Maximum number of attempts until a report is acknowledged. */
+const MAX_REPORT_ATTEMPTS = 12;
+/** Time from the start of a fatal request to the crash of the engine, in milliseconds. */
 const FATAL_MS = 30;
-/** Time for which such a request leaves it down, in milliseconds. */
+/** Time for which a fatal request takes the engine down, in milliseconds. */
 const FATAL_DOWN_MS = 1_500;
-/** Part of the answers that break off while the engine is told to break some. */
-const BREAKS_PART = 0.4;
+/** Fraction of the responses that are aborted while `breaks` is set. */
+const BREAKS_FRACTION = 0.4;
 
-/** See the module's comment. */
+/** Registers with the fleet, streams numbered events and fails on request; a restart keeps no state. */
 export class SoakEngine {
-  /** Whether it breaks answers off. */
+  /** Whether the engine aborts some of its responses. */
   breaks = false;
-  /** Whether it takes everything and says nothing. */
+  /** Whether the engine accepts requests without responding or reporting. */
   silent = false;
-  /** One end and start after the other. */
-  private readonly ends = new PQueue({concurrency: 1});
+  /** Runs restarts one at a time. */
+  private readonly restarts = new PQueue({concurrency: 1});
   private isLeaving = false;
   private name: string;
   private readonly running = new Map<string, ServerResponse>();
@@ -63,29 +60,29 @@
   private timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param options what it is made of
+   * @param options options of the engine
    */
   constructor(private readonly options: SoakEngineOptions) {
     this.name = options.name;
   }
 
-  /** Starts it, and has it registered. */
+  /** Starts the engine and its reports. */
   async start(): Promise<void> {
     const {host, port} = this.options;
     this.startedAt = Math.max(Date.now(), this.startedAt + 1);
     this.sequence = 0;
     this.isLeaving = false;
-    const server = createServer((req, res) => void this.answer(req, res));
+    const server = createServer((req, res) => void this.handle(req, res));
     await new Promise<void>((resolve, reject) => {
       server.once('error', reject);
       server.listen(port, host, resolve);
     });
     this.server = server;
-    this.timer = setInterval(() => void this.report(), REPORT_MS);
+    this.timer = setInterval(() => void this.report(), REPORT_INTERVAL_MS);
     void this.report();
   }
 
-  /** Ends it at once, with all its connections. */
+  /** Stops the engine at once and closes all its connections. */
   async crash(): Promise<void> {
     clearInterval(this.timer);
     const {server} = this;
@@ -99,57 +96,57 @@
   }
 
   /**
-   * Ends it at once, and starts it again.
+   * Crashes the engine and restarts it.
    *
-   * @param downMs time for which it is gone, in milliseconds
+   * @param downMs time until the restart, in milliseconds
    * @param sameName whether it keeps its name
    */
   crashFor(downMs: number, sameName: boolean): Promise<void> {
-    return this.ends.add(async () => {
+    return this.restarts.add(async () => {
       await this.crash();
       await delay(downMs);
-      await this.startAgain(sameName);
+      await this.restart(sameName);
     });
   }
 
   /**
-   * Says that it leaves, serves on, says that it is gone, ends, and starts again.
+   * Drains the engine, deregisters it and restarts it.
    *
    * @param sameName whether it keeps its name
    */
-  leaveAndReturn(sameName: boolean): Promise<void> {
-    return this.ends.add(async () => {
-      await this.leave();
-      await this.startAgain(sameName);
+  drainAndRestart(sameName: boolean): Promise<void> {
+    return this.restarts.add(async () => {
+      await this.drain();
+      await this.restart(sameName);
     });
   }
 
-  private async startAgain(sameName: boolean): Promise<void> {
+  private async restart(sameName: boolean): Promise<void> {
     if (!sameName) {
       this.name = generateId(this.options.name);
     }
     await this.start();
   }
 
-  private async leave(): Promise<void> {
+  private async drain(): Promise<void> {
     this.isLeaving = true;
-    const {history, words} = this.options;
+    const {history, wire} = this.options;
     const engine = this.incarnation;
-    if (await this.tell(() => words.report(this.word()))) {
+    if (await this.sendUntilAcknowledged(() => wire.report(this.nextReport()))) {
       history.note({engine, kind: 'leaveAccepted'});
     }
-    await delay(SERVE_ON_MS);
+    await delay(DRAIN_MS);
     clearInterval(this.timer);
-    await this.tell(() => words.farewell(this.word()));
+    await this.sendUntilAcknowledged(() => wire.farewell(this.nextReport()));
     await this.crash();
   }
 
-  /** Names one start of it. */
+  /** Identifies one incarnation of the engine. */
   private get incarnation(): string {
     return `${this.name}@${this.startedAt}`;
   }
 
-  private word(): EngineReport {
+  private nextReport(): EngineReport {
     const {host, port, zone} = this.options;
     return {
       address: `${host}:${port}`,
@@ -164,13 +161,15 @@
 
   private async report(): Promise<void> {
     if (!this.silent) {
-      await this.tellOnce(this.options.words.report(this.word()));
+      await this.sendOnce(this.options.wire.report(this.nextReport()));
     }
   }
 
-  private async tell(call: () => ReturnType<SoakWire['report']>): Promise<boolean> {
-    for (let tries = 0; tries < MOST_TRIES && this.server !== undefined; tries++) {
-      if (await this.tellOnce(call())) {
+  private async sendUntilAcknowledged(
+    call: () => ReturnType<SoakWire['report']>,
+  ): Promise<boolean> {
+    for (let attempt = 0; attempt < MAX_REPORT_ATTEMPTS && this.server !== undefined; attempt++) {
+      if (await this.sendOnce(call())) {
         return true;
       }
       await delay(GAP_MS);
@@ -178,24 +177,24 @@
     return false;
   }
 
-  private async tellOnce(call: ReturnType<SoakWire['report']>): Promise<boolean> {
+  private async sendOnce(call: ReturnType<SoakWire['report']>): Promise<boolean> {
     const {controls, random} = this.options;
     const address = controls[Math.floor(random() * controls.length)]!;
-    const reply = await makeCall(call, {address, agent: false, mostMs: ACKNOWLEDGE_MS});
+    const reply = await makeCall(call, {address, agent: false, timeoutMs: REPORT_TIMEOUT_MS});
     return reply.kind === 'answer' && reply.status === 200;
   }
 
-  private async answer(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const {history, words} = this.options;
+  private async handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
+    const {history, wire} = this.options;
     res.on('error', () => {});
-    if (req.url === words.occupancyPath) {
+    if (req.url === wire.occupancyPath) {
       if (!this.silent) {
-        res.end(words.occupancy([...this.running.keys()]));
+        res.end(wire.occupancy([...this.running.keys()]));
       }
       return;
     }
     const path = req.url ?? '';
-    const read = words.readEngineRequest(req.headers);
+    const read = wire.readEngineRequest(req.headers);
     req.resume();
     if (read === null) {
       res.writeHead(400).end();
@@ -203,18 +202,18 @@
     }
     const {id, resumeAfter} = read;
     if (read.engine !== null && read.engine !== this.name) {
-      res.writeHead(421, words.declineHeaders(id)).end();
+      res.writeHead(421, wire.declineHeaders(id)).end();
       return;
     }
     if (this.running.size >= ENGINE_SLOTS) {
-      res.writeHead(503, words.declineHeaders(id)).end();
+      res.writeHead(503, wire.declineHeaders(id)).end();
       return;
     }
     history.note({engine: this.incarnation, id, kind: 'ran', resumeAfter});
     this.running.set(id, res);
     res.on('close', () => this.running.get(id) === res && this.running.delete(id));
     if (id.includes(IMPOSSIBLE)) {
-      res.writeHead(422, words.engineHeaders(id)).end();
+      res.writeHead(422, wire.engineHeaders(id)).end();
       return;
     }
     const fatal = fatalOf(id);
@@ -224,22 +223,22 @@
       await this.crashFor(FATAL_DOWN_MS, this.options.random() < 0.5);
       return;
     }
-    await (words.runsOnce(path) ? this.runOnce(id, res) : this.stream(id, resumeAfter, res));
+    await (wire.runsOnce(path) ? this.runOnce(id, res) : this.stream(id, resumeAfter, res));
   }
 
   private async runOnce(id: string, res: ServerResponse): Promise<void> {
     await this.pause(res);
-    res.writeHead(200, this.options.words.engineHeaders(id)).end(onceText(id));
+    res.writeHead(200, this.options.wire.engineHeaders(id)).end(onceText(id));
     this.options.history.note({id, kind: 'finished'});
   }
 
   private async stream(id: string, resumeAfter: number, res: ServerResponse): Promise<void> {
-    const {history, random, words} = this.options;
+    const {history, random, wire} = this.options;
     const breaksAt =
-      this.breaks && random() < BREAKS_PART
+      this.breaks && random() < BREAKS_FRACTION
         ? resumeAfter + 1 + Math.floor(random() * (OUTPUT_EVENTS - resumeAfter))
         : Infinity;
-    res.writeHead(200, {...words.engineHeaders(id), 'content-type': 'text/event-stream'});
+    res.writeHead(200, {...wire.engineHeaders(id), 'content-type': 'text/event-stream'});
     for (let number = resumeAfter + 1; number <= OUTPUT_EVENTS; number++) {
       await this.pause(res);
       if (res.destroyed) {
@@ -258,7 +257,7 @@
     history.note({id, kind: 'finished'});
   }
 
-  /** The time of an event, and all the time for which the engine is silent. */
+  /** Waits for the gap between two events, and as long as the engine is silent. */
   private async pause(res: ServerResponse): Promise<void> {
     await delay(GAP_MS);
     while (this.silent && !res.destroyed) {
--- a/packages/stallpaddle-soak/src/SoakFatals.ts
+++ b/packages/stallpaddle-soak/src/SoakFatals.ts
@@ -1,63 +1,60 @@
-/**
- * How many engines each request ends that ends all which begin to run it, and how often it reaches engines once that must be
- * known everywhere.
- */
+/** Check of fatal requests, which crash every engine that runs them. */
 import {fatalOf} from './SoakOutput';
 
-/** Engines that a request may end before it must be known for it. */
-const MOST_ENDED = 3;
-/** Times that it may reach an engine once it must be known. */
-const MOST_LATE_RUNS = 3;
+/** Number of engines that a request may crash before it must be quarantined. */
+const MAX_CRASHES = 3;
+/** Number of runs that are allowed once a request must be quarantined on all VMs. */
+const MAX_LATE_RUNS = 3;
 
-/** What is remembered of one such request. */
+/** Observed state of a fatal request. */
 interface SeenFatal {
-  ends: number;
-  /** When it had ended as many engines as it may. */
-  knownAt: number;
+  crashes: number;
+  /** Time of the last crash that is allowed. */
+  detectedAt: number;
   lateRuns: number;
 }
 
-/** See the module's comment. */
+/** Counts how many engines each fatal request crashes, and how often it still runs afterwards. */
 export class SoakFatals {
   private readonly seen = new Map<string, SeenFatal>();
 
   /**
-   * @param contactMs time after which VMs know what others have seen, in milliseconds
+   * @param contactMs time after which a VM knows what other VMs have reported, in milliseconds
    */
   constructor(private readonly contactMs: number) {}
 
   /**
-   * Notes that a request has ended an engine.
+   * Records that a request has crashed an engine.
    *
-   * @param at the moment
-   * @param request the request
+   * @param at time of the crash
+   * @param request name of the request
    */
-  noteEnd(at: number, request: string): void {
-    const seen = this.seen.get(request) ?? {ends: 0, knownAt: Infinity, lateRuns: 0};
+  noteCrash(at: number, request: string): void {
+    const seen = this.seen.get(request) ?? {crashes: 0, detectedAt: Infinity, lateRuns: 0};
     this.seen.set(request, seen);
-    seen.ends++;
-    if (seen.ends === MOST_ENDED) {
-      seen.knownAt = at;
+    seen.crashes++;
+    if (seen.crashes === MAX_CRASHES) {
+      seen.detectedAt = at;
     }
   }
 
   /**
-   * Notes that an attempt has reached an engine while nothing troubled the VMs.
+   * Records that an attempt has reached an engine while the VMs were undisturbed.
    *
-   * @param at the moment
-   * @param engine the engine
-   * @param id the attempt
-   * @returns what is wrong with it; null for nothing
+   * @param at time of the run
+   * @param engine incarnation of the engine
+   * @param id id of the attempt
+   * @returns description of a violation; null if there is none
    */
   noteRun(at: number, engine: string, id: string): null | string {
     const request = fatalOf(id);
     const seen = request === null ? undefined : this.seen.get(request);
-    if (seen === undefined || at - seen.knownAt <= this.contactMs) {
+    if (seen === undefined || at - seen.detectedAt <= this.contactMs) {
       return null;
     }
     seen.lateRuns++;
-    return seen.lateRuns > MOST_LATE_RUNS
-      ? `${id} reached ${engine}, its late run ${seen.lateRuns}; ${seen.ends} ended`
+    return seen.lateRuns > MAX_LATE_RUNS
+      ? `${id} reached ${engine}, late run ${seen.lateRuns}, after ${seen.crashes} crashes`
       : null;
   }
 }
--- a/packages/stallpaddle-soak/src/SoakFleet.ts
+++ b/packages/stallpaddle-soak/src/SoakFleet.ts
@@ -1,6 +1,4 @@
-/**
- * The processes, links and engines of a soak, and how a fault is brought about on them.
- */
+/** Processes, links and engines of a soak. */
 import {randomInt} from 'node:crypto';
 import path from 'node:path';
 import {delay, seededRandom, unreachable} from 'stallpaddle';
@@ -15,7 +13,7 @@
 import {SoakLink} from './SoakLink';
 import {SoakProcess} from './SoakProcess';
 
-/** A VM as its settings name it. */
+/** A VM, as its settings describe it. */
 export interface SoakVm {
   readonly dataFolder: string;
   readonly first: boolean;
@@ -24,43 +22,43 @@
   readonly lostDisks: number;
   readonly name: string;
   readonly ports: SoakPorts;
-  /** Hosts of the first VMs of the control group. */
+  /** Hosts of the VMs of the control group through which the VM joins. */
   readonly seeds: readonly string[];
   readonly zone: string;
 }
 
-/** Ports on which processes listen; the same on all VMs. */
+/** Ports of a VM; the same on all VMs. */
 export interface SoakPorts {
   readonly callers: number;
   readonly control: number;
   readonly directory: number;
-  /** Port on which others call a process: a link stands there. */
+  /** Port to which other processes connect: the VM's link listens there. */
   readonly peer: number;
-  /** Port on which the process itself takes those calls. */
+  /** Port on which the process itself listens for other processes. */
   readonly peerListen: number;
   readonly ready: number;
 }
 
-/** The program that a soak runs. */
+/** Program of the fleet's processes. */
 export interface SoakProgram {
   readonly command: readonly string[];
   readonly environment: (settingsFile: string) => Readonly<Record<string, string>>;
   readonly settings: (vm: SoakVm) => string;
 }
 
-/** What a fleet is made of. */
+/** Options of a fleet. */
 export interface SoakFleetOptions {
   readonly folder: string;
   readonly history: SoakHistory;
   readonly program: SoakProgram;
   readonly seed: number;
   readonly shape: SoakShape;
-  readonly words: SoakWire;
+  readonly wire: SoakWire;
 }
 
-/** Zones of the VMs and engines. */
+/** Number of availability zones of the VMs and engines. */
 const ZONES = 3;
-/** VMs of the control group that others are told of. */
+/** Number of seeds in the settings of each VM. */
 const SEEDS = 3;
 const PORTS: SoakPorts = {
   callers: 19_001,
@@ -71,16 +69,16 @@
   ready: 19_003,
 };
 const ENGINE_PORT = 19_100;
-/** Second numbers of loopback addresses among which each soak draws its own, so that several run at once. */
-const NETWORKS = {least: 64, most: 250};
-/** Longest wait for the fleet's first work, in milliseconds. */
+/** Range of the second octet of a soak's loopback addresses: random, so that several soaks can run at once. */
+const NETWORKS = {max: 250, min: 64};
+/** Longest wait until the fleet accepts work, in milliseconds. */
 const START_MS = 30_000;
-/** Pause between two looks whether it takes work, in milliseconds. */
-const LOOK_AGAIN_MS = 50;
-/** Longest wait for an answer of the operator's or a caller's question, in milliseconds. */
-const QUESTION_MS = 1_000;
+/** Pause between two checks whether the fleet accepts work, in milliseconds. */
+const RECHECK_MS = 50;
+/** Timeout of requests by the operator, in milliseconds. */
+const OPERATOR_TIMEOUT_MS = 1_000;
 
-/** See the module's comment. */
+/** Runs the processes, links and engines of a soak, and injects faults into them. */
 export class SoakFleet {
   private readonly engines: readonly SoakEngine[];
   private readonly hosts = new Map<string, string>();
@@ -90,11 +88,11 @@
   private version = 1;
 
   /**
-   * @param options what it is made of
+   * @param options options of the fleet
    */
   constructor(private readonly options: SoakFleetOptions) {
-    const {history, seed, shape, words} = options;
-    this.network = `127.${randomInt(NETWORKS.least, NETWORKS.most)}`;
+    const {history, seed, shape, wire} = options;
+    this.network = `127.${randomInt(NETWORKS.min, NETWORKS.max)}`;
     this.name('control', shape.controls);
     this.name('entry', shape.entries);
     this.name('store', shape.stores);
@@ -109,7 +107,7 @@
           name: `engine-${at}`,
           port: ENGINE_PORT,
           random,
-          words,
+          wire,
           zone: `z${at % ZONES}`,
         }),
     );
@@ -120,7 +118,7 @@
     return [...this.options.shape.controls, ...this.options.shape.entries];
   }
 
-  /** Processes that ended by themselves. */
+  /** Unexpected exits of processes. */
   get ownEnds(): readonly string[] {
     return [...this.processes.values()].flatMap(({ownEnds}) => ownEnds);
   }
@@ -135,26 +133,26 @@
   }
 
   /**
-   * An address of a VM.
+   * Returns an address of a VM.
    *
-   * @param name the VM
-   * @param port which of its addresses
+   * @param name name of the VM
+   * @param port which of its ports
    */
   addressOf(name: string, port: keyof SoakPorts): string {
     return `${this.hosts.get(name)!}:${PORTS[port]}`;
   }
 
   /**
-   * The VM that has an address.
+   * Returns the name of the VM with an address, or the address itself if there is none.
    *
-   * @param address IP number and port
+   * @param address IP address and port
    */
   vmAt(address: string): string {
     const host = address.split(':')[0];
     return [...this.hosts].find(([, other]) => other === host)?.[0] ?? address;
   }
 
-  /** Starts all, and waits until every entry VM takes work. */
+  /** Starts all processes and engines, and waits until every entry VM accepts callers. */
   async start(): Promise<void> {
     for (const [name, host] of this.hosts) {
       const {peer: port, peerListen: target} = PORTS;
@@ -164,14 +162,14 @@
     await Promise.all(this.engines.map((engine) => engine.start()));
     const endAt = performance.now() + START_MS;
     while (!(await this.configure(this.version))) {
-      await this.waitToStart(endAt, 'no configuration is taken');
+      await this.waitToStart(endAt, 'no VM accepted the configuration');
     }
     while (!(await this.isReady())) {
-      await this.waitToStart(endAt, 'not every entry VM takes callers');
+      await this.waitToStart(endAt, 'not every entry VM accepts callers');
     }
   }
 
-  /** Ends all. */
+  /** Kills all processes, stops the engines and closes the links. */
   async stop(): Promise<void> {
     await Promise.all([...this.processes.values()].map((process) => process.kill()));
     await Promise.all(this.engines.map((engine) => engine.crash()));
@@ -179,33 +177,33 @@
   }
 
   /**
-   * Brings a fault about, from its begin to its end.
+   * Injects a fault and waits until it is over.
    *
-   * @param fault the fault
+   * @param fault fault to inject
    */
-  async inflict(fault: SoakFault): Promise<void> {
+  async inject(fault: SoakFault): Promise<void> {
     const {history} = this.options;
     history.note({fault, kind: 'faultBegan'});
-    await this.carryOut(fault);
+    await this.apply(fault);
     history.note({fault, kind: 'faultEnded'});
   }
 
-  /** Reads the configuration at a VM and notes its version; an unclear answer says nothing. */
+  /** Reads the configuration at a VM and records its version; failed and incomplete responses are ignored. */
   async readConfiguration(name: string): Promise<void> {
-    const {history, words} = this.options;
+    const {history, wire} = this.options;
     const sentAt = history.now;
     const address = this.addressOf(name, 'control');
-    const options = {address, agent: false, mostMs: QUESTION_MS} as const;
-    const reply = await makeCall(words.readConfiguration, options);
+    const options = {address, agent: false, timeoutMs: OPERATOR_TIMEOUT_MS} as const;
+    const reply = await makeCall(wire.readConfiguration, options);
     if (reply.kind === 'answer' && reply.status === 200 && reply.whole) {
-      history.note({kind: 'configRead', sentAt, version: words.readVersion(reply.text), vm: name});
+      history.note({kind: 'configRead', sentAt, version: wire.readVersion(reply.text), vm: name});
     }
   }
 
-  private async carryOut(fault: SoakFault): Promise<void> {
+  private async apply(fault: SoakFault): Promise<void> {
     switch (fault.kind) {
       case 'configure':
-        await this.configureSurely(++this.version);
+        await this.configureUntilAccepted(++this.version);
         return;
       case 'cut':
         await this.cut(fault);
@@ -219,7 +217,7 @@
         await this.engines[fault.engine]!.crashFor(fault.downMs, fault.sameName);
         return;
       case 'engineLeaves':
-        await this.engines[fault.engine]!.leaveAndReturn(fault.sameName);
+        await this.engines[fault.engine]!.drainAndRestart(fault.sameName);
         return;
       case 'engineSilent':
         this.engines[fault.engine]!.silent = true;
@@ -265,12 +263,12 @@
 
   private async cut({direction, forMs, vm}: Extract<SoakFault, {kind: 'cut'}>): Promise<void> {
     const link = this.links.get(vm)!;
-    link.losesAnswers = direction !== 'calls';
-    link.losesCalls = direction !== 'answers';
+    link.dropsResponses = direction !== 'calls';
+    link.dropsRequests = direction !== 'answers';
     await delay(forMs);
-    link.losesAnswers = false;
-    link.losesCalls = false;
-    // Bytes were lost in the middle of its connections: they are of no use any more.
+    link.dropsResponses = false;
+    link.dropsRequests = false;
+    // Connections that lost bytes are unusable.
     link.reset();
   }
 
@@ -287,57 +285,59 @@
   }
 
   private async configure(version: number): Promise<boolean> {
-    const {history, words} = this.options;
+    const {history, wire} = this.options;
     const name = this.entryNames[randomInt(this.entryNames.length)]!;
     history.note({kind: 'configSent', version});
     const address = this.addressOf(name, 'control');
-    const options = {address, agent: false, mostMs: QUESTION_MS} as const;
-    const reply = await makeCall(words.configure(version), options);
-    const isTaken = reply.kind === 'answer' && reply.status === 200;
-    if (isTaken) {
+    const options = {address, agent: false, timeoutMs: OPERATOR_TIMEOUT_MS} as const;
+    const reply = await makeCall(wire.configure(version), options);
+    const isAccepted = reply.kind === 'answer' && reply.status === 200;
+    if (isAccepted) {
       history.note({kind: 'configAccepted', version});
     }
-    return isTaken;
+    return isAccepted;
   }
 
-  /** Sends a configuration again until it is taken, as the operator does; at last it may or may not be in force. */
-  private async configureSurely(version: number): Promise<void> {
+  /** Submits a configuration until it is accepted; after a timeout it may or may not be in force. */
+  private async configureUntilAccepted(version: number): Promise<void> {
     const endAt = performance.now() + START_MS;
     while (performance.now() < endAt && !(await this.configure(version))) {
-      await delay(LOOK_AGAIN_MS);
+      await delay(RECHECK_MS);
     }
   }
 
   private async isReady(): Promise<boolean> {
     const answers = await Promise.all(
       this.entryNames.map((name) =>
-        makeCall(this.options.words.ready, {
+        makeCall(this.options.wire.ready, {
           address: this.addressOf(name, 'ready'),
           agent: false,
-          mostMs: QUESTION_MS,
+          timeoutMs: OPERATOR_TIMEOUT_MS,
         }),
       ),
     );
     return answers.every((reply) => reply.kind === 'answer' && reply.status === 200);
   }
 
-  private async waitToStart(endAt: number, what: string): Promise<void> {
+  private async waitToStart(endAt: number, problem: string): Promise<void> {
     if (performance.now() > endAt) {
-      throw new Error(`the fleet did not start: ${what}; its logs are in ${this.options.folder}`);
+      throw new Error(
+        `the fleet did not start: ${problem}; its logs are in ${this.options.folder}`,
+      );
     }
-    await delay(LOOK_AGAIN_MS);
+    await delay(RECHECK_MS);
   }
 
   private name(kind: SoakVm['kind'], names: readonly string[]): void {
     const {folder, program, shape} = this.options;
     const seeds = Array.from({length: SEEDS}, (_, at) => `${this.network}.20.${at + 1}`);
-    const third = {control: 20, entry: 21, store: 22}[kind];
+    const thirdOctet = {control: 20, entry: 21, store: 22}[kind];
     names.forEach((name, at) => {
-      const host = `${this.network}.${third}.${at + 1}`;
-      const own = path.join(folder, name);
+      const host = `${this.network}.${thirdOctet}.${at + 1}`;
+      const vmFolder = path.join(folder, name);
       this.hosts.set(name, host);
       const vm = {
-        dataFolder: kind === 'entry' ? '' : path.join(own, 'data'),
+        dataFolder: kind === 'entry' ? '' : path.join(vmFolder, 'data'),
         host,
         kind,
         lostDisks: shape.lostDisks,
@@ -350,7 +350,7 @@
       const settings = (first: boolean): string => program.settings({...vm, first});
       this.processes.set(
         name,
-        new SoakProcess({command, environment, folder: own, name, settings}),
+        new SoakProcess({command, environment, folder: vmFolder, name, settings}),
       );
     });
   }
--- a/packages/stallpaddle-soak/src/SoakHistory.ts
+++ b/packages/stallpaddle-soak/src/SoakHistory.ts
@@ -1,16 +1,14 @@
-/**
- * Gathers what happens in a soak, in order.
- */
+/** History of a soak. */
 import type {SoakEvent} from './SoakTypes';
 
-/** An event without its moment. */
+/** An event without its time. */
 export type SoakEventDetails = SoakEvent extends infer Event
   ? Event extends SoakEvent
     ? Omit<Event, 'at'>
     : never
   : never;
 
-/** See the module's comment. */
+/** Records events in order, with the time of each. */
 export class SoakHistory {
   readonly events: SoakEvent[] = [];
   private readonly startedAt = performance.now();
@@ -21,11 +19,11 @@
   }
 
   /**
-   * Notes what happens now.
+   * Records an event at the current time.
    *
-   * @param happening what happens
+   * @param details event without its time
    */
-  note(happening: SoakEventDetails): void {
-    this.events.push({...happening, at: this.now} as SoakEvent);
+  note(details: SoakEventDetails): void {
+    this.events.push({...details, at: this.now} as SoakEvent);
   }
 }
--- a/packages/stallpaddle-soak/src/SoakHttp.ts
+++ b/packages/stallpaddle-soak/src/SoakHttp.ts
@@ -1,11 +1,9 @@
-/**
- * Calls over HTTP that tell apart what a caller can: an answer that is whole, one that broke off, none at all.
- */
+/** HTTP client of a soak: distinguishes complete, incomplete and missing responses. */
 import {type Agent, request} from 'node:http';
 
 import type {SoakCall} from './SoakWire';
 
-/** What came of a call. */
+/** Outcome of a call: a response, which `whole` marks as complete, or a failed connection. */
 export type SoakReply =
   | {
       readonly kind: 'answer';
@@ -15,25 +13,25 @@
     }
   | {readonly kind: 'broken'};
 
-/** How a call is made. */
+/** Options of a call. */
 export interface SoakCallOptions {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
-  /** Keeps connections open between calls; false for a connection of its own. */
+  /** Connection pool; false for a separate connection. */
   readonly agent: Agent | false;
-  /** Longest time of the call, in milliseconds; then its connection is closed. */
-  readonly mostMs: number;
+  /** Timeout of the call, in milliseconds; then its connection is closed. */
+  readonly timeoutMs: number;
 }
 
 /**
  * Makes a call; never rejects.
  *
- * @param call the call
- * @param options how it is made
+ * @param call request to send
+ * @param options options of the call
  */
 export function makeCall(
   {body, headers, method, path}: SoakCall,
-  {address, agent, mostMs}: SoakCallOptions,
+  {address, agent, timeoutMs}: SoakCallOptions,
 ): Promise<SoakReply> {
   const [host, port] = address.split(':');
   return new Promise((resolve) => {
@@ -48,7 +46,7 @@
       path,
       port,
     });
-    const timer = setTimeout(() => req.destroy(), mostMs);
+    const timer = setTimeout(() => req.destroy(), timeoutMs);
     const end = (reply: SoakReply): void => {
       clearTimeout(timer);
       resolve(reply);
--- a/packages/stallpaddle-soak/src/SoakLink.ts
+++ b/packages/stallpaddle-soak/src/SoakLink.ts
@@ -1,34 +1,32 @@
-/**
- * Stands before the port on which a VM takes the calls of others: passes bytes on, late or not at all, or resets.
- */
+/** TCP proxy in front of the peer port of a VM. */
 import {connect, createServer, type Socket} from 'node:net';
 
-/** Where a link lies. */
+/** Addresses of a link. */
 export interface SoakLinkOptions {
   readonly host: string;
-  /** Port that others call. */
+  /** Port to which other processes connect. */
   readonly port: number;
   /** Port on which the VM listens. */
   readonly target: number;
 }
 
-/** See the module's comment. */
+/** Forwards bytes between other processes and a VM; can delay them, drop them or reset all connections. */
 export class SoakLink {
-  /** Time by which bytes come late, in milliseconds. */
+  /** Delay of each chunk, in milliseconds. */
   delayMs = 0;
-  /** Whether the VM's answers are lost. */
-  losesAnswers = false;
-  /** Whether what is sent to the VM is lost. */
-  losesCalls = false;
-  private readonly server = createServer({allowHalfOpen: false}, (near) => this.join(near));
+  /** Whether bytes from the VM are dropped. */
+  dropsResponses = false;
+  /** Whether bytes to the VM are dropped. */
+  dropsRequests = false;
+  private readonly server = createServer({allowHalfOpen: false}, (client) => this.accept(client));
   private readonly sockets = new Set<Socket>();
 
   private constructor(private readonly options: SoakLinkOptions) {}
 
   /**
-   * Opens a link.
+   * Starts to listen.
    *
-   * @param options where it lies
+   * @param options addresses of the link
    */
   static async open(options: SoakLinkOptions): Promise<SoakLink> {
     const link = new SoakLink(options);
@@ -44,31 +42,31 @@
     this.sockets.forEach((socket) => socket.resetAndDestroy());
   }
 
-  /** Ends the link. */
+  /** Resets all connections and stops listening. */
   close(): void {
     this.reset();
     this.server.close();
   }
 
-  private join(near: Socket): void {
-    const far = connect(this.options.target, this.options.host);
-    this.carry(near, far, () => this.losesCalls);
-    this.carry(far, near, () => this.losesAnswers);
+  private accept(client: Socket): void {
+    const upstream = connect(this.options.target, this.options.host);
+    this.forward(client, upstream, () => this.dropsRequests);
+    this.forward(upstream, client, () => this.dropsResponses);
   }
 
-  private carry(from: Socket, to: Socket, isLost: () => boolean): void {
+  private forward(from: Socket, to: Socket, isDropped: () => boolean): void {
     this.sockets.add(from);
     from.setNoDelay(true);
     from.on('data', (bytes) => {
-      if (!isLost()) {
-        this.pass(from, to, bytes);
+      if (!isDropped()) {
+        this.write(from, to, bytes);
       }
     });
     from.on('error', () => {});
     from.on('close', (hadError) => {
       this.sockets.delete(from);
-      // On a cut link nobody learns that the other side is gone.
-      if (isLost()) {
+      // While bytes are dropped, the other side must not see the close either.
+      if (isDropped()) {
         return;
       }
       if (hadError) {
@@ -79,7 +77,7 @@
     });
   }
 
-  private pass(from: Socket, to: Socket, bytes: Buffer): void {
+  private write(from: Socket, to: Socket, bytes: Buffer): void {
     if (this.delayMs === 0) {
       if (!to.write(bytes)) {
         from.pause();
@@ -87,7 +85,7 @@
       }
       return;
     }
-    // Bytes keep their order: nothing is read before what came is passed on.
+    // Pausing keeps the order: nothing more is read before this chunk is forwarded.
     from.pause();
     setTimeout(() => {
       to.write(bytes);
--- a/packages/stallpaddle-soak/src/SoakOutput.ts
+++ b/packages/stallpaddle-soak/src/SoakOutput.ts
@@ -1,24 +1,22 @@
-/**
- * What a stand-in engine makes of a request, so that whoever reads an answer can tell whose it is and whether it is whole.
- */
+/** Deterministic output of the fake engines: shows which request it belongs to and whether it is complete. */
 
-/** Events of each stream and item. */
+/** Number of events in each stream and item. */
 export const OUTPUT_EVENTS = 12;
 
 /**
- * One event of a stream.
+ * Returns one event of a stream.
  *
- * @param id the request
- * @param number the event, from 1
+ * @param id request id
+ * @param number number of the event, from 1
  */
 export function eventText(id: string, number: number): string {
   return `id: ${number}\ndata: ${id} ${number}\n\n`;
 }
 
 /**
- * A whole stream.
+ * Returns a complete stream.
  *
- * @param id the request
+ * @param id request id
  */
 export function streamText(id: string): string {
   return numbers()
@@ -27,9 +25,9 @@
 }
 
 /**
- * Whole output of a batch item, as results give it.
+ * Returns the complete output of a batch item, as it appears in the job's results.
  *
- * @param id the item
+ * @param id item id
  */
 export function itemText(id: string): string {
   return numbers()
@@ -38,48 +36,48 @@
 }
 
 /**
- * Answer to a request that may run once only.
+ * Returns the response body of a request that may run only once.
  *
- * @param id the request
+ * @param id request id
  */
 export function onceText(id: string): string {
   return `done ${id}`;
 }
 
-/** Part of the name of a request that ends every engine which begins to run it. */
+/** Prefix of the name of a request that crashes every engine that runs it. */
 const FATAL = 'fatal';
-/** Stands before the number of an attempt at such a request. */
+/** Separates the name of a fatal request from the number of an attempt. */
 const ATTEMPT = '.attempt-';
 
 /**
- * Name of a request that ends engines.
+ * Returns the name of a fatal request.
  *
- * @param number its number
+ * @param number number of the request
  */
 export function fatalContent(number: number): string {
   return `${FATAL}${number}`;
 }
 
 /**
- * Name of one attempt at such a request.
+ * Returns the id of one attempt at a fatal request.
  *
- * @param content the request
- * @param number the attempt
+ * @param content name of the request
+ * @param number number of the attempt
  */
 export function fatalAttempt(content: string, number: number): string {
   return `${content}${ATTEMPT}${number}`;
 }
 
 /**
- * The request that ends engines, by the name of an attempt; null for any other.
+ * Returns the name of the fatal request that an attempt belongs to; null for any other request.
  *
- * @param id the attempt
+ * @param id id of the attempt
  */
 export function fatalOf(id: string): null | string {
   return id.startsWith(FATAL) ? id.slice(0, id.indexOf(ATTEMPT)) : null;
 }
 
-/** Part of an item's name that no engine can do anything with. */
+/** Marks the ids of items that every engine rejects. */
 export const IMPOSSIBLE = 'impossible';
 
 function numbers(): readonly number[] {
--- a/packages/stallpaddle-soak/src/SoakPlan.ts
+++ b/packages/stallpaddle-soak/src/SoakPlan.ts
@@ -1,7 +1,4 @@
-/**
- * Draws the faults of a soak from its seed: overlapping, in series, never more disks at once than the fleet's settings
- * allow to be lost. Pure.
- */
+/** Generates the fault plan of a soak from its seed. Pure. */
 import {type Random, seededRandom} from 'stallpaddle';
 
 import type {PlannedFault, SoakFault} from './SoakTypes';
@@ -12,12 +9,12 @@
   readonly controls: readonly string[];
   readonly engines: number;
   readonly entries: readonly string[];
-  /** Disks that may be lost at once. */
+  /** Number of simultaneous disk losses that the fleet must tolerate. */
   readonly lostDisks: number;
   readonly stores: readonly string[];
 }
 
-/** What a plan is drawn from. */
+/** Parameters of a plan. */
 export interface SoakPlanInput {
   /** Time from the first fault to the last, in milliseconds. */
   readonly forMs: number;
@@ -25,42 +22,39 @@
   readonly shape: SoakShape;
 }
 
-/** Mean pause between two faults, in milliseconds: about four of them overlap. */
-const PAUSE_MS = 700;
-/** Shortest and longest fault, in milliseconds. */
-const LEAST_MS = 300;
-const MOST_MS = 3_500;
-/**
- * Time in which a VM that is back, perhaps with an empty disk, holds everything again, in milliseconds. An idle machine
- * needs two seconds; one that runs many processes beside the soak needs several times as long.
- */
+/** Mean pause between the starts of two faults, in milliseconds; short enough that faults overlap. */
+const MEAN_PAUSE_MS = 700;
+/** Shortest and longest duration of a fault, in milliseconds. */
+const MIN_DURATION_MS = 300;
+const MAX_DURATION_MS = 3_500;
+/** Time in which a VM has restored its data after a restart with an empty disk, on a busy machine, in milliseconds. */
 const CATCH_UP_MS = 10_000;
-/** Time in which a VM that kept its disk takes part again, in milliseconds. */
-const BACK_MS = 3_000;
-/** Time between two losses of all processes, in milliseconds. */
-const ALL_AGAIN_MS = 12_000;
+/** Time in which a VM that kept its disk participates again, in milliseconds. */
+const REJOIN_MS = 3_000;
+/** Shortest time between two kills of all processes, in milliseconds. */
+const KILL_ALL_INTERVAL_MS = 12_000;
 /** Longest time for which all processes are down, in milliseconds. */
-const MOST_ALL_MS = 1_500;
-/** Part of the plans at whose end disks are lost. */
-const FINAL_LOSS_PART = 0.7;
+const MAX_ALL_DOWN_MS = 1_500;
+/** Probability that a plan ends with a loss of disks. */
+const FINAL_LOSS_PROBABILITY = 0.7;
 /** Longest delay on a slow link, in milliseconds. */
-const MOST_DELAY_MS = 150;
+const MAX_DELAY_MS = 150;
 
-/** A VM that counts as out until a moment. */
-type Outs = Map<string, number>;
+/** VMs with a disk that may be unavailable, and until when. */
+type Outages = Map<string, number>;
 
 function pick<T>(random: Random, list: readonly T[]): T {
   return list[Math.floor(random() * list.length)]!;
 }
 
-function between(random: Random, least: number, most: number): number {
-  return Math.round(least + random() * (most - least));
+function between(random: Random, min: number, max: number): number {
+  return Math.round(min + random() * (max - min));
 }
 
-/** Draws faults of one plan. */
+/** Generates the faults of one plan. */
 class Planner {
-  private allAt = -Infinity;
-  private readonly outs: Outs = new Map();
+  private lastKillAllAt = -Infinity;
+  private readonly outages: Outages = new Map();
   private readonly random: Random;
 
   constructor(private readonly input: SoakPlanInput) {
@@ -70,34 +64,34 @@
   plan(): readonly PlannedFault[] {
     const faults: PlannedFault[] = [];
     const {forMs} = this.input;
-    for (let at = 0; at < forMs; at += between(this.random, 0, 2 * PAUSE_MS)) {
+    for (let at = 0; at < forMs; at += between(this.random, 0, 2 * MEAN_PAUSE_MS)) {
       const fault = this.draw(at);
       if (fault !== undefined) {
         faults.push({at, fault});
       }
     }
-    return [...faults, {at: forMs, fault: this.last()}];
+    return [...faults, {at: forMs, fault: this.drawFinalFault()}];
   }
 
-  /** At the end all processes are killed, and as many disks are lost as the settings allow, or none. */
-  private last(): SoakFault {
+  /** Kills all processes at the end, either without a loss of disks or with as many as the fleet must tolerate. */
+  private drawFinalFault(): SoakFault {
     const {controls, lostDisks, stores} = this.input.shape;
-    const mayLose = this.random() < FINAL_LOSS_PART ? lostDisks - this.lostNow() : 0;
-    const wiped = this.drawSome([...stores, ...controls], mayLose);
-    return {downMs: between(this.random, LEAST_MS, MOST_ALL_MS), kind: 'killAll', wiped};
+    const mayLose = this.random() < FINAL_LOSS_PROBABILITY ? lostDisks - this.outagesAtEnd() : 0;
+    const wiped = this.drawVms([...stores, ...controls], mayLose);
+    return {downMs: between(this.random, MIN_DURATION_MS, MAX_ALL_DOWN_MS), kind: 'killAll', wiped};
   }
 
-  /** Disks that are lost at the plan's end and not replaced yet. */
-  private lostNow(): number {
+  /** Number of VMs whose outage lasts beyond the end of the plan. */
+  private outagesAtEnd(): number {
     const {forMs} = this.input;
-    return [...this.outs.values()].filter((until) => until > forMs).length;
+    return [...this.outages.values()].filter((until) => until > forMs).length;
   }
 
-  private drawSome(vms: readonly string[], count: number): readonly string[] {
-    const left = vms.filter((vm) => (this.outs.get(vm) ?? 0) <= this.input.forMs);
+  private drawVms(vms: readonly string[], count: number): readonly string[] {
+    const candidates = vms.filter((vm) => (this.outages.get(vm) ?? 0) <= this.input.forMs);
     const drawn: string[] = [];
-    while (drawn.length < count && left.length > 0) {
-      drawn.push(...left.splice(Math.floor(this.random() * left.length), 1));
+    while (drawn.length < count && candidates.length > 0) {
+      drawn.push(...candidates.splice(Math.floor(this.random() * candidates.length), 1));
     }
     return drawn;
   }
@@ -105,86 +99,86 @@
   private draw(at: number): SoakFault | undefined {
     const {random} = this;
     const {controls, engines, entries, stores} = this.input.shape;
-    const durationMs = between(random, LEAST_MS, MOST_MS);
+    const durationMs = between(random, MIN_DURATION_MS, MAX_DURATION_MS);
     const engine = Math.floor(random() * engines);
-    const lot = random();
-    if (lot < 0.3) {
-      return this.drawOut(at, pick(random, [...stores, ...controls]), durationMs);
+    const roll = random();
+    if (roll < 0.3) {
+      return this.drawDiskFault(at, pick(random, [...stores, ...controls]), durationMs);
     }
-    if (lot < 0.45) {
-      return this.drawEntry(pick(random, entries), durationMs);
+    if (roll < 0.45) {
+      return this.drawEntryFault(pick(random, entries), durationMs);
     }
-    if (lot < 0.5) {
-      return this.drawAll(at);
+    if (roll < 0.5) {
+      return this.drawKillAll(at);
     }
-    if (lot < 0.6) {
+    if (roll < 0.6) {
       return {kind: 'reset', vm: pick(random, entries)};
     }
-    if (lot < 0.7) {
-      const delayMs = between(random, 5, MOST_DELAY_MS);
+    if (roll < 0.7) {
+      const delayMs = between(random, 5, MAX_DELAY_MS);
       return {delayMs, forMs: durationMs, kind: 'slow', vm: pick(random, entries)};
     }
-    if (lot < 0.8) {
+    if (roll < 0.8) {
       return {downMs: durationMs, engine, kind: 'engineCrash', sameName: random() < 0.5};
     }
-    if (lot < 0.85) {
+    if (roll < 0.85) {
       return {engine, forMs: durationMs, kind: 'engineSilent'};
     }
-    if (lot < 0.9) {
+    if (roll < 0.9) {
       return {engine, forMs: durationMs, kind: 'engineBreaks'};
     }
-    if (lot < 0.95) {
+    if (roll < 0.95) {
       return {engine, kind: 'engineLeaves', sameName: random() < 0.5};
     }
     return {kind: 'configure'};
   }
 
-  /** A fault of a VM with a disk; nothing while as many are out as may be. */
-  private drawOut(at: number, vm: string, forMs: number): SoakFault | undefined {
+  /** Draws a fault of a VM with a disk; undefined if it would exceed the tolerated number of outages. */
+  private drawDiskFault(at: number, vm: string, forMs: number): SoakFault | undefined {
     const {lostDisks} = this.input.shape;
-    const out = [...this.outs].filter(([, until]) => until > at).map(([name]) => name);
+    const out = [...this.outages].filter(([, until]) => until > at).map(([name]) => name);
     if (out.length >= lostDisks || out.includes(vm)) {
       return undefined;
     }
-    const lot = this.random();
-    const isWiped = lot >= 0.2 && lot < 0.4;
-    this.outs.set(vm, at + forMs + (isWiped ? CATCH_UP_MS : BACK_MS));
-    if (lot < 0.2) {
+    const roll = this.random();
+    const isWiped = roll >= 0.2 && roll < 0.4;
+    this.outages.set(vm, at + forMs + (isWiped ? CATCH_UP_MS : REJOIN_MS));
+    if (roll < 0.2) {
       return {downMs: forMs, kind: 'kill', vm};
     }
     if (isWiped) {
       return {downMs: forMs, kind: 'wipe', vm};
     }
-    if (lot < 0.6) {
+    if (roll < 0.6) {
       return {forMs, kind: 'freeze', vm};
     }
-    if (lot < 0.75) {
+    if (roll < 0.75) {
       return {direction: pick(this.random, ['answers', 'both', 'calls']), forMs, kind: 'cut', vm};
     }
-    if (lot < 0.85) {
-      return {delayMs: between(this.random, 5, MOST_DELAY_MS), forMs, kind: 'slow', vm};
+    if (roll < 0.85) {
+      return {delayMs: between(this.random, 5, MAX_DELAY_MS), forMs, kind: 'slow', vm};
     }
-    return lot < 0.9 ? {kind: 'reset', vm} : {kind: 'stop', vm};
+    return roll < 0.9 ? {kind: 'reset', vm} : {kind: 'stop', vm};
   }
 
-  private drawEntry(vm: string, forMs: number): SoakFault {
-    const lot = this.random();
-    if (lot < 0.4) {
+  private drawEntryFault(vm: string, forMs: number): SoakFault {
+    const roll = this.random();
+    if (roll < 0.4) {
       return {downMs: forMs, kind: 'kill', vm};
     }
-    return lot < 0.7 ? {forMs, kind: 'freeze', vm} : {kind: 'stop', vm};
+    return roll < 0.7 ? {forMs, kind: 'freeze', vm} : {kind: 'stop', vm};
   }
 
-  private drawAll(at: number): SoakFault | undefined {
-    if (at - this.allAt < ALL_AGAIN_MS) {
+  private drawKillAll(at: number): SoakFault | undefined {
+    if (at - this.lastKillAllAt < KILL_ALL_INTERVAL_MS) {
       return undefined;
     }
-    this.allAt = at;
-    const downMs = between(this.random, LEAST_MS, MOST_ALL_MS);
-    // Whoever was catching up begins anew once all are back.
-    for (const [vm, until] of this.outs) {
+    this.lastKillAllAt = at;
+    const downMs = between(this.random, MIN_DURATION_MS, MAX_ALL_DOWN_MS);
+    // The kill interrupts VMs that are catching up: they start over after the restart.
+    for (const [vm, until] of this.outages) {
       if (until > at) {
-        this.outs.set(vm, until + downMs + CATCH_UP_MS);
+        this.outages.set(vm, until + downMs + CATCH_UP_MS);
       }
     }
     return {downMs, kind: 'killAll', wiped: []};
@@ -192,9 +186,9 @@
 }
 
 /**
- * Draws a plan; the same seed and shape give the same one.
+ * Generates a plan; the same input always gives the same plan.
  *
- * @param input what it is drawn from
+ * @param input parameters of the plan
  */
 export function planFaults(input: SoakPlanInput): readonly PlannedFault[] {
   return new Planner(input).plan();
--- a/packages/stallpaddle-soak/src/SoakProcess.ts
+++ b/packages/stallpaddle-soak/src/SoakProcess.ts
@@ -1,69 +1,66 @@
-/**
- * One process of the fleet's real program, under signals from outside. Ends only what it has started.
- */
+/** Processes of a soak's fleet. */
 import {type ChildProcess, spawn} from 'node:child_process';
 import {closeSync, mkdirSync, openSync, rmSync, writeFileSync} from 'node:fs';
 import path from 'node:path';
 import {delay} from 'stallpaddle';
 
-/** What a process is started with. */
+/** Options of a process. */
 export interface SoakProcessOptions {
-  /** Program and its arguments. */
+  /** Program and arguments. */
   readonly command: readonly string[];
-  /** Variable that names the settings file. */
+  /** Returns the environment variables that name the settings file. */
   readonly environment: (settingsFile: string) => Readonly<Record<string, string>>;
-  /** Folder of its settings, disk and log. */
+  /** Folder of the settings, the data and the log. */
   readonly folder: string;
   readonly name: string;
-  /** Settings of a start; `first` is true only at the first. */
+  /** Returns the settings of a start; `first` is true only for the first one. */
   readonly settings: (first: boolean) => string;
 }
 
-/** Pause before a process that has ended is started again, in milliseconds. */
-const START_AGAIN_MS = 100;
-/** Longest wait for a process that was told to stop, in milliseconds; then it is killed. */
-const STOP_MS = 8_000;
+/** Pause before a process that exited unexpectedly is restarted, in milliseconds. */
+const RESTART_PAUSE_MS = 100;
+/** Timeout of a graceful stop, in milliseconds; then the process is killed. */
+const STOP_TIMEOUT_MS = 8_000;
 
-/** All that this program has started. Whatever ends it, they end with it. */
-const running = new Set<ChildProcess>();
-process.once('exit', () => running.forEach((child) => child.kill('SIGKILL')));
+/** Child processes that are running; they are killed when this process exits. */
+const children = new Set<ChildProcess>();
+process.once('exit', () => children.forEach((child) => child.kill('SIGKILL')));
 
-/** See the module's comment. */
+/** Runs one process of the fleet, restarts it when it exits unexpectedly, and kills, stops or suspends it. */
 export class SoakProcess {
-  /** Times that it ended by itself, with how. */
+  /** Unexpected exits, each with the name of the process and the signal or exit code. */
   readonly ownEnds: string[] = [];
   private child: ChildProcess | undefined;
   private isFirst = true;
-  private isWanted = false;
+  private shouldRun = false;
 
   /**
-   * @param options what it is started with
+   * @param options options of the process
    */
   constructor(private readonly options: SoakProcessOptions) {
     mkdirSync(options.folder, {recursive: true});
   }
 
-  /** Folder of its disk. */
+  /** Folder that holds the simulated disk. */
   get dataFolder(): string {
     return path.join(this.options.folder, 'data');
   }
 
-  /** File of its output. */
+  /** File with the output of the process. */
   get logFile(): string {
     return path.join(this.options.folder, 'log');
   }
 
-  /** Whether it runs. */
   get runs(): boolean {
     return this.child !== undefined;
   }
 
-  /** Starts it; it is started again whenever it ends by itself. */
+  /** Starts the process, and restarts it whenever it exits unexpectedly. */
   start(): void {
     if (this.child !== undefined) {
       return;
     }
-    this.isWanted = true;
+    this.shouldRun = true;
     const {command, environment, folder, settings} = this.options;
     const file = path.join(folder, 'settings.json');
     writeFileSync(file, settings(this.isFirst));
@@ -76,61 +73,61 @@
     });
     closeSync(log);
     this.child = child;
-    running.add(child);
+    children.add(child);
     child.once('exit', (code, signal) => {
-      running.delete(child);
+      children.delete(child);
       this.onExit(code, signal);
     });
   }
 
-  /** Kills it; it stays down until {@link start}. */
+  /** Kills the process; it stays down until {@link start}. */
   async kill(): Promise<void> {
-    this.isWanted = false;
+    this.shouldRun = false;
     const {child} = this;
     if (child !== undefined) {
-      const ended = new Promise((resolve) => child.once('exit', resolve));
+      const exited = new Promise((resolve) => child.once('exit', resolve));
       child.kill('SIGCONT');
       child.kill('SIGKILL');
-      await ended;
+      await exited;
     }
   }
 
-  /** Tells it to stop and waits until it has. */
+  /** Stops the process gracefully and waits until it has exited. */
   async stop(): Promise<void> {
-    this.isWanted = false;
+    this.shouldRun = false;
     const {child} = this;
     if (child !== undefined) {
-      const ended = new Promise((resolve) => child.once('exit', resolve));
+      const exited = new Promise((resolve) => child.once('exit', resolve));
       child.kill('SIGTERM');
-      await Promise.race([ended, delay(STOP_MS)]);
+      await Promise.race([exited, delay(STOP_TIMEOUT_MS)]);
       await this.kill();
     }
   }
 
-  /** Lets it stand still. */
+  /** Suspends the process. */
   freeze(): void {
     this.child?.kill('SIGSTOP');
   }
 
-  /** Lets it go on. */
+  /** Resumes the process. */
   thaw(): void {
     this.child?.kill('SIGCONT');
   }
 
-  /** Empties its disk; only while it is down. */
+  /** Deletes the data of the process; only while it is down. */
   wipe(): void {
     rmSync(this.dataFolder, {force: true, recursive: true});
   }
 
   private onExit(code: null | number, signal: NodeJS.Signals | null): void {
     this.child = undefined;
-    if (this.isWanted) {
+    if (this.shouldRun) {
       this.ownEnds.push(`${this.options.name}: ${signal ?? `exit ${code}`}`);
       setTimeout(() => {
-        if (this.isWanted) {
+        if (this.shouldRun) {
           this.start();
         }
-      }, START_AGAIN_MS);
+      }, RESTART_PAUSE_MS);
     }
   }
 }
--- a/packages/stallpaddle-soak/src/SoakReport.ts
+++ b/packages/stallpaddle-soak/src/SoakReport.ts
@@ -1,16 +1,13 @@
-/**
- * Words the outcome of a soak: what was done to the fleet and which promises broke, on one timeline.
- */
+/** Formats the outcome of a soak: faults and violations on one timeline, and a summary. */
 import type {SoakOutcome} from './SoakRun';
 import type {SoakEvent, SoakFault} from './SoakTypes';
 
-/** Milliseconds in a second. */
-const SECOND_MS = 1_000;
+const MS_PER_SECOND = 1_000;
 
 /**
- * One fault in words.
+ * Formats a fault as a line of text.
  *
- * @param fault the fault
+ * @param fault fault to describe
  */
 export function describeFault(fault: SoakFault): string {
   const {kind, ...rest} = fault;
@@ -29,10 +26,10 @@
 }
 
 /**
- * The report, a line each.
+ * Returns the lines of the report.
  *
- * @param seed the soak's seed
- * @param outcome what came of it
+ * @param seed seed of the soak
+ * @param outcome outcome of the soak
  */
 export function reportSoak(seed: number, outcome: SoakOutcome): readonly string[] {
   const {breaks, events, jobs, ownEnds, requests} = outcome;
@@ -40,13 +37,13 @@
     const text = faultLine(event);
     return text === undefined ? [] : [{at: event.at, text}];
   });
-  const broken = breaks.map(({at, detail, promise}) => ({
+  const violations = breaks.map(({at, detail, promise}) => ({
     at,
     text: `BROKEN ${promise}: ${detail}`,
   }));
-  const timeline = [...lines, ...broken]
+  const timeline = [...lines, ...violations]
     .sort((a, b) => a.at - b.at)
-    .map(({at, text}) => `${(at / SECOND_MS).toFixed(2).padStart(8)} s  ${text}`);
+    .map(({at, text}) => `${(at / MS_PER_SECOND).toFixed(2).padStart(8)} s  ${text}`);
   const faults = events.filter(({kind}) => kind === 'faultBegan').length;
   return [
     ...timeline,
--- a/packages/stallpaddle-soak/src/SoakRun.ts
+++ b/packages/stallpaddle-soak/src/SoakRun.ts
@@ -1,6 +1,4 @@
-/**
- * One soak: a fleet under its plan of faults, with callers all the while, judged at its end.
- */
+/** Runs a soak: a fleet with callers under planned faults, whose history is checked at the end. */
 import {delay} from 'stallpaddle';
 
 import type {SoakProgram} from './SoakFleet';
@@ -14,10 +12,10 @@
 import {SoakHistory} from './SoakHistory';
 import {planFaults} from './SoakPlan';
 
-/** What a soak is. */
+/** Options of a soak. */
 export interface SoakOptions {
   readonly bounds: SoakBounds;
-  /** Folder of the processes' settings, disks and logs. */
+  /** Folder of the processes' settings, data and logs. */
   readonly folder: string;
   /** Time from the first fault to the last, in milliseconds. */
   readonly forMs: number;
@@ -25,50 +23,50 @@
   readonly program: SoakProgram;
   readonly seed: number;
   readonly shape: SoakShape;
-  readonly words: SoakWire;
+  readonly wire: SoakWire;
 }
 
-/** What came of a soak. */
+/** Outcome of a soak. */
 export interface SoakOutcome {
   readonly breaks: readonly SoakBreak[];
   readonly events: readonly SoakEvent[];
   readonly jobs: number;
   readonly logFiles: readonly string[];
-  /** Processes that ended by themselves, and how. */
+  /** Unexpected exits of processes, each with its signal or exit code. */
   readonly ownEnds: readonly string[];
   readonly requests: number;
 }
 
-/** Time without faults at the begin, in milliseconds. */
-const LEAD_MS = 2_000;
-/** Time that the fleet has to recover after the last fault, in milliseconds. */
-const RECOVER_MS = 12_000;
-/** Time of requests after that, by which it is judged whether the fleet serves, in milliseconds. */
-const AFTER_MS = 3_000;
-/** Longest wait for the last results, in milliseconds. */
-const FINISH_MS = 18_000;
+/** Time before the first fault, in milliseconds. */
+const WARM_UP_MS = 2_000;
+/** Time to recover after the last fault, in milliseconds. */
+const RECOVERY_MS = 12_000;
+/** Time after the recovery in which requests must be served again, in milliseconds. */
+const SERVING_MS = 3_000;
+/** Longest wait for the remaining results, in milliseconds. */
+const FINAL_READ_MS = 18_000;
 /** Time between two reads of the configuration, in milliseconds. */
-const READ_CONFIG_MS = 400;
-/** Time between two lines of progress, in milliseconds. */
-const PROGRESS_MS = 5_000;
+const CONFIG_READ_INTERVAL_MS = 400;
+/** Time between two progress lines, in milliseconds. */
+const PROGRESS_INTERVAL_MS = 5_000;
 
-async function inflictAll(fleet: SoakFleet, plan: readonly PlannedFault[]): Promise<void> {
+async function injectAll(fleet: SoakFleet, plan: readonly PlannedFault[]): Promise<void> {
   const open: Promise<void>[] = [];
   const startedAt = performance.now();
   for (const {at, fault} of plan) {
     await delay(Math.max(0, startedAt + at - performance.now()));
-    open.push(fleet.inflict(fault));
+    open.push(fleet.inject(fault));
   }
   await Promise.all(open);
 }
 
-/** Reads the configuration at one VM after the other. */
+/** Reads the configuration periodically, at each entry VM in turn. */
 function registerConfigReads(fleet: SoakFleet): () => void {
   let turn = 0;
   const timer = setInterval(() => {
     const {entryNames} = fleet;
     void fleet.readConfiguration(entryNames[turn++ % entryNames.length]!);
-  }, READ_CONFIG_MS);
+  }, CONFIG_READ_INTERVAL_MS);
   return () => clearInterval(timer);
 }
 
@@ -83,31 +81,31 @@
     onProgress(
       `${Math.round(history.now / 1_000)} s: ${faults} faults, ${requests} sent, ${jobs} jobs taken`,
     );
-  }, PROGRESS_MS);
+  }, PROGRESS_INTERVAL_MS);
   return () => clearInterval(timer);
 }
 
 /**
  * Runs a soak.
  *
- * @param options what it is
+ * @param options options of the soak
  */
 export async function runSoak(options: SoakOptions): Promise<SoakOutcome> {
-  const {bounds, folder, forMs, program, seed, shape, words} = options;
+  const {bounds, folder, forMs, program, seed, shape, wire} = options;
   const history = new SoakHistory();
-  const fleet = new SoakFleet({folder, history, program, seed, shape, words});
-  const callers = new SoakCallers({fleet, history, seed, words});
+  const fleet = new SoakFleet({folder, history, program, seed, shape, wire});
+  const callers = new SoakCallers({fleet, history, seed, wire});
   const undo = [registerConfigReads(fleet), registerProgress(options, history, callers)];
   try {
     await fleet.start();
     callers.start();
-    await delay(LEAD_MS);
-    await inflictAll(fleet, planFaults({forMs, seed, shape}));
-    await delay(RECOVER_MS);
+    await delay(WARM_UP_MS);
+    await injectAll(fleet, planFaults({forMs, seed, shape}));
+    await delay(RECOVERY_MS);
     history.note({kind: 'recovered'});
-    await delay(AFTER_MS);
+    await delay(SERVING_MS);
     await callers.stop();
-    await callers.readAll(FINISH_MS);
+    await callers.readAll(FINAL_READ_MS);
     history.note({kind: 'ended'});
   } finally {
     undo.forEach((end) => end());
--- a/packages/stallpaddle-soak/src/SoakTypes.ts
+++ b/packages/stallpaddle-soak/src/SoakTypes.ts
@@ -1,70 +1,68 @@
-/**
- * What a soak sees: faults that it causes, and what callers, backend servers and the operator get. Times are
- * milliseconds since the fleet took its first work.
- */
+/** Faults, events and promises of a soak. Times are in milliseconds since the start of the history. */
 
-/** Routes of a soak's configuration, by what may happen to a request when an attempt fails. */
+/** Routes in the configuration of a soak: a request on `once` may run only once, one on `stream` is retried. */
 export type SoakRoute = 'once' | 'stream';
 
-/** Something done to the fleet from outside. */
+/** A fault that is injected into the fleet. */
 export type SoakFault =
-  /** The process is killed and starts again after a while, on the same disk. */
+  /** Kills the process and restarts it after `downMs` with the same disk. */
   | {readonly downMs: number; readonly kind: 'kill'; readonly vm: string}
-  /** All processes are killed at the same moment; those named lose their disks besides. */
+  /** Kills all processes at the same time; the VMs in `wiped` also lose their disks. */
   | {readonly downMs: number; readonly kind: 'killAll'; readonly wiped: readonly string[]}
-  /** The process stands still and goes on. */
+  /** Suspends the process for `forMs`. */
   | {readonly forMs: number; readonly kind: 'freeze'; readonly vm: string}
-  /** The process is told to stop, and starts again once it has. */
+  /** Stops the process gracefully and restarts it. */
   | {readonly kind: 'stop'; readonly vm: string}
-  /** The process is killed, and starts again on an empty disk. */
+  /** Kills the process and restarts it after `downMs` with an empty disk. */
   | {readonly downMs: number; readonly kind: 'wipe'; readonly vm: string}
-  /** What other processes send to the VM, or the answers to it, is lost without a reset. */
+  /** Drops what other processes send to the VM, its responses, or both, without closing connections. */
   | {
       readonly direction: 'answers' | 'both' | 'calls';
       readonly forMs: number;
       readonly kind: 'cut';
       readonly vm: string;
     }
-  /** What other processes exchange with the VM comes late. */
+  /** Delays the traffic between the VM and other processes. */
   | {readonly delayMs: number; readonly forMs: number; readonly kind: 'slow'; readonly vm: string}
-  /** All connections of other processes to the VM are reset. */
+  /** Resets all connections of other processes to the VM. */
   | {readonly kind: 'reset'; readonly vm: string}
-  /** The engine is gone at once and starts again, under its name or another one. */
+  /** Crashes the engine and restarts it after `downMs`, under the same or a new name. */
   | {
       readonly downMs: number;
       readonly engine: number;
       readonly kind: 'engineCrash';
       readonly sameName: boolean;
     }
-  /** The engine takes requests and reports, and says nothing to either; then it goes on. */
+  /** The engine accepts requests, but neither responds nor reports, for `forMs`. */
   | {readonly engine: number; readonly forMs: number; readonly kind: 'engineSilent'}
-  /** The engine breaks some of its answers off. */
+  /** The engine aborts some of its responses for `forMs`. */
   | {readonly engine: number; readonly forMs: number; readonly kind: 'engineBreaks'}
-  /** The engine says that it leaves, serves on, ends and starts again. */
+  /** The engine announces that it drains, serves on for a while, exits and restarts. */
   | {readonly engine: number; readonly kind: 'engineLeaves'; readonly sameName: boolean}
-  /** The operator sends the next configuration. */
+  /** The operator submits the next configuration. */
   | {readonly kind: 'configure'};
 
-/** A fault with its moment. */
+/** A fault and the time of its injection. */
 export interface PlannedFault {
+  /** Milliseconds since the start of the plan. */
   readonly at: number;
   readonly fault: SoakFault;
 }
 
-/** A result as it was read. */
+/** Result of a batch item, as a caller read it. */
 export interface SoakResult {
   readonly id: string;
   readonly outcome: 'completed' | 'givenUp';
   readonly text: string;
 }
 
-/** What happened, as seen from outside. */
+/** An event observed by a caller, an engine or the operator. */
 export type SoakEvent = {readonly at: number} & (
   | {readonly fault: SoakFault; readonly kind: 'faultBegan'}
   | {readonly fault: SoakFault; readonly kind: 'faultEnded'}
-  /** A caller sends a request to a VM. */
+  /** A caller sent a request to a VM. */
   | {readonly id: string; readonly kind: 'asked'; readonly route: SoakRoute; readonly vm: string}
-  /** A caller has an answer; `whole` tells whether it ended as a complete one does. */
+  /** A caller received a response; `whole` says whether its body was complete by HTTP framing. */
   | {
       readonly id: string;
       readonly kind: 'answered';
@@ -72,25 +70,25 @@
       readonly text: string;
       readonly whole: boolean;
     }
-  /** A caller's connection ended without the head of an answer, or within it. */
+  /** A caller's connection failed before the head of a response was complete. */
   | {readonly id: string; readonly kind: 'broken'}
-  /** An engine began work on a request or an item. */
+  /** An engine started to run a request or an item. */
   | {
       readonly engine: string;
       readonly id: string;
       readonly kind: 'ran';
       readonly resumeAfter: number;
     }
-  /** A request has ended the engine that began to run it. */
+  /** A request crashed the engine that ran it. */
   | {readonly engine: string; readonly kind: 'engineEnded'; readonly request: string}
-  /** An engine brought a request or an item to its end. */
+  /** An engine completed a request or an item. */
   | {readonly id: string; readonly kind: 'finished'}
-  /** A batch job is sent for the first time. */
+  /** A batch job was submitted for the first time. */
   | {readonly items: readonly string[]; readonly job: string; readonly kind: 'jobSent'}
   | {readonly job: string; readonly kind: 'jobAccepted'}
-  /** A batch job was refused at every try: none of it runs. */
+  /** A batch job was refused at every attempt: none of its items may run. */
   | {readonly job: string; readonly kind: 'jobRefused'}
-  /** A read of a job's results; `results` stand from position `from` on. */
+  /** A caller read a job's results, starting at position `from`. */
   | {
       readonly from: number;
       readonly job: string;
@@ -106,7 +104,7 @@
       readonly vm: string;
     }
   | {readonly job: string; readonly kind: 'jobEndAccepted'}
-  /** An engine's word that it leaves, or is gone, was acknowledged. */
+  /** An engine's report that it drains was acknowledged. */
   | {readonly engine: string; readonly kind: 'leaveAccepted'}
   | {readonly kind: 'configSent'; readonly version: number}
   | {readonly kind: 'configAccepted'; readonly version: number}
@@ -116,30 +114,30 @@
       readonly version: number;
       readonly vm: string;
     }
-  /** All faults are over, and the fleet has had its time to recover. */
+  /** All faults are over, and the time to recover has passed. */
   | {readonly kind: 'recovered'}
   | {readonly kind: 'ended'}
 );
 
-/** Bounds that the settings of a soak promise, in milliseconds. */
+/** Time bounds that follow from the settings of a soak, in milliseconds. */
 export interface SoakBounds {
   readonly applyMs: number;
   readonly cancelMs: number;
-  /** Time after which a VM that nothing troubles knows what others have seen. */
+  /** Time after which an undisturbed VM knows what other VMs have reported. */
   readonly contactMs: number;
   readonly drainMs: number;
-  /** Time after which an accepted job must be found everywhere. */
+  /** Time after which every VM must find an accepted job. */
   readonly settleMs: number;
 }
 
-/** A promise that was broken. */
+/** A violation of a promise. */
 export interface SoakBreak {
   readonly at: number;
   readonly detail: string;
   readonly promise: SoakPromise;
 }
 
-/** What must hold, in the order of the report. */
+/** Promises that the checker verifies. */
 export type SoakPromise =
   | 'acceptedConfigStays'
   | 'acceptedJobIsFound'
--- a/packages/stallpaddle-soak/src/SoakWire.ts
+++ b/packages/stallpaddle-soak/src/SoakWire.ts
@@ -1,12 +1,9 @@
-/**
- * What a soak says to the fleet and hears from it, in the words of whatever interface the fleet speaks. A soak knows no
- * words of its own.
- */
+/** Wire format between a soak and the fleet; the soak itself is independent of it. */
 import type {IncomingHttpHeaders, OutgoingHttpHeaders} from 'node:http';
 
 import type {SoakResult, SoakRoute} from './SoakTypes';
 
-/** A call over HTTP. */
+/** An HTTP request. */
 export interface SoakCall {
   readonly body?: string;
   readonly headers?: OutgoingHttpHeaders;
@@ -14,40 +11,40 @@
   readonly path: string;
 }
 
-/** What an engine says of itself. */
+/** Report of an engine about itself. */
 export interface EngineReport {
   readonly address: string;
   readonly isLeaving: boolean;
   readonly name: string;
   readonly sequence: number;
   readonly slots: number;
-  /** Time of its start, in Unix milliseconds. */
+  /** Time of the engine's start, in Unix milliseconds. */
   readonly startedAt: number;
   readonly zone: string;
 }
 
 /** A request as an engine reads it. */
 export interface EngineRequest {
-  /** The engine that it is meant for; null when it doesn't say. */
+  /** Name of the engine that the request is meant for; null if it names none. */
   readonly engine: null | string;
   readonly id: string;
   readonly resumeAfter: number;
 }
 
-/** See the module's comment. */
+/** Encodes the requests of callers, engines and the operator, and decodes the responses. */
 export interface SoakWire {
-  /** Asks which VMs to use. */
+  /** Queries the addresses that callers should use. */
   readonly addresses: SoakCall;
   readonly readAddresses: (body: string) => readonly string[];
-  /** Asks whether a VM takes callers. */
+  /** Queries whether a VM accepts callers. */
   readonly ready: SoakCall;
-  /** A whole configuration with all routes of a soak. */
+  /** Submits a complete configuration with all routes of a soak. */
   readonly configure: (version: number) => SoakCall;
   readonly readConfiguration: SoakCall;
   readonly readVersion: (body: string) => number;
-  /** An attempt under a name of its own; attempts with the same content are the same request. */
+  /** Sends an attempt with its own id; attempts with the same content belong to the same request. */
   readonly ask: (id: string, route: SoakRoute, deadlineMs: number, content: string) => SoakCall;
-  /** Whether a request may run once only, by the path at which an engine gets it. */
+  /** Whether a request may run only once, given the path at which an engine receives it. */
   readonly runsOnce: (path: string) => boolean;
   readonly submit: (job: string, items: readonly string[]) => SoakCall;
   readonly readJob: (job: string, from: number) => SoakCall;
@@ -56,14 +53,14 @@
     readonly total: number;
   };
   readonly endJob: (job: string) => SoakCall;
-  /** An engine's report, or its word that it leaves. */
+  /** Reports an engine, including whether it drains. */
   readonly report: (engine: EngineReport) => SoakCall;
   readonly farewell: (engine: EngineReport) => SoakCall;
   readonly readEngineRequest: (headers: IncomingHttpHeaders) => EngineRequest | null;
   readonly engineHeaders: (id: string) => OutgoingHttpHeaders;
-  /** Headers of an engine's word that it has not run a request. */
+  /** Headers of a response by which an engine declines a request without running it. */
   readonly declineHeaders: (id: string) => OutgoingHttpHeaders;
-  /** Path at which an engine tells what it holds. */
+  /** Path of an engine's occupancy. */
   readonly occupancyPath: string;
   readonly occupancy: (running: readonly string[]) => string;
 }
--- a/packages/stallpaddle-soak/src/__tests__/unit/SoakArguments.test.ts
+++ b/packages/stallpaddle-soak/src/__tests__/unit/SoakArguments.test.ts
@@ -1,6 +1,4 @@
-/**
- * What a soak is asked for.
- */
+/** Guards against invalid arguments that are accepted, and fleets too small for the disk losses they must tolerate. */
 import {describe, expect, test} from 'vitest';
 
 import {readSoakArguments, shapeOf, SoakArgumentsError} from '../../SoakArguments';
@@ -8,7 +6,7 @@
 const GOOD = {minutes: 0.5, seed: 7, vms: 8};
 
 describe('readSoakArguments', () => {
-  test('takes numbers as the command line gives them', () => {
+  test('accepts numbers as the command line passes them', () => {
     expect(readSoakArguments({minutes: '0.5', seed: '7', vms: 8})).toEqual(GOOD);
   });
 
@@ -22,7 +20,7 @@
     ['vms', 7],
     ['vms', 201],
     ['vms', undefined],
-  ])('says in a line that --%s %s can’t be used', (name, value) => {
+  ])('rejects --%s %s with an error that names it', (name, value) => {
     const read = () => readSoakArguments({...GOOD, [name]: value});
     expect(read).toThrow(SoakArgumentsError);
     expect(read).toThrow(`--${name} must be`);
@@ -30,7 +28,7 @@
 });
 
 describe('shapeOf', () => {
-  test('has as many VMs as asked for, and enough disks to bear the losses', () => {
+  test('has the requested number of VMs, and enough disks to tolerate the losses', () => {
     for (const vms of [8, 19, 20, 60]) {
       const {controls, entries, lostDisks, stores} = shapeOf(vms);
       expect(controls.length + entries.length + stores.length).toBe(vms);
--- a/packages/stallpaddle-soak/src/__tests__/unit/SoakChecker.test.ts
+++ b/packages/stallpaddle-soak/src/__tests__/unit/SoakChecker.test.ts
@@ -1,6 +1,4 @@
-/**
- * The checker sees each broken promise, and nothing in a history in which all are kept.
- */
+/** Guards against violations that the checker misses, and correct histories that it reports. */
 import {describe, expect, test} from 'vitest';
 
 import type {SoakEventDetails} from '../../SoakHistory';
@@ -16,12 +14,12 @@
   drainMs: 2_000,
   settleMs: 1_000,
 };
-/** A moment after everything else. */
+/** Time after all other events. */
 const LATE = 60_000;
 
 type Timed = readonly [number, SoakEventDetails];
 
-function judge(...history: readonly Timed[]): readonly SoakPromise[] {
+function violations(...history: readonly Timed[]): readonly SoakPromise[] {
   const events = history.map(([at, happening]) => ({...happening, at}) as SoakEvent);
   return checkHistory(events, BOUNDS).map(({promise}) => promise);
 }
@@ -58,10 +56,10 @@
   [900, read('j', ['j-1', 'j-0'], 2)],
 ];
 
-describe('a history in which all is kept', () => {
-  test('breaks nothing', () => {
+describe('a history without violations', () => {
+  test('passes', () => {
     expect(
-      judge(
+      violations(
         ...WHOLE_JOB,
         [1_000, asked('q1')],
         [1_010, ran('q1')],
@@ -85,10 +83,10 @@
   });
 });
 
-describe('a broken promise is seen', () => {
+describe('a violation is reported', () => {
   test.each<readonly [string, SoakPromise, readonly Timed[]]>([
     [
-      'an answer of another request',
+      'a response that belongs to another request',
       'answerIsOwnAndWhole',
       [
         [1, asked('q1')],
@@ -96,7 +94,7 @@
       ],
     ],
     [
-      'an answer that looks whole and lacks its end',
+      'a response that is marked complete and lacks its end',
       'answerIsOwnAndWhole',
       [
         [1, asked('q1')],
@@ -104,16 +102,20 @@
       ],
     ],
     [
-      'a part that is not the caller’s own',
+      'an incomplete response that belongs to another request',
       'answerIsOwnAndWhole',
       [
         [1, asked('q1')],
         [2, answered('q1', streamText('q2').slice(0, 30), 200, false)],
       ],
     ],
-    ['an answer that nobody asked for', 'answerIsOwnAndWhole', [[2, answered('q7', '')]]],
     [
-      'a refusal of what had run',
+      'a response to a request that was never sent',
+      'answerIsOwnAndWhole',
+      [[2, answered('q7', '')]],
+    ],
+    [
+      'a refusal of a request that had run',
       'notRunIsTrue',
       [
         [1, asked('q1', 'once')],
@@ -122,7 +124,7 @@
       ],
     ],
     [
-      'a refusal of what runs later',
+      'a refusal of a request that runs later',
       'notRunIsTrue',
       [
         [1, asked('q1', 'once')],
@@ -140,7 +142,7 @@
       ],
     ],
     [
-      'a second run of what runs once',
+      'a second run of a request that may run only once',
       'onceRunsOnce',
       [
         [1, asked('q1', 'once')],
@@ -149,14 +151,14 @@
         [4, answered('q1', onceText('q1'))],
       ],
     ],
-    ['a run that nobody asked for', 'runsWereAsked', [[3, ran('q8')]]],
+    ['a run of a request that was never sent', 'runsWereAsked', [[3, ran('q8')]]],
     [
       'an accepted job that is not found',
       'acceptedJobIsFound',
       [...JOB, [5_000, {job: 'j', kind: 'jobNotFound', sentAt: 4_900, vm: 'v'}]],
     ],
     [
-      'an accepted job whose items never end',
+      'an accepted job whose items never finish',
       'acceptedJobIsFound',
       [...JOB, [5_000, read('j', ['j-0'], 2)], [LATE, {kind: 'ended'}]],
     ],
@@ -165,10 +167,10 @@
       'acceptedJobIsFound',
       [...JOB, [LATE, {kind: 'ended'}]],
     ],
-    ['a job that nobody sent', 'acceptedJobIsFound', [[5_000, read('other', ['j-0'], 1)]]],
+    ['a job that was never sent', 'acceptedJobIsFound', [[5_000, read('other', ['j-0'], 1)]]],
     ['an item at two positions', 'itemEndsOnce', [...JOB, [5_000, read('j', ['j-0', 'j-0'], 2)]]],
     [
-      'an item that was given up without reason',
+      'an item that was given up without a reason',
       'itemEndsOnce',
       [
         ...JOB,
@@ -186,7 +188,7 @@
       ],
     ],
     [
-      'an output with an event left out',
+      'an output with a missing event',
       'resultIsWhole',
       [
         ...JOB,
@@ -211,12 +213,12 @@
     ],
     ['another number of items', 'resultsStay', [...JOB, [5_000, read('j', [], 3)]]],
     [
-      'an item that starts after its job was ended',
+      'an item that starts after its job was cancelled',
       'cancelledJobStops',
       [...JOB, [5_000, {job: 'j', kind: 'jobEndAccepted'}], [9_000, ran('j-0')]],
     ],
     [
-      'a request at an engine that has left',
+      'a request at an engine that has drained',
       'leavingEngineGetsNothing',
       [
         [1_000, {engine: 'e', kind: 'leaveAccepted'}],
@@ -234,12 +236,12 @@
       ],
     ],
     [
-      'a configuration that nobody sent',
+      'a configuration that was never sent',
       'acceptedConfigStays',
       [[9_000, {kind: 'configRead', sentAt: 8_900, version: 3, vm: 'v'}]],
     ],
     [
-      'a request that a planned stop cut',
+      'a request that a planned stop interrupted',
       'plannedStopCutsNothing',
       [
         [10_000, {fault: {kind: 'stop', vm: 'v'}, kind: 'faultBegan'}],
@@ -249,7 +251,7 @@
       ],
     ],
     [
-      'a fleet that serves nobody after its faults',
+      'a fleet that serves no request after the recovery',
       'fleetRecovers',
       [
         [LATE, {kind: 'recovered'}],
@@ -259,18 +261,18 @@
       ],
     ],
   ])('%s', (_, promise, history) => {
-    expect(judge(...history)).toContain(promise);
+    expect(violations(...history)).toContain(promise);
   });
 });
 
-describe('what the promises allow is not held against the fleet', () => {
+describe('a history that the promises allow is not reported', () => {
   test.each<readonly [string, readonly Timed[]]>([
     [
       'a job that is not found before it settles',
       [...JOB, [900, {job: 'j', kind: 'jobNotFound', sentAt: 800, vm: 'v'}]],
     ],
     [
-      'a late request at an engine that left while a process stood still',
+      'a late request at an engine that drained while a process was suspended',
       [
         [1_000, {engine: 'e', kind: 'leaveAccepted'}],
         [1_100, {fault: {forMs: 3_000, kind: 'freeze', vm: 'v'}, kind: 'faultBegan'}],
@@ -280,7 +282,7 @@
       ],
     ],
     [
-      'an item of an ended job that was given up',
+      'an item of a cancelled job that was given up',
       [
         ...JOB,
         [4_000, {job: 'j', kind: 'jobEndAccepted'}],
@@ -299,22 +301,22 @@
       ],
     ],
     [
-      'an answer that broke off',
+      'a response that was aborted',
       [
         [1, asked('q1')],
         [2, answered('q1', streamText('q1').slice(0, 20), 200, false)],
       ],
     ],
   ])('%s', (_, history) => {
-    expect(judge(...history)).toEqual([]);
+    expect(violations(...history)).toEqual([]);
   });
 });
 
-describe('a request that ends engines', () => {
-  /** Runs at the given moments, each of which ends an engine. */
-  function fatal(...moments: readonly number[]): readonly Timed[] {
+describe('a fatal request', () => {
+  /** Runs of one fatal request at the given times, each of which crashes an engine. */
+  function fatal(...times: readonly number[]): readonly Timed[] {
     const request = fatalContent(1);
-    return moments.flatMap((at, number): readonly Timed[] => {
+    return times.flatMap((at, number): readonly Timed[] => {
       const id = fatalAttempt(request, number);
       const engine = `e${number}`;
       return [
@@ -326,19 +328,19 @@
     });
   }
 
-  test('may come again while nobody can know, and three times after', () => {
-    expect(judge(...fatal(100, 200, 300, 400, 500, 3_300, 9_000, 9_100, 9_200))).toEqual([]);
+  test('may run again until VMs must know of the crashes, and three times after', () => {
+    expect(violations(...fatal(100, 200, 300, 400, 500, 3_300, 9_000, 9_100, 9_200))).toEqual([]);
   });
 
-  test('breaks a promise by the fourth late run', () => {
+  test('violates the promise with the fourth late run', () => {
     const history = fatal(100, 200, 300, 9_000, 9_100, 9_200, 9_300);
-    expect(judge(...history)).toEqual(['requestEndsFewEngines']);
+    expect(violations(...history)).toEqual(['requestEndsFewEngines']);
   });
 
-  test('late runs count for nothing while VMs are troubled', () => {
+  test('late runs are not counted while VMs are disturbed', () => {
     const fault = {forMs: 1, kind: 'freeze', vm: 'v'} as const;
     const frozen: readonly Timed[] = [[8_900, {fault, kind: 'faultBegan'}]];
     const late = fatal(9_000, 9_100, 9_200, 9_300);
-    expect(judge(...fatal(100, 200, 300), ...frozen, ...late)).toEqual([]);
+    expect(violations(...fatal(100, 200, 300), ...frozen, ...late)).toEqual([]);
   });
 });
--- a/packages/stallpaddle-soak/src/__tests__/unit/SoakLink.test.ts
+++ b/packages/stallpaddle-soak/src/__tests__/unit/SoakLink.test.ts
@@ -1,6 +1,4 @@
-/**
- * A link passes bytes on, loses them one way or both, and resets.
- */
+/** Guards against links that don't delay, drop or reset as told, so that a soak would test less than it reports. */
 import {connect, createServer, type Server, type Socket} from 'node:net';
 import {delay} from 'stallpaddle';
 import {afterEach, describe, expect, test} from 'vitest';
@@ -12,68 +10,68 @@
 
 afterEach(() => undo.splice(0).forEach((step) => step()));
 
-/** A server that says again what it hears, behind a link. */
+/** Starts an echo server behind a link, and a client. */
 async function openEcho(): Promise<{
-  heard: string[];
+  received: string[];
   link: SoakLink;
-  near: Socket;
-  said: string[];
+  client: Socket;
+  echoed: string[];
 }> {
-  const heard: string[] = [];
+  const received: string[] = [];
   const server: Server = createServer((socket) => {
     socket.on('error', () => {});
     socket.on('data', (bytes) => {
-      heard.push(bytes.toString());
+      received.push(bytes.toString());
       socket.write(bytes);
     });
   });
   await new Promise<void>((resolve) => server.listen(19_231, HOST, resolve));
   const link = await SoakLink.open({host: HOST, port: 19_230, target: 19_231});
-  const near = connect(19_230, HOST);
-  const said: string[] = [];
-  near.on('data', (bytes) => said.push(bytes.toString()));
-  near.on('error', (err) => said.push(err.message));
+  const client = connect(19_230, HOST);
+  const echoed: string[] = [];
+  client.on('data', (bytes) => echoed.push(bytes.toString()));
+  client.on('error', (err) => echoed.push(err.message));
   undo.push(() => {
-    near.destroy();
+    client.destroy();
     link.close();
     server.close();
   });
-  await new Promise((resolve) => near.once('connect', resolve));
-  return {heard, link, near, said};
+  await new Promise((resolve) => client.once('connect', resolve));
+  return {client, echoed, link, received};
 }
 
 describe('SoakLink', () => {
-  test('passes bytes on, late when it is told to', async () => {
-    const {link, near, said} = await openEcho();
-    near.write('a');
+  test('forwards bytes, with a delay when one is set', async () => {
+    const {client, echoed, link} = await openEcho();
+    client.write('a');
     await delay(100);
-    expect(said).toEqual(['a']);
+    expect(echoed).toEqual(['a']);
     link.delayMs = 150;
-    near.write('b');
+    client.write('b');
     await delay(100);
-    expect(said).toEqual(['a']);
+    expect(echoed).toEqual(['a']);
     await delay(400);
-    expect(said).toEqual(['a', 'b']);
+    expect(echoed).toEqual(['a', 'b']);
   });
 
-  test('loses what is said, or what is answered, and closes nothing', async () => {
-    const {heard, link, near, said} = await openEcho();
-    link.losesCalls = true;
-    near.write('a');
+  test('drops requests or responses and closes nothing', async () => {
+    const {client, echoed, link, received} = await openEcho();
+    link.dropsRequests = true;
+    client.write('a');
     await delay(100);
-    expect([heard, said]).toEqual([[], []]);
-    link.losesCalls = false;
-    link.losesAnswers = true;
-    near.write('b');
+    expect([received, echoed]).toEqual([[], []]);
+    link.dropsRequests = false;
+    link.dropsResponses = true;
+    client.write('b');
     await delay(100);
-    expect([heard, said]).toEqual([['b'], []]);
-    expect(near.destroyed).toBe(false);
+    expect([received, echoed]).toEqual([['b'], []]);
+    expect(client.destroyed).toBe(false);
   });
 
   test('resets connections', async () => {
-    const {link, said} = await openEcho();
+    const {echoed, link} = await openEcho();
     link.reset();
     await delay(100);
-    expect(said).toEqual(['read ECONNRESET']);
+    expect(echoed).toEqual(['read ECONNRESET']);
   });
 });
--- a/packages/stallpaddle-soak/src/index.ts
+++ b/packages/stallpaddle-soak/src/index.ts
@@ -1,4 +1,4 @@
-/** Runs a fleet's real processes under seeded faults and judges by the product's promises what came of it. */
+/** Runs a real fleet under seeded faults and checks the recorded history against the product's promises. */
 export {readSoakArguments, shapeOf, type SoakArguments, SoakArgumentsError} from './SoakArguments';
 export {checkHistory} from './SoakChecker';
 export type {SoakPorts, SoakProgram, SoakVm} from './SoakFleet';
