--- a/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
+++ b/packages/stallpaddle-jobs/src/__tests__/unit/JobsDispatcher.test.ts
@@ -245,7 +245,7 @@
     await delay(100);
     dispatcher.online.update('entry', 1, {e0: 2});
     dispatcher.schedulePass();
-    await waitUntil(() => engines[0]!.seen.every(({aborted: left}) => left));
+    await waitUntil(() => engines[0]!.seen.every(({aborted}) => aborted));
     dispatcher.online.update('entry', 2, {});
     await waitUntil(() => group.results.length === 2);
     expect([group.textOf(0), group.textOf(1)]).toEqual([expectedOutput(40), expectedOutput(40)]);
@@ -675,7 +675,7 @@
     group.submit(1);
     await waitUntil(() => engines[0]!.seen.length > 0);
     await group.propose({job: 'job', kind: 'endJob'});
-    await waitUntil(() => engines[0]!.seen.every(({aborted: left}) => left));
+    await waitUntil(() => engines[0]!.seen.every(({aborted}) => aborted));
     await delay(100);
     expect(engines[0]!.seen).toHaveLength(1);
 
--- a/packages/stallpaddle-node/src/__tests__/unit/NodeGroup.test.ts
+++ b/packages/stallpaddle-node/src/__tests__/unit/NodeGroup.test.ts
@@ -52,7 +52,7 @@
 /** Lease of a leader, in milliseconds. */
 const LEASE_MS = GROUP_TIMING.electionTimeoutMs * (1 - GROUP_TIMING.leaseDriftFraction);
 /** Stall of all processes that a leader's lease must outlast, in milliseconds; see `RpcLease.test.ts`. */
-const LEAST_HELD_MS = 100;
+const MIN_STARVED_MS = 100;
 
 /** Replicas, each on its own address. */
 class Fleet {
@@ -270,13 +270,13 @@
     const {term} = driver.status;
     let lapses = 0;
     // Time in which the machine itself held the processes back does not count as a lapse.
-    const isHeld = (): boolean => clock.excludedMs(LEASE_MS) >= LEAST_HELD_MS;
-    const watch = setInterval(() => (lapses += driver.leads || isHeld() ? 0 : 1), 10);
+    const wasStarved = (): boolean => clock.excludedMs(LEASE_MS) >= MIN_STARVED_MS;
+    const watch = setInterval(() => (lapses += driver.leads || wasStarved() ? 0 : 1), 10);
     undo.push(() => clearInterval(watch));
     for (const letter of ['a', 'b', 'c']) {
       await driver.propose(Buffer.from(letter.repeat(3_000_000)));
     }
-    for (let tries = 0; !driver.leads && isHeld(); tries++) {
+    for (let tries = 0; !driver.leads && wasStarved(); tries++) {
       expect(tries).toBeLessThan(1_000);
       await delay(10);
     }
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelayRun.test.ts
@@ -182,7 +182,7 @@
     const {ends, port} = await startRelay(contextOf([engine]), routeOf());
     await sendRequest(port, 100);
     await new Promise((resolve) => setTimeout(resolve, 200));
-    expect(engine.seen.map(({aborted: left}) => left)).toEqual([true]);
+    expect(engine.seen.map(({aborted}) => aborted)).toEqual([true]);
     expect(ends).toEqual(['left']);
   });
 
--- a/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
+++ b/packages/stallpaddle-relay/src/__tests__/unit/RelaySuspects.test.ts
@@ -22,12 +22,12 @@
 
 async function startCrashingEngines(
   count: number,
-  eventsBeforeEnd = 0,
+  eventsBeforeCrash = 0,
 ): Promise<readonly StreamEngine[]> {
   const engines = await startEngines(count);
   engines.forEach((engine) => {
     engine.fatal.add(FATAL);
-    engine.eventsBeforeCrash = eventsBeforeEnd;
+    engine.eventsBeforeCrash = eventsBeforeCrash;
   });
   return engines;
 }
@@ -37,9 +37,9 @@
 }
 
 /** Context of another VM with the same engines. */
-function contextOfVm(board: FakeSuspectStore, engines: readonly StreamEngine[]): RelayContext {
+function contextOfVm(store: FakeSuspectStore, engines: readonly StreamEngine[]): RelayContext {
   const context = contextOf(engines);
-  return {...context, suspects: board.view(plainRelay, context.engines)};
+  return {...context, suspects: store.view(plainRelay, context.engines)};
 }
 
 describe('a request that crashes engines', () => {
@@ -57,11 +57,11 @@
   );
 
   test('a request that may not be repeated gets its response at once and is still detected', async () => {
-    const board = new FakeSuspectStore();
+    const store = new FakeSuspectStore();
     const engines = await startCrashingEngines(6);
     const route = routeOf({maxAttempts: 1, resumable: false});
     const relays = await Promise.all(
-      [1, 2, 3].map(() => startRelay(contextOfVm(board, engines), route)),
+      [1, 2, 3].map(() => startRelay(contextOfVm(store, engines), route)),
     );
     const statuses: number[] = [];
     for (const {port} of relays) {
@@ -75,11 +75,11 @@
   });
 
   test('is refused at every VM with the quarantine time as retry-after; other requests are served', async () => {
-    const board = new FakeSuspectStore();
+    const store = new FakeSuspectStore();
     const engines = await startCrashingEngines(6);
     const route = routeOf();
     const [first, second] = await Promise.all(
-      [1, 2].map(() => startRelay(contextOfVm(board, engines), route)),
+      [1, 2].map(() => startRelay(contextOfVm(store, engines), route)),
     );
     await sendRequest(first!.port, undefined, {}, FATAL);
     await delay(CHECK_MS);
@@ -92,23 +92,23 @@
   });
 
   test('concurrent crashes at two VMs raise the level only once', async () => {
-    const board = new FakeSuspectStore();
+    const store = new FakeSuspectStore();
     const engines = await startCrashingEngines(6);
     const route = routeOf({maxAttempts: 1, resumable: false});
     const relays = await Promise.all(
-      [1, 2].map(() => startRelay(contextOfVm(board, engines), route)),
+      [1, 2].map(() => startRelay(contextOfVm(store, engines), route)),
     );
     await Promise.all(relays.map(({port}) => sendRequest(port, undefined, {}, FATAL)));
     await delay(CHECK_MS);
-    const [suspect] = board.suspects.values();
+    const [suspect] = store.suspects.values();
     expect(suspect!.level).toBeLessThan(QUARANTINE_LEVEL);
   });
 
   test('is quarantined at the VM that detected it even if it can’t be recorded', async () => {
-    const board = new FakeSuspectStore();
-    board.isShared = false;
+    const store = new FakeSuspectStore();
+    store.isShared = false;
     const engines = await startCrashingEngines(6);
-    const {port} = await startRelay(contextOfVm(board, engines), routeOf());
+    const {port} = await startRelay(contextOfVm(store, engines), routeOf());
     await sendRequest(port, undefined, {}, FATAL);
     expect((await sendRequest(port, undefined, {}, FATAL)).status).toBe(503);
     expect(crashedCount(engines)).toBe(2);
@@ -119,21 +119,21 @@
   test.each(['reset', 'wrongRequest'] as const)(
     'is no suspect when live engines respond with %s',
     async (kind) => {
-      const board = new FakeSuspectStore();
+      const store = new FakeSuspectStore();
       const engines = await startEngines(2);
       engines.forEach((engine) => (engine.behaviors = [{kind}, {kind}, {kind}]));
-      const {port} = await startRelay(contextOfVm(board, engines), routeOf());
+      const {port} = await startRelay(contextOfVm(store, engines), routeOf());
       await sendRequest(port);
       await delay(CHECK_MS);
-      expect(board.suspects.size).toBe(0);
+      expect(store.suspects.size).toBe(0);
     },
   );
 
   test('is cleared for all VMs by a complete run', async () => {
-    const board = new FakeSuspectStore();
+    const store = new FakeSuspectStore();
     const engines = await startEngines(3);
     const [first, second] = await Promise.all(
-      [1, 2].map(() => startRelay(contextOfVm(board, engines), routeOf())),
+      [1, 2].map(() => startRelay(contextOfVm(store, engines), routeOf())),
     );
     engines.forEach((engine) => (engine.behaviors = [{after: 1, kind: 'pause'}]));
     const pending = sendRequest(first!.port);
@@ -146,7 +146,7 @@
     await delay(CHECK_MS);
     engines.forEach((engine) => (engine.behaviors = []));
     expect((await sendRequest(second!.port)).status).toBe(200);
-    expect(board.suspects.size).toBe(0);
+    expect(store.suspects.size).toBe(0);
   });
 
   /**
@@ -154,24 +154,24 @@
    * were running when two engines exited.
    */
   test('is no suspect when it continues past its first events, and its stream is resumed at the next engine', async () => {
-    const board = new FakeSuspectStore();
+    const store = new FakeSuspectStore();
     const engines = await startCrashingEngines(6, 2);
-    const {port} = await startRelay(contextOfVm(board, engines), routeOf());
+    const {port} = await startRelay(contextOfVm(store, engines), routeOf());
     expect(await sendRequest(port, undefined, {}, FATAL)).toMatchObject({
       isComplete: true,
       status: 200,
     });
     expect(crashedCount(engines)).toBe(3);
     await delay(CHECK_MS);
-    expect(board.suspects.size).toBe(0);
+    expect(store.suspects.size).toBe(0);
   });
 
   test('is cleared once a run passes its start, and continues although it was quarantined meanwhile', async () => {
-    const board = new FakeSuspectStore();
+    const store = new FakeSuspectStore();
     const engines = await startEngines(3);
-    const context = contextOfVm(board, engines);
+    const context = contextOfVm(store, engines);
     const {port} = await startRelay(context, routeOf());
-    const others = board.view(plainRelay, context.engines);
+    const others = store.view(plainRelay, context.engines);
     const digest = requestDigest({
       body: Buffer.from('the body'),
       caller: '',
@@ -184,14 +184,14 @@
     await gone!.stop();
     const suspect = async (known: number): Promise<void> => {
       const engine = {...view!, id: 'e0', startedAtMs: known + 1};
-      const seen = board.view(plainRelay, () => [engine]);
+      const seen = store.view(plainRelay, () => [engine]);
       expect(await seen.noteInterruption({digest, engine, id: 'q', known})).toBe(true);
     };
     await suspect(0);
     engines.forEach((engine) => (engine.behaviors = [{after: 2, kind: 'pause'}]));
     const pending = sendRequest(port);
     await delay(100);
-    expect(board.suspects.size).toBe(0);
+    expect(store.suspects.size).toBe(0);
     await suspect(0);
     await suspect(1);
     expect(others.levelOf(digest)).toBe(QUARANTINE_LEVEL);
@@ -202,15 +202,15 @@
   });
 
   test('is no suspect when the engine was draining or removed', async () => {
-    const board = new FakeSuspectStore();
+    const store = new FakeSuspectStore();
     const [engine] = await startEngines(1);
     const [view] = contextOf([engine!]).engines();
     const run = {digest: 'd', engine: view!, id: 'q', known: 0};
     await engine!.stop();
-    const leaving = board.view(plainRelay, () => [{...view!, draining: true}]);
+    const leaving = store.view(plainRelay, () => [{...view!, draining: true}]);
     expect(await leaving.noteInterruption(run)).toBe(false);
-    expect(await board.view(plainRelay, () => []).noteInterruption(run)).toBe(false);
-    expect(await board.view(plainRelay, () => [view!]).noteInterruption(run)).toBe(true);
+    expect(await store.view(plainRelay, () => []).noteInterruption(run)).toBe(false);
+    expect(await store.view(plainRelay, () => [view!]).noteInterruption(run)).toBe(true);
   });
 
   test('is no suspect long after its first event', () => {
