--- a/packages/stallpaddle-soak/src/index.ts
+++ b/packages/stallpaddle-soak/src/index.ts
@@ -1,6 +1,6 @@
-/** Runs a fleet's real processes under seeded faults and judges by the product's promises what came of it. */
+/** Runs a real fleet under seeded faults and checks the recorded history against the product's promises. */
 export {readSoakArguments, shapeOf, type SoakArguments, SoakArgumentsError} from './SoakArguments';
-export {judgeHistory} from './SoakChecker';
+export {checkHistory} from './SoakChecker';
 export type {SoakPorts, SoakProgram, SoakVm} from './SoakFleet';
 export {eventText, itemText, onceText, OUTPUT_EVENTS, streamText} from './SoakOutput';
 export {planFaults, type SoakPlanInput, type SoakShape} from './SoakPlan';
@@ -16,4 +16,4 @@
   SoakResult,
   SoakRoute,
 } from './SoakTypes';
-export type {EngineRequest, EngineWord, SoakCall, SoakWords} from './SoakWords';
+export type {EngineReport, EngineRequest, SoakCall, SoakWire} from './SoakWire';
