--- a/packages/stallpaddle-demo/src/Fleet.ts
+++ b/packages/stallpaddle-demo/src/Fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Starts a fleet's processes, and ends every one of them.
+ * Starts, signals and stops the processes of a fleet.
  */
 import type {ChildProcess} from 'node:child_process';
 
@@ -14,24 +14,24 @@
 
 import {standInProcesses, vmAddress, vmProcesses} from './FleetLayout';
 
-const READY_LOOK_MS = 50;
-const READY_MOST_MS = 20_000;
-const END_MOST_MS = 40_000;
+const READY_POLL_INTERVAL_MS = 50;
+const READY_TIMEOUT_MS = 20_000;
+const EXIT_TIMEOUT_MS = 40_000;
 
-/** Path of the binary that `npm run build` leaves. */
+/** Path of the binary that `npm run build` writes. */
 export const BINARY = path.resolve(
   path.dirname(fileURLToPath(import.meta.url)),
   '../../../dist/stallpaddle',
 );
 
-/** A fleet of real processes on loopback addresses. */
+/** Runs the VMs and stand-ins of a layout as processes on loopback addresses. */
 export class Fleet {
   private readonly children = new Map<string, ChildProcess>();
 
   /**
-   * @param layout what the fleet is made of
-   * @param folder where settings, data and logs go
-   * @param standIns layout of the backend servers, where they listen elsewhere than the VMs think
+   * @param layout layout of the fleet
+   * @param folder folder for settings, data and logs
+   * @param standIns layout of the stand-ins, if they listen on other addresses than the VMs connect to
    */
   constructor(
     readonly layout: FleetLayout,
@@ -39,47 +39,47 @@
     private readonly standIns: FleetLayout = layout,
   ) {}
 
-  /** Names of the processes that run. */
+  /** Names of the running processes. */
   get running(): readonly string[] {
     return [...this.children.keys()];
   }
 
-  /** Starts everything and waits until every VM takes work. */
+  /** Starts all processes and waits until every VM is ready. */
   async start(): Promise<void> {
     if (!existsSync(BINARY)) {
       throw new Error('build the binary first: npm run build');
     }
     mkdirSync(this.folder, {recursive: true});
     const processes = [...standInProcesses(this.standIns), ...vmProcesses(this.layout)];
-    processes.forEach((one) => this.startProcess(one));
+    processes.forEach((spec) => this.startProcess(spec));
     await this.waitReady();
   }
 
   /**
-   * Starts one process, or starts it again.
+   * Starts or restarts one process. A restarted process appends to its log.
    *
-   * @param one the process
+   * @param spec name and settings of the process
    */
-  startProcess(one: LayoutProcess): void {
-    const file = path.join(this.folder, `${one.name}.json`);
-    writeFileSync(file, JSON.stringify(one.settings, null, 2));
+  startProcess(spec: LayoutProcess): void {
+    const file = path.join(this.folder, `${spec.name}.json`);
+    writeFileSync(file, JSON.stringify(spec.settings, null, 2));
     const child = spawn(BINARY, ['serve', '--settings', file], {
       cwd: this.folder,
       stdio: ['ignore', 'ignore', 'pipe'],
     });
-    child.stderr.pipe(createWriteStream(path.join(this.folder, `${one.name}.log`), {flags: 'a'}));
+    child.stderr.pipe(createWriteStream(path.join(this.folder, `${spec.name}.log`), {flags: 'a'}));
     child.on('exit', () => {
-      if (this.children.get(one.name) === child) {
-        this.children.delete(one.name);
+      if (this.children.get(spec.name) === child) {
+        this.children.delete(spec.name);
       }
     });
-    this.children.set(one.name, child);
+    this.children.set(spec.name, child);
   }
 
   /**
-   * The process of a VM.
+   * Returns the name and settings of a VM.
    *
-   * @param index the VM's number, from 0
+   * @param index index of the VM, from 0
    */
   vmProcess(index: number): LayoutProcess {
     return vmProcesses(this.layout)[index]!;
@@ -88,31 +88,31 @@
   /**
    * Sends a signal to a process that this fleet started.
    *
-   * @param name the process
-   * @param signal the signal
+   * @param name name of the process
+   * @param signal signal to send
    */
   signal(name: string, signal: NodeJS.Signals): void {
     const child = this.children.get(name);
     if (child?.pid === undefined) {
-      throw new Error(`${name} does not run`);
+      throw new Error(`${name} is not running`);
     }
     child.kill(signal);
   }
 
   /**
-   * Process id of a running process.
+   * Returns the process id of a running process.
    *
-   * @param name the process
+   * @param name name of the process
    */
   pidOf(name: string): number | undefined {
     return this.children.get(name)?.pid;
   }
 
   /**
-   * Waits until a process has ended.
+   * Waits until a process has exited.
    *
-   * @param name the process
-   * @returns its exit code; null when a signal ended it
+   * @param name name of the process
+   * @returns the exit code; null when the process was killed by a signal or is not running
    */
   async waitEnd(name: string): Promise<number | null> {
     const child = this.children.get(name);
@@ -123,20 +123,20 @@
   }
 
   /**
-   * Kills a process and waits until it has gone.
+   * Kills a process and waits until it has exited.
    *
-   * @param name the process
+   * @param name name of the process
    */
   async kill(name: string): Promise<void> {
-    const ended = this.waitEnd(name);
+    const exited = this.waitEnd(name);
     this.signal(name, 'SIGKILL');
-    await ended;
+    await exited;
   }
 
   /**
-   * Deletes a VM's data folder, as when its disk is lost. The VM must not run.
+   * Deletes a VM's data folder to simulate the loss of its disk. The VM must not be running.
    *
-   * @param index the VM's number, from 0
+   * @param index index of the VM, from 0
    */
   loseDisk(index: number): void {
     const {settings} = this.vmProcess(index);
@@ -146,32 +146,32 @@
   }
 
   /**
-   * Waits until VMs take work.
+   * Waits until VMs are ready for requests.
    *
-   * @param indexes the VMs' numbers; all when missing
+   * @param indexes indexes of the VMs; all VMs by default
    */
   async waitReady(
     indexes: readonly number[] = Array.from({length: this.layout.vms}, (_, index) => index),
   ): Promise<void> {
-    const until = Date.now() + READY_MOST_MS;
+    const deadline = Date.now() + READY_TIMEOUT_MS;
     for (const index of indexes) {
       while (!(await this.isReady(index))) {
-        if (Date.now() > until) {
-          throw new Error(`VM ${index + 1} takes no work after ${READY_MOST_MS} ms`);
+        if (Date.now() > deadline) {
+          throw new Error(`VM ${index + 1} is not ready after ${READY_TIMEOUT_MS} ms`);
         }
-        await delay(READY_LOOK_MS);
+        await delay(READY_POLL_INTERVAL_MS);
       }
     }
   }
 
-  /** Ends every process that this fleet started. */
+  /** Kills every process that this fleet started and waits until they have exited. */
   async stop(): Promise<void> {
     await Promise.all(
       [...this.children.keys()].map(async (name) => {
-        const ended = this.waitEnd(name);
+        const exited = this.waitEnd(name);
         this.signal(name, 'SIGCONT');
         this.signal(name, 'SIGKILL');
-        await Promise.race([ended, delay(END_MOST_MS)]);
+        await Promise.race([exited, delay(EXIT_TIMEOUT_MS)]);
       }),
     );
   }
