--- a/packages/stallpaddle-demo/src/FleetLayout.ts
+++ b/packages/stallpaddle-demo/src/FleetLayout.ts
@@ -1,5 +1,5 @@
 /**
- * Settings of whole fleets: the two users' layouts, and small ones for demos and tests.
+ * Generates the settings of all processes of a fleet from a layout, and defines the layouts of the two example users.
  */
 import type {EngineStandInSettings, ServiceStandInSettings} from 'stallpaddle-settings';
 import type {settingsSchema} from 'stallpaddle-settings';
@@ -12,30 +12,30 @@
 type VmInput = Extract<SettingsInput, {kind: 'vm'}>;
 type EngineStandInInput = Extract<SettingsInput, {kind: 'engineStandIn'}>;
 
-/** A customer with the key that it sends. */
+/** A customer with its API key. */
 export interface LayoutCustomer {
   readonly key: string;
   readonly name: string;
   readonly requestsPerSecond?: number;
 }
 
-/** What a fleet is made of. */
+/** Size, addresses and services of a fleet. */
 export interface FleetLayout {
   readonly customers: readonly LayoutCustomer[];
-  /** VMs with a disk come first. */
+  /** Number of VMs with a disk; these have the lowest indexes. */
   readonly diskVms: number;
   readonly engineSlots: number;
   readonly engines: number;
   /** First three numbers of the loopback addresses, such as `127.0.1`. */
   readonly network: string;
-  /** Folder for data and settings, as the settings name it. */
+  /** Data folder, as written in the settings of the VMs. */
   readonly folder: string;
   readonly ledgerShards: number;
   readonly model: string;
   readonly operatorKey: string;
   readonly plainServices: readonly string[];
   readonly prefix: string;
-  /** Services that exist from the start. */
+  /** Model services of the first configuration. */
   readonly services: readonly string[];
   readonly standIn?: Partial<EngineStandInInput>;
   readonly limits?: VmInput['limits'];
@@ -44,15 +44,15 @@
   readonly zones: readonly string[];
 }
 
-/** One process of a fleet. */
+/** Name and settings of one process of a fleet. */
 export interface LayoutProcess {
   readonly name: string;
   readonly settings: SettingsInput;
 }
 
-const CALLERS_PORT = 8000;
-const PEERS_PORT = 9000;
-const ENGINE_PORT = 7000;
+const CALLER_PORT = 8000;
+const PEER_PORT = 9000;
+const BACKEND_PORT = 7000;
 const FIRST_VM_HOST = 11;
 const FIRST_ENGINE_HOST = 101;
 const FIRST_SERVICE_HOST = 201;
@@ -67,52 +67,52 @@
 }
 
 /**
- * Name of an engine.
+ * Returns the name of an engine.
  *
- * @param layout the fleet
- * @param index its number, from 0
+ * @param layout layout of the fleet
+ * @param index index of the engine, from 0
  */
 export function engineName(layout: FleetLayout, index: number): string {
   return `${layout.prefix}-engine-${index + 1}`;
 }
 
 /**
- * Address of an engine.
+ * Returns the address of an engine.
  *
- * @param layout the fleet
- * @param index its number, from 0
+ * @param layout layout of the fleet
+ * @param index index of the engine, from 0
  */
 export function engineAddress(
   layout: FleetLayout,
   index: number,
 ): {readonly host: string; readonly port: number} {
-  return {host: `${layout.network}.${FIRST_ENGINE_HOST + index}`, port: ENGINE_PORT};
+  return {host: `${layout.network}.${FIRST_ENGINE_HOST + index}`, port: BACKEND_PORT};
 }
 
 /**
- * Address of a plain service's server.
+ * Returns the address of the server of a plain service.
  *
- * @param layout the fleet
- * @param index its number, from 0
+ * @param layout layout of the fleet
+ * @param index index of the service in `plainServices`, from 0
  */
 export function serviceAddress(
   layout: FleetLayout,
   index: number,
 ): {readonly host: string; readonly port: number} {
-  return {host: `${layout.network}.${FIRST_SERVICE_HOST + index}`, port: ENGINE_PORT};
+  return {host: `${layout.network}.${FIRST_SERVICE_HOST + index}`, port: BACKEND_PORT};
 }
 
 /**
- * Address at which a VM answers callers.
+ * Returns the address on which a VM accepts requests of callers.
  *
- * @param layout the fleet
- * @param index its number, from 0
+ * @param layout layout of the fleet
+ * @param index index of the VM, from 0
  */
 export function vmAddress(
   layout: FleetLayout,
   index: number,
 ): {readonly host: string; readonly port: number} {
-  return {host: `${layout.network}.${FIRST_VM_HOST + index}`, port: CALLERS_PORT};
+  return {host: `${layout.network}.${FIRST_VM_HOST + index}`, port: CALLER_PORT};
 }
 
 function zoneOf(layout: FleetLayout, index: number): string {
@@ -165,7 +165,7 @@
 function vmSettings(layout: FleetLayout, index: number): VmInput {
   const peersOf = (vm: number): {readonly host: string; readonly port: number} => ({
     host: vmAddress(layout, vm).host,
-    port: PEERS_PORT,
+    port: PEER_PORT,
   });
   const disks = Array.from({length: layout.diskVms}, (_, vm) => vm);
   const hasDisk = index < layout.diskVms;
@@ -188,9 +188,9 @@
 }
 
 /**
- * All VMs of a fleet.
+ * Returns the names and settings of all VMs of a fleet.
  *
- * @param layout the fleet
+ * @param layout layout of the fleet
  */
 export function vmProcesses(layout: FleetLayout): readonly LayoutProcess[] {
   return Array.from({length: layout.vms}, (_, index) => ({
@@ -200,9 +200,9 @@
 }
 
 /**
- * All stand-ins of a fleet's backend servers.
+ * Returns the names and settings of the stand-ins for all backend servers of a fleet.
  *
- * @param layout the fleet
+ * @param layout layout of the fleet
  */
 export function standInProcesses(layout: FleetLayout): readonly LayoutProcess[] {
   const loaded = layout.services.length > 0 ? [`${layout.model}@${VERSION}`] : [];
