--- a/packages/stallpaddle-demo/src/DemoBatches.ts
+++ b/packages/stallpaddle-demo/src/DemoBatches.ts
@@ -1,5 +1,5 @@
 /**
- * Batch jobs of a customer, and the check that every item ended exactly once.
+ * Submits batch jobs as a customer and checks that every item finished exactly once.
  */
 import type {ServerAnswer} from 'stallpaddle-load';
 
@@ -9,7 +9,7 @@
 import type {DemoCallers} from './DemoCallers';
 import type {DemoBatch} from './DemoWorkload';
 
-const LOOK_MS = 200;
+const POLL_INTERVAL_MS = 200;
 const BOUNDARY = 'demo-boundary';
 
 const fileSchema = z.object({id: z.string()});
@@ -20,31 +20,33 @@
   request_counts: z.object({completed: z.number(), failed: z.number(), total: z.number()}),
   status: z.string(),
 });
-const lineSchema = z.object({custom_id: z.string()});
+const resultLineSchema = z.object({custom_id: z.string()});
 
-/** What became of a job's items. */
+/** Outcomes of a job's items. */
 export interface BatchCounts {
+  /** Item ids that have more than one result or were not in the submitted file. */
   readonly doubled: number;
   readonly done: number;
   readonly failed: number;
+  /** Submitted items without a result. */
   readonly lost: number;
 }
 
-function need(answer: ServerAnswer | undefined): ServerAnswer {
-  if (answer === undefined || answer.status >= 400) {
-    throw new Error(`the call failed: ${answer?.status} ${answer?.text}`);
+function requireSuccess(response: ServerAnswer | undefined): ServerAnswer {
+  if (response === undefined || response.status >= 400) {
+    throw new Error(`the request failed with status ${response?.status}: ${response?.text}`);
   }
-  return answer;
+  return response;
 }
 
 /**
  * Uploads a file and creates a job.
  *
- * @param callers the customer
- * @param batch the file
- * @param key key for resends
- * @param headers further headers of the create call
- * @returns the job's id
+ * @param callers callers of the customer that owns the job
+ * @param batch the file to upload
+ * @param key idempotency key of the create call
+ * @param headers additional headers of the create call
+ * @returns the id of the job
  */
 export async function submitBatch(
   callers: DemoCallers,
@@ -60,7 +62,7 @@
   const uploaded = await callers.call('POST', '/v1/files', form, {
     'content-type': `multipart/form-data; boundary=${BOUNDARY}`,
   });
-  const {id} = fileSchema.parse(JSON.parse(need(uploaded).text));
+  const {id} = fileSchema.parse(JSON.parse(requireSuccess(uploaded).text));
   const body = JSON.stringify({
     completion_window: '24h',
     endpoint: '/v1/chat/completions',
@@ -70,30 +72,30 @@
     ...headers,
     'idempotency-key': key,
   });
-  return batchSchema.parse(JSON.parse(need(created).text)).id;
+  return batchSchema.parse(JSON.parse(requireSuccess(created).text)).id;
 }
 
 /**
- * Waits until a job has ended.
+ * Polls a job until it is no longer in progress or the timeout has passed.
  *
- * @param callers the customer
- * @param jobId the job
- * @param mostMs longest wait, in milliseconds
- * @returns its last status
+ * @param callers callers of the customer that owns the job
+ * @param jobId id of the job
+ * @param timeoutMs longest wait, in milliseconds
+ * @returns the last status read
  */
 export async function waitForBatch(
   callers: DemoCallers,
   jobId: string,
-  mostMs: number,
+  timeoutMs: number,
 ): Promise<z.infer<typeof batchSchema>> {
-  const until = Date.now() + mostMs;
+  const deadline = Date.now() + timeoutMs;
   for (;;) {
-    const answer = need(await callers.call('GET', `/v1/batches/${jobId}`));
-    const batch = batchSchema.parse(JSON.parse(answer.text));
-    if (batch.status !== 'in_progress' || Date.now() > until) {
+    const response = requireSuccess(await callers.call('GET', `/v1/batches/${jobId}`));
+    const batch = batchSchema.parse(JSON.parse(response.text));
+    if (batch.status !== 'in_progress' || Date.now() > deadline) {
       return batch;
     }
-    await delay(LOOK_MS);
+    await delay(POLL_INTERVAL_MS);
   }
 }
 
@@ -101,17 +103,17 @@
   if (fileId === null) {
     return [];
   }
-  const answer = need(await callers.call('GET', `/v1/files/${fileId}/content`));
-  const lines = answer.text.split('\n').filter((line) => line !== '');
-  return lines.map((line) => lineSchema.parse(JSON.parse(line)).custom_id);
+  const response = requireSuccess(await callers.call('GET', `/v1/files/${fileId}/content`));
+  const lines = response.text.split('\n').filter((line) => line !== '');
+  return lines.map((line) => resultLineSchema.parse(JSON.parse(line)).custom_id);
 }
 
 /**
- * Reads a job's results and counts the items by how they ended.
+ * Reads a job's output and error files and counts its items by outcome.
  *
- * @param callers the customer
- * @param jobId the job
- * @param batch what was submitted
+ * @param callers callers of the customer that owns the job
+ * @param jobId id of the job
+ * @param batch the submitted file
  */
 export async function countItems(
   callers: DemoCallers,
@@ -121,15 +123,15 @@
   const status = await waitForBatch(callers, jobId, 0);
   const done = await readIds(callers, status.output_file_id);
   const failed = await readIds(callers, status.error_file_id);
-  const seen = new Map<string, number>();
+  const resultCounts = new Map<string, number>();
   for (const id of [...done, ...failed]) {
-    seen.set(id, (seen.get(id) ?? 0) + 1);
+    resultCounts.set(id, (resultCounts.get(id) ?? 0) + 1);
   }
-  const known = new Set(batch.customIds);
+  const submitted = new Set(batch.customIds);
   return {
     done: done.length,
-    doubled: [...seen].filter(([id, count]) => count > 1 || !known.has(id)).length,
+    doubled: [...resultCounts].filter(([id, count]) => count > 1 || !submitted.has(id)).length,
     failed: failed.length,
-    lost: batch.customIds.filter((id) => !seen.has(id)).length,
+    lost: batch.customIds.filter((id) => !resultCounts.has(id)).length,
   };
 }
