--- a/packages/stallpaddle-demo/src/DemoCallers.ts
+++ b/packages/stallpaddle-demo/src/DemoCallers.ts
@@ -1,6 +1,5 @@
 /**
- * Callers as the users run them: they ask for addresses, keep them for a moment, and send again
- * when a VM goes.
+ * Simulated callers: they look up VM addresses, cache them, and resend a request when a VM fails.
  */
 import type {Histogram} from 'hdr-histogram-js';
 
@@ -21,26 +20,29 @@
   addresses: z.array(z.object({host: z.string(), port: z.number()})),
   lifetimeMs: z.number(),
 });
-const wholeSchema = z.object({
+const completionSchema = z.object({
   choices: z.array(z.object({message: z.object({content: z.string()})})).length(1),
 });
 const chunkSchema = z.object({
   choices: z.array(z.object({delta: z.object({content: z.string().optional()})})),
 });
 
-const ATTEMPTS = 20;
-const PAUSE_MS = 150;
+const MAX_ATTEMPTS = 20;
+const RETRY_PAUSE_MS = 150;
 
-/** What became of online requests. */
+/** Outcomes of online requests. */
 export interface OnlineCounts {
+  /** Requests with the expected response. */
   answered: number;
+  /** Requests whose response differs from the expected one. */
   crossed: number;
+  /** Requests without a response after all attempts. */
   lost: number;
   sent: number;
 }
 
-function wholeText(text: string): string {
-  return wholeSchema.parse(JSON.parse(text)).choices[0]!.message.content;
+function completionText(text: string): string {
+  return completionSchema.parse(JSON.parse(text)).choices[0]!.message.content;
 }
 
 function streamedText(text: string): string {
@@ -51,46 +53,46 @@
     .join('');
 }
 
-/** Callers of one customer. */
+/** Sends requests of one customer to the VMs in turn and counts their outcomes. */
 export class DemoCallers {
   readonly counts: OnlineCounts = {answered: 0, crossed: 0, lost: 0, sent: 0};
   readonly firstByte: Histogram = createLatencyHistogram();
   private addresses: readonly Address[] = [];
-  private addressesUntil = 0;
-  private turn = 0;
+  private addressesExpireAt = 0;
+  private nextIndex = 0;
 
   /**
-   * @param known VMs to ask for addresses
-   * @param key the customer's key
-   * @param model service to ask
+   * @param seeds VMs that are asked for the current addresses
+   * @param key API key of the customer
+   * @param model service that online requests name as their model
    */
   constructor(
-    private readonly known: readonly Address[],
+    private readonly seeds: readonly Address[],
     private readonly key: string,
     private readonly model: string,
   ) {}
 
   /**
-   * Sends a request until it is answered, and checks that the answer is its own.
+   * Sends an online request, with retries, and checks the response against the expected text.
    *
    * @param prompt the request
-   * @param stream whether it is streamed
+   * @param stream whether the response is streamed
    */
   async ask(prompt: DemoPrompt, stream: boolean): Promise<void> {
     this.counts.sent++;
     const {maxTokens, messages} = prompt;
     const body = JSON.stringify({max_tokens: maxTokens, messages, model: this.model, stream});
-    const answer = await this.call('POST', '/v1/chat/completions', body);
-    if (answer === undefined) {
+    const response = await this.call('POST', '/v1/chat/completions', body);
+    if (response === undefined) {
       this.counts.lost++;
       return;
     }
-    recordMs(this.firstByte, answer.firstByteMs);
-    const text = stream ? streamedText(answer.text) : wholeText(answer.text);
-    const wanted = answerWords(messages.map(({content}) => content).join('\n'), maxTokens).join(
+    recordMs(this.firstByte, response.firstByteMs);
+    const text = stream ? streamedText(response.text) : completionText(response.text);
+    const expected = answerWords(messages.map(({content}) => content).join('\n'), maxTokens).join(
       ' ',
     );
-    if (text === wanted) {
+    if (text === expected) {
       this.counts.answered++;
     } else {
       this.counts.crossed++;
@@ -98,13 +100,13 @@
   }
 
   /**
-   * Makes a call at any VM until one answers.
+   * Sends a request to one VM after another until one returns a status that is neither 429 nor 5xx.
    *
    * @param method HTTP method
    * @param path path with query
-   * @param body body
-   * @param headers further headers
-   * @returns the answer, or undefined when none came
+   * @param body request body
+   * @param headers additional headers
+   * @returns the response, or undefined when every attempt failed
    */
   async call(
     method: string,
@@ -112,40 +114,40 @@
     body = '',
     headers: Readonly<Record<string, string>> = {},
   ): Promise<ServerAnswer | undefined> {
-    for (let attempt = 0; attempt < ATTEMPTS; attempt++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       const address = await this.nextAddress();
       try {
-        const answer = await callServer({...address, body, headers, key: this.key, method, path});
-        if (answer.status < 500 && answer.status !== 429) {
-          return answer;
+        const response = await callServer({...address, body, headers, key: this.key, method, path});
+        if (response.status < 500 && response.status !== 429) {
+          return response;
         }
       } catch {
-        // The VM went with the request: ask another one.
-        this.addressesUntil = 0;
+        // The VM may have failed: refresh the addresses before the next attempt.
+        this.addressesExpireAt = 0;
       }
-      await delay(PAUSE_MS);
+      await delay(RETRY_PAUSE_MS);
     }
     return undefined;
   }
 
   private async nextAddress(): Promise<Address> {
-    if (Date.now() > this.addressesUntil) {
+    if (Date.now() > this.addressesExpireAt) {
       await this.refresh();
     }
-    return this.addresses[this.turn++ % this.addresses.length] ?? this.known[0]!;
+    return this.addresses[this.nextIndex++ % this.addresses.length] ?? this.seeds[0]!;
   }
 
   private async refresh(): Promise<void> {
-    for (let attempt = 0; attempt < this.known.length; attempt++) {
-      const server = this.known[this.turn++ % this.known.length]!;
+    for (let attempt = 0; attempt < this.seeds.length; attempt++) {
+      const server = this.seeds[this.nextIndex++ % this.seeds.length]!;
       try {
         const {text} = await callServer({...server, path: '/addresses'});
         const {addresses, lifetimeMs} = addressesSchema.parse(JSON.parse(text));
         this.addresses = addresses;
-        this.addressesUntil = Date.now() + lifetimeMs;
+        this.addressesExpireAt = Date.now() + lifetimeMs;
         return;
       } catch {
-        // This VM is gone; the next one knows the addresses too.
+        // This VM is unreachable: ask the next one.
       }
     }
   }
