--- a/packages/stallpaddle-demo/src/DemoOperator.ts
+++ b/packages/stallpaddle-demo/src/DemoOperator.ts
@@ -1,5 +1,5 @@
 /**
- * An operator that states intents and confirms the plans.
+ * Client of the admin API that plans and confirms configuration changes.
  */
 import type {Intent} from 'stallpaddle-control';
 
@@ -12,8 +12,8 @@
   readonly port: number;
 }
 
-const LOOK_MS = 50;
-const MOST_MS = 15_000;
+const POLL_INTERVAL_MS = 50;
+const TIMEOUT_MS = 15_000;
 
 const planSchema = z.looseObject({
   id: z.string(),
@@ -24,14 +24,14 @@
   engines: z.array(z.object({engine: z.string(), weights: z.array(z.string())})),
 });
 
-/** A plan as the admin API shows it. */
+/** A plan as the admin API returns it. */
 export type PlanView = z.infer<typeof planSchema>;
 
-/** One operator. */
+/** Changes the configuration of a fleet through the admin API of one VM. */
 export class DemoOperator {
   /**
-   * @param server VM to ask
-   * @param key the operator's key
+   * @param server address of the VM that receives the requests
+   * @param key API key of the operator
    */
   constructor(
     private readonly server: Address,
@@ -39,9 +39,9 @@
   ) {}
 
   /**
-   * Plans an intent.
+   * Creates a plan for an intent.
    *
-   * @param intent what is wanted
+   * @param intent the change to make
    */
   async plan(intent: Intent): Promise<PlanView> {
     return this.call('POST', '/admin/plans', JSON.stringify(intent));
@@ -50,41 +50,41 @@
   /**
    * Confirms a plan.
    *
-   * @param planId the plan
+   * @param planId id of the plan
    */
   async confirm(planId: string): Promise<PlanView> {
     return this.call('POST', `/admin/plans/${planId}/confirm`, '');
   }
 
   /**
-   * Plans, confirms and waits until it is in force on every VM.
+   * Plans and confirms an intent, and waits until the plan is in force on every VM.
    *
-   * @param intent what is wanted
-   * @returns milliseconds from the confirm until it was in force everywhere
+   * @param intent the change to make
+   * @returns time from the confirmation until the plan was in force on every VM, in milliseconds
    */
   async change(intent: Intent): Promise<number> {
     const {id} = await this.plan(intent);
     const startedAt = Date.now();
     let plan = await this.confirm(id);
     while (!plan.inForce.everywhere) {
-      if (Date.now() - startedAt > MOST_MS || plan.state.kind !== 'confirmed') {
-        throw new Error(`the plan is not in force: ${JSON.stringify(plan)}`);
+      if (Date.now() - startedAt > TIMEOUT_MS || plan.state.kind !== 'confirmed') {
+        throw new Error(`the plan is not in force on every VM: ${JSON.stringify(plan)}`);
       }
-      await delay(LOOK_MS);
+      await delay(POLL_INTERVAL_MS);
       plan = await this.call('GET', `/admin/plans/${id}`, '');
     }
     return Date.now() - startedAt;
   }
 
   /**
-   * Waits until VMs know that engines have loaded weights.
+   * Waits until each of the VMs reports that enough engines have loaded the weights.
    *
-   * @param vms VMs to ask
-   * @param weights the weights
-   * @param engines number of engines
+   * @param vms addresses of the VMs
+   * @param weights name of the weights
+   * @param engines required number of engines
    */
   async waitForWeights(vms: readonly Address[], weights: string, engines: number): Promise<void> {
-    const until = Date.now() + MOST_MS;
+    const deadline = Date.now() + TIMEOUT_MS;
     for (const vm of vms) {
       for (;;) {
         const {text} = await callServer({...vm, key: this.key, path: '/admin/status'});
@@ -93,19 +93,19 @@
         if (ready.length >= engines) {
           break;
         }
-        if (Date.now() > until) {
-          throw new Error(`${ready.length} of ${engines} engines hold ${weights}`);
+        if (Date.now() > deadline) {
+          throw new Error(`${ready.length} of ${engines} engines have loaded ${weights}`);
         }
-        await delay(LOOK_MS);
+        await delay(POLL_INTERVAL_MS);
       }
     }
   }
 
   private async call(method: string, path: string, body: string): Promise<PlanView> {
-    const answer = await callServer({...this.server, body, key: this.key, method, path});
-    if (answer.status !== 200) {
-      throw new Error(`${method} ${path}: ${answer.status} ${answer.text}`);
+    const response = await callServer({...this.server, body, key: this.key, method, path});
+    if (response.status !== 200) {
+      throw new Error(`${method} ${path}: ${response.status} ${response.text}`);
     }
-    return planSchema.parse(JSON.parse(answer.text));
+    return planSchema.parse(JSON.parse(response.text));
   }
 }
