--- a/packages/stallpaddle-demo/src/DemoWorkload.ts
+++ b/packages/stallpaddle-demo/src/DemoWorkload.ts
@@ -1,9 +1,9 @@
 /**
- * Seeded requests of the two users: counter and phone by day, filings and route sheets in batches.
+ * Generates the online requests and batch files of the two example users from a seed.
  */
 import type {Random} from 'stallpaddle';
 
-/** Mark of a prompt that no engine can answer; the stand-in engines know it. */
+/** Marks a prompt that the stand-in engines always fail to complete. */
 const UNCOMPLETABLE = '[[uncompletable]]';
 
 const TRADES = ['bakery', 'tailor', 'fishmonger', 'carpenter', 'florist', 'printer'] as const;
@@ -23,10 +23,10 @@
 }
 
 /**
- * An online request of a clerk or a supervisor.
+ * Generates an online request of one of the two users.
  *
- * @param random source
- * @param number makes the prompt unlike any other
+ * @param random random number generator
+ * @param number number of the request; makes the prompt unique
  */
 export function onlinePrompt(random: Random, number: number): DemoPrompt {
   const isRegistry = random() < 0.5;
@@ -42,32 +42,38 @@
   };
 }
 
-/** A batch file and what must become of its items. */
+/** A batch file with the expected outcome of its items. */
 export interface DemoBatch {
   readonly customIds: readonly string[];
   readonly jsonl: string;
-  /** Items that can never be completed. */
+  /** Ids of the items that must fail. */
   readonly uncompletable: readonly string[];
 }
 
 /**
- * A batch of annual filings or route sheets.
+ * Generates a batch file.
  *
- * @param name names the items
+ * @param name prefix of the item ids
  * @param items number of items
- * @param everyBad every so many items, one can never be completed; 0 for none
- * @param model model that the items name
+ * @param uncompletableInterval the last item of every so many cannot be completed; 0 for none
+ * @param model model named in the items
  */
-export function batchFile(name: string, items: number, everyBad: number, model: string): DemoBatch {
+export function batchFile(
+  name: string,
+  items: number,
+  uncompletableInterval: number,
+  model: string,
+): DemoBatch {
   const numbers = Array.from({length: items}, (_, index) => index);
-  const isBad = (index: number): boolean => everyBad > 0 && index % everyBad === everyBad - 1;
+  const isUncompletable = (index: number): boolean =>
+    uncompletableInterval > 0 && index % uncompletableInterval === uncompletableInterval - 1;
   const lines = numbers.map((index) =>
     JSON.stringify({
       body: {
         max_tokens: 8,
         messages: [
           {
-            content: `${name} item ${index}${isBad(index) ? ` ${UNCOMPLETABLE}` : ''}`,
+            content: `${name} item ${index}${isUncompletable(index) ? ` ${UNCOMPLETABLE}` : ''}`,
             role: 'user',
           },
         ],
@@ -81,6 +87,6 @@
   return {
     customIds: numbers.map((index) => `${name}-${index}`),
     jsonl: `${lines.join('\n')}\n`,
-    uncompletable: numbers.filter(isBad).map((index) => `${name}-${index}`),
+    uncompletable: numbers.filter(isUncompletable).map((index) => `${name}-${index}`),
   };
 }
