--- a/packages/stallpaddle-demo/src/index.ts
+++ b/packages/stallpaddle-demo/src/index.ts
@@ -2,7 +2,7 @@
 export {DemoCallers} from './DemoCallers';
 export {DemoOperator, type PlanView} from './DemoOperator';
 export {batchFile, type DemoBatch, type DemoPrompt, onlinePrompt} from './DemoWorkload';
-/** Fleets of real processes, for demos, tests and tools. */
+/** Fleets of processes for demos, tests and tools. */
 export {BINARY, Fleet} from './Fleet';
 export {
   engineAddress,
--- a/packages/stallpaddle-demo/src/main.ts
+++ b/packages/stallpaddle-demo/src/main.ts
@@ -1,5 +1,6 @@
 /**
- * `npm run demo`: the whole system as processes, a seeded mix of both users' work, two failures.
+ * `npm run demo`: runs a fleet with a seeded workload while a VM and an engine are killed, and checks that no request is
+ * lost or duplicated.
  */
 import Table from 'cli-table3';
 import {mkdtempSync, rmSync} from 'node:fs';
@@ -21,8 +22,8 @@
 const ONLINE_REQUESTS = 500;
 const ONLINE_PER_SECOND = 40;
 const BATCH_ITEMS = 300;
-const EVERY_BAD = 97;
-const BATCH_MOST_MS = 40_000;
+const UNCOMPLETABLE_INTERVAL = 97;
+const BATCH_TIMEOUT_MS = 40_000;
 const MODEL = 'balcao-llm';
 const KILL_VM_AT_MS = 3_000;
 const KILL_ENGINE_AT_MS = 5_000;
@@ -41,12 +42,12 @@
 
 async function sendOnline(callers: DemoCallers): Promise<void> {
   const random = seededRandom(SEED);
-  const open: Promise<void>[] = [];
+  const pending: Promise<void>[] = [];
   for (let number = 0; number < ONLINE_REQUESTS; number++) {
-    open.push(callers.ask(onlinePrompt(random, number), random() < 0.5));
+    pending.push(callers.ask(onlinePrompt(random, number), random() < 0.5));
     await delay(exponentialMs(random, ONLINE_PER_SECOND));
   }
-  await Promise.all(open);
+  await Promise.all(pending);
 }
 
 async function callPlainService(callers: DemoCallers): Promise<boolean> {
@@ -56,7 +57,7 @@
   return first?.status === 200 && first.text === resent?.text;
 }
 
-async function fail(fleet: Fleet): Promise<void> {
+async function injectFailures(fleet: Fleet): Promise<void> {
   await delay(KILL_VM_AT_MS);
   await fleet.kill(fleet.vmProcess(LAYOUT.vms - 1).name);
   await delay(KILL_ENGINE_AT_MS - KILL_VM_AT_MS);
@@ -71,7 +72,7 @@
   const startedAt = Date.now();
   await fleet.start();
   process.stdout.write(
-    `${fleet.running.length} processes take work after ${Date.now() - startedAt} ms\n`,
+    `${fleet.running.length} processes ready after ${Date.now() - startedAt} ms\n`,
   );
   const vms = Array.from({length: LAYOUT.vms}, (_, index) => vmAddress(LAYOUT, index));
   const operator = new DemoOperator(vms[0]!, LAYOUT.operatorKey);
@@ -86,18 +87,18 @@
   const counter = new DemoCallers(vms, LAYOUT.customers[0]!.key, MODEL);
   const accountants = new DemoCallers(vms, LAYOUT.customers[1]!.key, MODEL);
 
-  const plainOnce = await callPlainService(counter);
+  const ranOnce = await callPlainService(counter);
   const batches = ['filings', 'routes'].map((name) =>
-    batchFile(name, BATCH_ITEMS, EVERY_BAD, MODEL),
+    batchFile(name, BATCH_ITEMS, UNCOMPLETABLE_INTERVAL, MODEL),
   );
-  const batchAt = Date.now();
+  const submittedAt = Date.now();
   const jobs = await Promise.all(
     batches.map((batch, index) => submitBatch(accountants, batch, `demo-${index}`)),
   );
   const online = sendOnline(counter);
-  const failures = fail(fleet);
-  await Promise.all(jobs.map((job) => waitForBatch(accountants, job, BATCH_MOST_MS)));
-  const batchSeconds = (Date.now() - batchAt) / 1000;
+  const failures = injectFailures(fleet);
+  await Promise.all(jobs.map((job) => waitForBatch(accountants, job, BATCH_TIMEOUT_MS)));
+  const batchSeconds = (Date.now() - submittedAt) / 1000;
   await Promise.all([online, failures]);
   await operator.change({kind: 'drainVm', vm: fleet.vmProcess(LAYOUT.vms - 2).name});
 
@@ -107,7 +108,7 @@
   const {answered, crossed, lost, sent} = counter.counts;
   const items = BATCH_ITEMS * jobs.length;
   const table = new Table({
-    head: ['', 'accepted', 'answered once', 'failed for good', 'lost', 'doubled'],
+    head: ['', 'accepted', 'answered once', 'failed permanently', 'lost', 'wrong or duplicate'],
     style: {border: [], head: []},
   });
   table.push(['online', sent, answered, 0, lost, crossed]);
@@ -124,11 +125,11 @@
   process.stdout.write(`${table.toString()}\n`);
   process.stdout.write(
     `online first token: p50 ${percentile(50)} ms, p99 ${percentile(99)} ms\n` +
-      `batch: ${(items / batchSeconds).toFixed(1)} items a second\n` +
-      `plain service: a resent call that must not repeat ${plainOnce ? 'ran once' : 'FAILED'}\n`,
+      `batch: ${(items / batchSeconds).toFixed(1)} items/s\n` +
+      `plain service: a resent non-repeatable call ${ranOnce ? 'ran once' : 'FAILED'}\n`,
   );
-  const wrong = lost + crossed + sum(counts, 'lost') + sum(counts, 'doubled');
-  return wrong === 0 && plainOnce && answered === sent;
+  const violations = lost + crossed + sum(counts, 'lost') + sum(counts, 'doubled');
+  return violations === 0 && ranOnce && answered === sent;
 }
 
 const folder = mkdtempSync(path.join(tmpdir(), 'stallpaddle-demo-'));
@@ -141,7 +142,7 @@
   if (ok) {
     rmSync(folder, {force: true, recursive: true});
   } else {
-    process.stdout.write(`logs are in ${folder}\n`);
+    process.stdout.write(`logs: ${folder}\n`);
   }
 }
 process.exit(ok ? 0 : 1);
--- a/packages/stallpaddle-demo/src/writeExamples.ts
+++ b/packages/stallpaddle-demo/src/writeExamples.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run examples`: writes both users' settings files into `examples/`.
+ * `npm run examples`: writes the settings files of the example users to `examples/`.
  */
 import {mkdirSync, writeFileSync} from 'node:fs';
 import path from 'node:path';
