--- a/packages/stallpaddle-demo/src/__tests__/e2e/TestProxy.ts
+++ b/packages/stallpaddle-demo/src/__tests__/e2e/TestProxy.ts
@@ -1,53 +1,53 @@
 /**
- * A TCP proxy whose connections a test can cut.
+ * A TCP proxy that can interrupt connections.
  */
 import {connect, createServer, type Socket} from 'node:net';
 
-/** Where connections come in or go to. */
+/** Address of the proxy or its target. */
 export interface ProxyAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** See the module's comment. */
+/** Forwards TCP connections to one address, or closes them while it is disconnected. */
 export class TestProxy {
-  private cut = false;
+  private disconnected = false;
   private readonly sockets = new Set<Socket>();
-  private readonly server = createServer((inbound) => this.take(inbound));
+  private readonly server = createServer((inbound) => this.forward(inbound));
 
   /**
-   * @param to where connections go
+   * @param target address that connections are forwarded to
    */
-  constructor(private readonly to: ProxyAddress) {}
+  constructor(private readonly target: ProxyAddress) {}
 
-  /** Starts to listen. */
+  /** Listens on the address. */
   async start({host, port}: ProxyAddress): Promise<void> {
     await new Promise<void>((resolve) => this.server.listen(port, host, resolve));
   }
 
-  /** Cuts all connections; new ones are refused until {@link heal}. */
-  cutOff(): void {
-    this.cut = true;
+  /** Closes all connections, and new ones at once until {@link reconnect}. */
+  disconnect(): void {
+    this.disconnected = true;
     this.sockets.forEach((socket) => socket.destroy());
   }
 
-  /** Lets connections through again. */
-  heal(): void {
-    this.cut = false;
+  /** Forwards new connections again. */
+  reconnect(): void {
+    this.disconnected = false;
   }
 
-  /** Ends the proxy. */
+  /** Closes all connections and stops listening. */
   async stop(): Promise<void> {
-    this.cutOff();
+    this.disconnect();
     await new Promise((resolve) => this.server.close(resolve));
   }
 
-  private take(inbound: Socket): void {
-    if (this.cut) {
+  private forward(inbound: Socket): void {
+    if (this.disconnected) {
       inbound.destroy();
       return;
     }
-    const outbound = connect(this.to.port, this.to.host);
+    const outbound = connect(this.target.port, this.target.host);
     for (const [socket, other] of [
       [inbound, outbound],
       [outbound, inbound],
