--- a/packages/stallpaddle-demo/src/__tests__/e2e/TestFleet.ts
+++ b/packages/stallpaddle-demo/src/__tests__/e2e/TestFleet.ts
@@ -3,24 +3,24 @@
 import path from 'node:path';
 
 /**
- * Small fleets of real processes for tests; each test file takes a network of its own.
+ * Starts small fleets of processes for tests. Each test uses a loopback network of its own.
  */
 import type {FleetLayout} from '../../FleetLayout';
 
 import {Fleet} from '../../Fleet';
 import {REGISTRY_LAYOUT} from '../../FleetLayout';
 
-/** A fleet with its folder. */
+/** A started fleet. `stop` also deletes its folder. */
 export interface TestFleet {
   readonly fleet: Fleet;
   readonly stop: () => Promise<void>;
 }
 
 /**
- * A small layout: three VMs with a disk, one without, two engines, one plain service.
+ * Returns a layout of three VMs with a disk, one without, two engines and one plain service.
  *
  * @param network first three numbers of the loopback addresses
- * @param changes what is different
+ * @param changes fields to override
  */
 export function smallLayout(network: string, changes: Partial<FleetLayout> = {}): FleetLayout {
   return {
@@ -35,10 +35,10 @@
 }
 
 /**
- * Starts a fleet in a new folder.
+ * Starts a fleet in a new temporary folder.
  *
- * @param layout what it is made of
- * @param standIns layout of the backend servers, where they listen elsewhere than the VMs think
+ * @param layout layout of the fleet
+ * @param standIns layout of the stand-ins, if they listen on other addresses than the VMs connect to
  */
 export async function startFleet(
   layout: FleetLayout,
