--- a/packages/stallpaddle-demo/src/__tests__/e2e/OpenaiClient.test.ts
+++ b/packages/stallpaddle-demo/src/__tests__/e2e/OpenaiClient.test.ts
@@ -4,7 +4,7 @@
 import {afterAll, beforeAll, describe, expect, test} from 'vitest';
 
 /**
- * The `openai` client library works unchanged: chat, streams, files, batches, models.
+ * Guards compatibility with the `openai` client library: chat, streams, files, batches and models.
  */
 import type {TestFleet} from './TestFleet';
 
@@ -25,22 +25,26 @@
 }
 
 describe('openai client', () => {
-  let test4: TestFleet;
+  let testFleet: TestFleet;
 
   beforeAll(async () => {
-    test4 = await startFleet(LAYOUT);
+    testFleet = await startFleet(LAYOUT);
   });
 
   afterAll(async () => {
-    await test4.stop();
+    await testFleet.stop();
   });
 
-  test('gets whole and streamed chat completions', async () => {
+  test('receives complete and streamed chat completions', async () => {
     const client = clientOf(3, 0);
     const messages = [{content: 'Check article four.', role: 'user' as const}];
-    const wanted = answerWords('Check article four.', 6).join(' ');
-    const whole = await client.chat.completions.create({max_tokens: 6, messages, model: MODEL});
-    expect(whole.choices[0]?.message.content).toBe(wanted);
+    const expected = answerWords('Check article four.', 6).join(' ');
+    const completion = await client.chat.completions.create({
+      max_tokens: 6,
+      messages,
+      model: MODEL,
+    });
+    expect(completion.choices[0]?.message.content).toBe(expected);
     const stream = await client.chat.completions.create({
       max_tokens: 6,
       messages,
@@ -51,12 +55,12 @@
     for await (const chunk of stream) {
       text += chunk.choices[0]?.delta.content ?? '';
     }
-    expect(text).toBe(wanted);
+    expect(text).toBe(expected);
     const models = await client.models.list();
     expect(models.data.map(({id}) => id)).toEqual([MODEL]);
   });
 
-  test('runs a batch and reads its results at another VM', async () => {
+  test('creates a batch at one VM and reads its results from another', async () => {
     const batch = batchFile('filing', 40, 13, MODEL);
     const client = clientOf(3, 1);
     const file = await client.files.create({
@@ -68,16 +72,16 @@
       endpoint: '/v1/chat/completions',
       input_file_id: file.id,
     });
-    const other = clientOf(1, 1);
-    let job = await other.batches.retrieve(created.id);
+    const otherClient = clientOf(1, 1);
+    let job = await otherClient.batches.retrieve(created.id);
     while (job.status === 'in_progress') {
       await delay(50);
-      job = await other.batches.retrieve(created.id);
+      job = await otherClient.batches.retrieve(created.id);
     }
     expect(job.status).toBe('completed');
     expect(job.request_counts).toEqual({completed: 37, failed: 3, total: 40});
-    const output = await (await other.files.content(job.output_file_id!)).text();
-    const errors = await (await other.files.content(job.error_file_id!)).text();
+    const output = await (await otherClient.files.content(job.output_file_id!)).text();
+    const errors = await (await otherClient.files.content(job.error_file_id!)).text();
     const idsOf = (text: string): readonly string[] =>
       text
         .trim()
@@ -85,11 +89,11 @@
         .map((line) => (JSON.parse(line) as {custom_id: string}).custom_id);
     expect([...idsOf(output), ...idsOf(errors)].toSorted()).toEqual(batch.customIds.toSorted());
     expect(idsOf(errors).toSorted()).toEqual(batch.uncompletable.toSorted());
-    const input = await (await other.files.content(file.id)).text();
+    const input = await (await otherClient.files.content(file.id)).text();
     expect(input).toBe(batch.jsonl);
   });
 
-  test("refuses another customer's file and job as if there were none", async () => {
+  test("returns 404 for another customer's file and job", async () => {
     const batch = batchFile('private', 2, 0, MODEL);
     const owner = clientOf(0, 1);
     const file = await owner.files.create({
@@ -101,15 +105,15 @@
       endpoint: '/v1/chat/completions',
       input_file_id: file.id,
     });
-    const stranger = clientOf(0, 0);
-    await expect(stranger.files.retrieve(file.id)).rejects.toMatchObject({status: 404});
-    await expect(stranger.files.content(file.id)).rejects.toMatchObject({status: 404});
-    await expect(stranger.batches.retrieve(created.id)).rejects.toMatchObject({status: 404});
-    await expect(stranger.batches.cancel(created.id)).rejects.toMatchObject({status: 404});
-    expect((await stranger.files.list()).data).toEqual([]);
+    const otherCustomer = clientOf(0, 0);
+    await expect(otherCustomer.files.retrieve(file.id)).rejects.toMatchObject({status: 404});
+    await expect(otherCustomer.files.content(file.id)).rejects.toMatchObject({status: 404});
+    await expect(otherCustomer.batches.retrieve(created.id)).rejects.toMatchObject({status: 404});
+    await expect(otherCustomer.batches.cancel(created.id)).rejects.toMatchObject({status: 404});
+    expect((await otherCustomer.files.list()).data).toEqual([]);
   });
 
-  test('says notRun for every request that it refuses at the door', async () => {
+  test('returns the verdict notRun for every request rejected before it runs', async () => {
     const {host, port} = vmAddress(LAYOUT, 3);
     const send = (
       path: string,
@@ -133,16 +137,16 @@
       [send('/nowhere', '{}', key), 404, 'notFound'],
     ];
     for (const [response, status, code] of cases) {
-      const res = await response;
-      const body = (await res.json()) as {error: {code: string; verdict: string}};
-      expect(res.status).toBe(status);
+      const received = await response;
+      const body = (await received.json()) as {error: {code: string; verdict: string}};
+      expect(received.status).toBe(status);
       expect(body.error.code).toBe(code);
       expect(body.error.verdict).toBe('notRun');
-      expect(res.headers.get('x-stallpaddle-verdict')).toBe('notRun');
+      expect(received.headers.get('x-stallpaddle-verdict')).toBe('notRun');
     }
   });
 
-  test('names the bad line of a batch file and accepts nothing of it', async () => {
+  test('reports the number of an invalid line in a batch file and stores no part of the file', async () => {
     const client = clientOf(3, 0);
     const good = batchFile('good', 3, 0, MODEL).jsonl;
     const upload = (text: string): Promise<unknown> =>
--- a/packages/stallpaddle-demo/src/__tests__/unit/FleetLayout.test.ts
+++ b/packages/stallpaddle-demo/src/__tests__/unit/FleetLayout.test.ts
@@ -13,7 +13,7 @@
 
 describe('example settings', () => {
   test.each([REGISTRY_LAYOUT, LAVANDERIA_LAYOUT])(
-    'of $prefix are right and up to date',
+    'of $prefix are valid and match the layout',
     (layout) => {
       const folder = path.join(EXAMPLES, layout.prefix);
       const processes = [...standInProcesses(layout), ...vmProcesses(layout)];
