--- a/packages/stallpaddle-experiment/src/ExperimentBlame.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentBlame.ts
@@ -1,49 +1,46 @@
 /**
- * How often a request that ends no engine is held off the engines, because it stood beside two that ended: a model in made-up
- * time, with the product's own rule. Engines end by causes from outside, and by one request after another that ends all that
- * begin to run it.
+ * Simulates how often a harmless request is quarantined because it was starting on engines that crashed. It applies the
+ * production quarantine rule; engines crash for external reasons and because of requests that crash every engine they run on.
  */
 import {type Random, seededRandom} from 'stallpaddle';
 import {afterEngineEnd, type FleetSuspects, QUARANTINE_LEVEL} from 'stallpaddle-fleet';
 import {isStarting} from 'stallpaddle-relay';
 
-/** What is modelled. */
+/** Parameters of one simulated fleet. */
 export interface BlameInput {
   readonly engines: number;
-  /** Mean time between two ends of one engine by causes from outside, in milliseconds. */
+  /** Mean time between crashes of one engine for external reasons, in milliseconds. */
   readonly meanLifeMs: number;
   readonly seed: number;
-  /** Time that is modelled, in milliseconds. */
+  /** Simulated time, in milliseconds. */
   readonly spanMs: number;
-  /** Time between two requests that end engines, in milliseconds. */
+  /** Interval between new requests that crash engines, in milliseconds. */
   readonly outbreakMs: number;
 }
 
-/** What came of it. */
+/** Totals of a simulation. */
 export interface BlameResult {
-  /** Engines that ended. */
+  /** Engine crashes. */
   readonly ends: number;
-  /** Requests that end engines and were held. */
+  /** Quarantined requests that crash engines. */
   readonly guilty: number;
-  /** Other requests that were held. */
+  /** Quarantined requests that are harmless. */
   readonly innocent: number;
   readonly requests: number;
 }
 
-/** Sizes of the fleets that were measured: slots, how full they are, and times of a request, in milliseconds. */
 const SLOTS = 8;
-const FULL_PART = 0.8;
+const UTILIZATION = 0.8;
 const RUN_MS = 800;
 const FIRST_EVENT_MS = 60;
-/** Time between two events of an answer, in milliseconds: 28 of them in a run. */
-const EVENT_MS = 27;
-/** Time from a begin to the end that it causes, in milliseconds. */
-const FATAL_MS = 65;
-/** Time until a caller whose answer broke off comes again, in milliseconds. */
-const AGAIN_MS = 100;
-/** Time until an engine is back, in milliseconds. */
-const BACK_MS = 4_000;
-/** Step of the made-up time, in milliseconds. */
+const EVENT_INTERVAL_MS = 27;
+/** Time from the start of a fatal request to the crash it causes, in milliseconds. */
+const CRASH_DELAY_MS = 65;
+/** Delay before a caller retries an interrupted request, in milliseconds. */
+const RETRY_DELAY_MS = 100;
+/** Time an engine takes to restart, in milliseconds. */
+const RESTART_MS = 4_000;
+/** Step of the simulated clock, in milliseconds. */
 const STEP_MS = 5;
 
 interface Run {
@@ -53,18 +50,18 @@
   readonly name: string;
 }
 
-interface Due {
+interface Arrival {
   readonly at: number;
   readonly isFatal: boolean;
   readonly name: string;
 }
 
-/** One fleet in made-up time. */
+/** Simulates one fleet in fixed time steps. */
 class BlameModel {
-  private readonly backAt: number[];
-  private readonly due: Due[] = [];
+  private readonly availableAt: number[];
+  private readonly dueRetries: Arrival[] = [];
   ends = 0;
-  readonly held = {guilty: 0, innocent: 0};
+  readonly quarantined = {guilty: 0, innocent: 0};
   private readonly random: Random;
   requests = 0;
   private runs: Run[] = [];
@@ -72,82 +69,86 @@
 
   constructor(private readonly input: BlameInput) {
     this.random = seededRandom(input.seed);
-    this.backAt = Array.from({length: input.engines}, () => 0);
+    this.availableAt = Array.from({length: input.engines}, () => 0);
   }
 
   run(): BlameResult {
     const {engines, outbreakMs, spanMs} = this.input;
-    const perStep = (engines * SLOTS * FULL_PART * STEP_MS) / RUN_MS;
+    const perStep = (engines * SLOTS * UTILIZATION * STEP_MS) / RUN_MS;
     for (let now = 0; now < spanMs; now += STEP_MS) {
       const count = Math.floor(perStep) + (this.random() < perStep % 1 ? 1 : 0);
       for (let at = 0; at < count; at++) {
-        this.begin({at: now, isFatal: false, name: `r${this.requests++}`}, now);
+        this.startRun({at: now, isFatal: false, name: `r${this.requests++}`}, now);
       }
       if (now % outbreakMs === 0) {
-        this.begin({at: now, isFatal: true, name: `fatal${now}`}, now);
+        this.startRun({at: now, isFatal: true, name: `fatal${now}`}, now);
       }
-      this.takeDue(now);
-      this.endEngines(now);
+      this.startDueRetries(now);
+      this.crashEngines(now);
     }
-    return {ends: this.ends, requests: this.requests, ...this.held};
+    return {ends: this.ends, requests: this.requests, ...this.quarantined};
   }
 
-  private takeDue(now: number): void {
-    const isNow = ({at}: Due): boolean => at <= now;
-    const begun = this.due.filter(isNow);
-    this.due.splice(0, this.due.length, ...this.due.filter((due) => !isNow(due)));
-    begun.forEach((due) => this.begin(due, now));
+  private startDueRetries(now: number): void {
+    const isDue = ({at}: Arrival): boolean => at <= now;
+    const starting = this.dueRetries.filter(isDue);
+    this.dueRetries.splice(
+      0,
+      this.dueRetries.length,
+      ...this.dueRetries.filter((retry) => !isDue(retry)),
+    );
+    starting.forEach((retry) => this.startRun(retry, now));
   }
 
-  private begin({isFatal, name}: Due, now: number): void {
+  private startRun({isFatal, name}: Arrival, now: number): void {
     const engine = Math.floor(this.random() * this.input.engines);
-    if (this.backAt[engine]! <= now) {
+    if (this.availableAt[engine]! <= now) {
       this.runs.push({beganAt: now, engine, isFatal, name});
     }
   }
 
-  private endEngines(now: number): void {
+  private crashEngines(now: number): void {
     const {engines, meanLifeMs} = this.input;
-    const ended = new Set<number>();
+    const crashed = new Set<number>();
     const expected = (engines * STEP_MS) / meanLifeMs;
     if (this.random() < expected) {
-      ended.add(Math.floor(this.random() * engines));
+      crashed.add(Math.floor(this.random() * engines));
     }
     for (const {beganAt, engine, isFatal} of this.runs) {
-      if (isFatal && now - beganAt >= FATAL_MS) {
-        ended.add(engine);
+      if (isFatal && now - beganAt >= CRASH_DELAY_MS) {
+        crashed.add(engine);
       }
     }
-    const isPreempted = ({engine}: Run): boolean => ended.has(engine);
-    this.runs.filter(isPreempted).forEach((run) => this.cut(run, now));
-    this.runs = this.runs.filter((run) => !isPreempted(run) && now - run.beganAt < RUN_MS);
-    for (const engine of ended) {
+    const isInterrupted = ({engine}: Run): boolean => crashed.has(engine);
+    this.runs.filter(isInterrupted).forEach((run) => this.interrupt(run, now));
+    this.runs = this.runs.filter((run) => !isInterrupted(run) && now - run.beganAt < RUN_MS);
+    for (const engine of crashed) {
       this.ends++;
-      this.backAt[engine] = now + BACK_MS;
+      this.availableAt[engine] = now + RESTART_MS;
     }
   }
 
-  private cut({beganAt, engine, isFatal, name}: Run, now: number): void {
+  private interrupt({beganAt, engine, isFatal, name}: Run, now: number): void {
     const firstAt = beganAt + FIRST_EVENT_MS;
-    const events = Math.max(0, Math.floor((now - firstAt) / EVENT_MS) + 1);
+    const events = Math.max(0, Math.floor((now - firstAt) / EVENT_INTERVAL_MS) + 1);
     if (isStarting({events, firstAt: firstAt > now ? undefined : firstAt}, now)) {
-      // Whoever sends it again knows what it met before: the worst case for who only stood beside.
+      // Each retry carries the suspicion level reached so far: the worst case for a harmless request.
       const known = this.suspects.get(name)?.level ?? 0;
-      const end = {digest: name, engine: `e${engine}`, kind: 'noteEngineEnd', known} as const;
-      this.suspects = afterEngineEnd(this.suspects, {...end, startedAtMs: now}, 0);
+      const report = {digest: name, engine: `e${engine}`, kind: 'noteEngineEnd', known} as const;
+      this.suspects = afterEngineEnd(this.suspects, {...report, startedAtMs: now}, 0);
     }
     if ((this.suspects.get(name)?.level ?? 0) >= QUARANTINE_LEVEL) {
-      this.held[isFatal ? 'guilty' : 'innocent']++;
+      this.quarantined[isFatal ? 'guilty' : 'innocent']++;
     } else {
-      this.due.push({at: now + AGAIN_MS, isFatal, name});
+      this.dueRetries.push({at: now + RETRY_DELAY_MS, isFatal, name});
     }
   }
 }
 
 /**
- * Models one fleet.
+ * Simulates one fleet and counts crashes and quarantined requests.
  *
- * @param input what is modelled
+ * @param input parameters of the fleet
  */
 export function modelBlame(input: BlameInput): BlameResult {
   return new BlameModel(input).run();
