--- a/packages/stallpaddle-experiment/src/ExperimentClock.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentClock.ts
@@ -1,5 +1,5 @@
 /**
- * An injected clock with its queue of events.
+ * Simulated clock of the experiment.
  */
 
 interface Scheduled {
@@ -8,27 +8,27 @@
   readonly run: () => void;
 }
 
-/** Runs events in order of their times, in milliseconds. */
+/** Runs scheduled events in order of time, in milliseconds; events of the same time run in scheduling order. */
 export class ExperimentClock {
   now = 0;
   private readonly heap: Scheduled[] = [];
   private order = 0;
 
   /**
-   * Runs something later.
+   * Schedules a callback.
    *
    * @param ms delay
-   * @param run what to do
+   * @param run callback
    */
   after(ms: number, run: () => void): void {
     this.push({at: this.now + Math.max(0, ms), order: this.order++, run});
   }
 
   /**
-   * Runs something again and again.
+   * Schedules a callback periodically.
    *
    * @param ms period
-   * @param run what to do
+   * @param run callback
    */
   every(ms: number, run: () => void): void {
     const again = (): void => {
@@ -39,9 +39,9 @@
   }
 
   /**
-   * Runs all events up to a time.
+   * Runs all events up to and including a time, then sets the clock to it.
    *
-   * @param until that time
+   * @param until end time, in milliseconds
    */
   runUntil(until: number): void {
     while (this.heap.length > 0 && this.heap[0]!.at <= until) {
--- a/packages/stallpaddle-experiment/src/ExperimentCurrent.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentCurrent.ts
@@ -1,6 +1,5 @@
 /**
- * The product's policy: its own placement, queue, reserve, ownership and cancelling, on the
- * experiment's clock.
+ * The production routing policy on the experiment's clock.
  */
 import type {FairQueue, RetryBudget, RoutingEvent, RoutingState} from 'stallpaddle-routing';
 
@@ -25,13 +24,13 @@
 
 import {FAULT_AT_MS, FAULT_MS} from './ExperimentFaults';
 
-const POLL_MS = 150;
-const BEAT_MS = 500;
-const FILL_MS = 25;
-const VM_LOST_MS = 2_000;
+const POLL_INTERVAL_MS = 150;
+const HEARTBEAT_INTERVAL_MS = 500;
+const BATCH_PASS_INTERVAL_MS = 25;
+const VM_LOST_AFTER_MS = 2_000;
 const QUEUE_CAPACITY = 256;
 const RETRY_AFTER_MS = 1_000;
-const WAKE_MS = 100;
+const QUEUE_CHECK_INTERVAL_MS = 100;
 const MAX_ATTEMPTS = 200;
 
 interface BatchRun {
@@ -41,7 +40,7 @@
   readonly stream: EngineStream;
 }
 
-/** One VM with the product's policy. */
+/** Routes online requests and places batch items as one VM, with the production routing functions. */
 class CurrentVm {
   alive = true;
   readonly batch = new Map<string, Map<string, BatchRun>>();
@@ -63,14 +62,14 @@
       zone: 'z',
     }));
     this.step({kind: 'configured', setups});
-    clock.every(WAKE_MS, () => this.wake());
+    clock.every(QUEUE_CHECK_INTERVAL_MS, () => this.routeQueued());
   }
 
   step(event: RoutingEvent): void {
     this.state = stepRouting(this.state, event, this.policy.fleet.clock.now);
   }
 
-  take(req: OnlineRequest, excluded: readonly string[] = []): void {
+  route(req: OnlineRequest, excluded: readonly string[] = []): void {
     const {clock, random} = this.policy.fleet;
     if (excluded.length === 0) {
       this.budget = countRequest(this.budget);
@@ -89,7 +88,7 @@
         this.send(req, placement.engine, excluded);
         return;
       case 'full':
-        this.wait(req);
+        this.enqueueRequest(req);
         return;
       case 'noEngine':
         this.policy.comeBack(req, placement.retryAfterMs);
@@ -97,7 +96,7 @@
     }
   }
 
-  fill(): void {
+  placeBatch(): void {
     const owned = this.alive ? this.policy.ownedBy(this.id) : [];
     for (const engine of new Set([...owned, ...this.batch.keys()])) {
       const runs = this.batch.get(engine) ?? new Map<string, BatchRun>();
@@ -111,37 +110,37 @@
         this.endRun(engine, runs.get(id)!, 'cancelled');
       }
       while (runs.size < start && this.startRun(engine, runs)) {
-        // Fills all the room there is.
+        // Starts items until the allowance is used up or the engine refuses one.
       }
     }
   }
 
-  private wait(req: OnlineRequest): void {
+  private enqueueRequest(req: OnlineRequest): void {
     const {customer} = req;
     const {now} = this.policy.fleet.clock;
     const id = this.nextId++;
     const entry = {customer, deadlineAt: now + 60_000, id, since: now, weight: 1};
-    const joined = enqueue(this.queue, entry, QUEUE_CAPACITY);
-    if (joined.kind === 'refused') {
+    const result = enqueue(this.queue, entry, QUEUE_CAPACITY);
+    if (result.kind === 'refused') {
       this.policy.comeBack(req, RETRY_AFTER_MS);
       return;
     }
-    this.queue = joined.queue;
+    this.queue = result.queue;
     this.waiting.set(id, req);
-    if (joined.kind === 'full') {
-      const victim = this.waiting.get(joined.victim.id)!;
-      this.waiting.delete(joined.victim.id);
-      this.policy.comeBack(victim, RETRY_AFTER_MS);
+    if (result.kind === 'full') {
+      const evicted = this.waiting.get(result.victim.id)!;
+      this.waiting.delete(result.victim.id);
+      this.policy.comeBack(evicted, RETRY_AFTER_MS);
     }
   }
 
-  private wake(): void {
+  private routeQueued(): void {
     const next = dequeue(this.queue);
     if (next !== undefined) {
       this.queue = next.queue;
       const req = this.waiting.get(next.req.id)!;
       this.waiting.delete(next.req.id);
-      this.take(req);
+      this.route(req);
     }
   }
 
@@ -162,7 +161,7 @@
           } else {
             this.retry(req, engine, excluded);
           }
-          this.wake();
+          this.routeQueued();
         },
         onFirstToken: (ms) => {
           tokenMs = ms;
@@ -186,7 +185,7 @@
       return;
     }
     this.budget = next;
-    this.take(req, [...excluded, engine]);
+    this.route(req, [...excluded, engine]);
   }
 
   private startRun(engine: string, runs: Map<string, BatchRun>): boolean {
@@ -205,7 +204,7 @@
           if (outcome === 'done') {
             fleet.noteItem();
           }
-          this.fill();
+          this.placeBatch();
         }
       },
       onFirstToken: () => {},
@@ -235,16 +234,16 @@
   }
 }
 
-/** A fleet of VMs with the product's policy. */
+/** Simulates a fleet of VMs that route with the production policy. */
 export class CurrentPolicy {
   readonly engineIds: readonly string[];
   private readonly engines: ReadonlyMap<string, ExperimentEngine>;
-  private turn = 0;
+  private nextVm = 0;
   private readonly vms: readonly CurrentVm[];
 
   /**
-   * @param fleet engines, clock and outcomes
-   * @param hasBatch whether there is batch work
+   * @param fleet state of the run
+   * @param hasBatch whether batch items run beside the online requests
    */
   constructor(
     readonly fleet: ExperimentFleet,
@@ -255,8 +254,8 @@
     const {clock, fault, workload} = fleet;
     this.vms = Array.from({length: workload.vms}, (_, index) => new CurrentVm(this, `vm-${index}`));
     for (const vm of this.vms) {
-      clock.every(POLL_MS, () => this.poll(vm));
-      clock.every(FILL_MS, () => vm.fill());
+      clock.every(POLL_INTERVAL_MS, () => this.poll(vm));
+      clock.every(BATCH_PASS_INTERVAL_MS, () => vm.placeBatch());
     }
     this.fleet.engines.forEach(({id}) => this.vms.forEach((vm) => this.report(vm, id, 0)));
     if (fault === 'ownerLost') {
@@ -264,41 +263,42 @@
     }
   }
 
-  /** An engine by its name. */
   engine(id: string): ExperimentEngine {
     return this.engines.get(id)!;
   }
 
-  /** Engines whose batch work a VM places. */
+  /** Engines owned by a VM, which places their batch items. A lost VM keeps its engines until its loss is detected. */
   ownedBy(vm: string): readonly string[] {
-    const staying = this.vms.filter((one) => one.alive || this.isStillBelieved()).map(({id}) => id);
-    return this.engineIds.filter((engine) => ownerOf(engine, staying) === vm);
+    const ownerCandidates = this.vms
+      .filter((one) => one.alive || this.isLossUndetected())
+      .map(({id}) => id);
+    return this.engineIds.filter((engine) => ownerOf(engine, ownerCandidates) === vm);
   }
 
-  /** A request comes in at one VM after another. */
+  /** Sends a request to the live VMs in nextVm. */
   arrive(req: OnlineRequest): void {
     const alive = this.vms.filter((vm) => vm.alive);
-    alive[this.turn++ % alive.length]!.take(req);
+    alive[this.nextVm++ % alive.length]!.route(req);
   }
 
-  /** The caller heeds Retry-After. */
+  /** Sends a rejected request again once its Retry-After delay is over. */
   comeBack(req: OnlineRequest, retryAfterMs: number): void {
     const {clock, workload} = this.fleet;
     clock.after(retryAfterMs + workload.callerLatencyMs * 2, () => this.arrive(req));
   }
 
-  /** A VM tells an engine's owner how many online streams it has there. */
+  /** Reports a VM's number of online streams on an engine to the engine's owner, which responds with its view of the load. */
   tell(from: CurrentVm, engine: string): void {
     const owner = this.vms.find((vm) => this.ownedBy(vm.id).includes(engine));
     if (owner === undefined || owner === from) {
-      from.fill();
+      from.placeBatch();
       return;
     }
     const {zoneLatencyMs} = this.fleet.workload;
     this.fleet.clock.after(zoneLatencyMs, () => {
       const online = from.state.engines.get(engine)!.ownOnline;
       owner.step({engine, kind: 'told', online, vm: from.id});
-      owner.fill();
+      owner.placeBatch();
       const view = owner.state.engines.get(engine)!;
       const load = {...view.load, online: onlineStreams(view), queued: 0};
       this.fleet.clock.after(zoneLatencyMs, () => {
@@ -309,8 +309,8 @@
 
   private lostAt: number | undefined;
 
-  private isStillBelieved(): boolean {
-    return this.lostAt !== undefined && this.fleet.clock.now - this.lostAt < VM_LOST_MS;
+  private isLossUndetected(): boolean {
+    return this.lostAt !== undefined && this.fleet.clock.now - this.lostAt < VM_LOST_AFTER_MS;
   }
 
   private scheduleOwnerLoss(): void {
@@ -319,7 +319,7 @@
     clock.after(FAULT_AT_MS, () => {
       lost.alive = false;
       this.lostAt = clock.now;
-      lost.fill();
+      lost.placeBatch();
     });
     clock.after(FAULT_AT_MS + FAULT_MS, () => {
       lost.alive = true;
@@ -332,10 +332,10 @@
         continue;
       }
       this.report(vm, id, 100);
-      // The others hear of it with their next beat.
+      // The other VMs receive the load with their next heartbeat.
       for (const other of this.vms.filter((one) => one !== vm)) {
         const {laggedLoad} = this.engine(id);
-        const ageMs = this.fleet.random() * BEAT_MS;
+        const ageMs = this.fleet.random() * HEARTBEAT_INTERVAL_MS;
         this.fleet.clock.after(ageMs, () => {
           if (this.engine(id).alive) {
             other.step({ageMs: ageMs + 100, engine: id, kind: 'loadHeard', load: laggedLoad});
