--- a/packages/stallpaddle-experiment/src/ExperimentBlame.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentBlame.ts
@@ -1,6 +1,7 @@
 /**
  * Simulates how often a harmless request is quarantined because it was starting on engines that crashed. It applies the
- * production quarantine rule; engines crash for external reasons and because of requests that crash every engine they run on.
+ * production quarantine rule. Engines crash for external reasons and because of requests that crash every engine they
+ * run on.
  */
 import {type Random, seededRandom} from 'stallpaddle';
 import {afterEngineEnd, type FleetSuspects, QUARANTINE_LEVEL} from 'stallpaddle-fleet';
@@ -59,7 +60,7 @@
 /** Simulates one fleet in fixed time steps. */
 class BlameModel {
   private readonly availableAt: number[];
-  private readonly dueRetries: Arrival[] = [];
+  private readonly delayedRetries: Arrival[] = [];
   ends = 0;
   readonly quarantined = {guilty: 0, innocent: 0};
   private readonly random: Random;
@@ -91,11 +92,11 @@
 
   private startDueRetries(now: number): void {
     const isDue = ({at}: Arrival): boolean => at <= now;
-    const starting = this.dueRetries.filter(isDue);
-    this.dueRetries.splice(
+    const starting = this.delayedRetries.filter(isDue);
+    this.delayedRetries.splice(
       0,
-      this.dueRetries.length,
-      ...this.dueRetries.filter((retry) => !isDue(retry)),
+      this.delayedRetries.length,
+      ...this.delayedRetries.filter((retry) => !isDue(retry)),
     );
     starting.forEach((retry) => this.startRun(retry, now));
   }
@@ -140,7 +141,7 @@
     if ((this.suspects.get(name)?.level ?? 0) >= QUARANTINE_LEVEL) {
       this.quarantined[isFatal ? 'guilty' : 'innocent']++;
     } else {
-      this.dueRetries.push({at: now + RETRY_DELAY_MS, isFatal, name});
+      this.delayedRetries.push({at: now + RETRY_DELAY_MS, isFatal, name});
     }
   }
 }
--- a/packages/stallpaddle-experiment/src/ExperimentCurrent.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentCurrent.ts
@@ -110,7 +110,7 @@
         this.endRun(engine, runs.get(id)!, 'cancelled');
       }
       while (runs.size < start && this.startRun(engine, runs)) {
-        // Starts items until the allowance is used up or the engine refuses one.
+        // Starts items until the allowance is used up or no more can start.
       }
     }
   }
@@ -275,7 +275,7 @@
     return this.engineIds.filter((engine) => ownerOf(engine, ownerCandidates) === vm);
   }
 
-  /** Sends a request to the live VMs in nextVm. */
+  /** Sends a request to the live VMs in turn. */
   arrive(req: OnlineRequest): void {
     const alive = this.vms.filter((vm) => vm.alive);
     alive[this.nextVm++ % alive.length]!.route(req);
@@ -287,7 +287,7 @@
     clock.after(retryAfterMs + workload.callerLatencyMs * 2, () => this.arrive(req));
   }
 
-  /** Reports a VM's number of online streams on an engine to the engine's owner, which responds with its view of the load. */
+  /** Reports a VM's online streams on an engine to the engine's owner, which responds with the engine's load. */
   tell(from: CurrentVm, engine: string): void {
     const owner = this.vms.find((vm) => this.ownedBy(vm.id).includes(engine));
     if (owner === undefined || owner === from) {
--- a/packages/stallpaddle-experiment/src/blame.ts
+++ b/packages/stallpaddle-experiment/src/blame.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run --silent blame`: prints how often a harmless request is quarantined, by fleet size and rate of external engine
- * crashes.
+ * `npm run --silent blame`: prints how often a harmless request is quarantined, by fleet size and rate of external
+ * engine crashes.
  */
 import Table from 'cli-table3';
 
