--- a/packages/stallpaddle-experiment/src/ExperimentEngine.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentEngine.ts
@@ -1,22 +1,21 @@
 /**
- * A fake at the engine interface: continuous batching, priorities, bounded prefix cache, lagged
- * reports, and the faults of the experiment.
+ * Simulated engine with continuous batching, priorities, a bounded prefix cache and delayed load reports.
  */
 import type {EngineLoad, WorkClass} from 'stallpaddle-routing';
 
 import type {ExperimentClock} from './ExperimentClock';
 
-/** How fast an engine is. */
+/** Slots and speed of an engine. */
 export interface EngineModel {
-  /** How much slower tokens come with all slots taken, as a part. */
+  /** Relative increase of the time per token when all slots are occupied. */
   readonly fullSlowdown: number;
   readonly prefillMsPer1k: number;
   readonly slots: number;
-  /** Time for a token with an empty batch, in milliseconds. */
+  /** Time per token with an empty batch, in milliseconds. */
   readonly tokenMs: number;
 }
 
-/** A request as an engine sees it. */
+/** A request to an engine, with callbacks for its progress. */
 export interface EngineJob {
   readonly affinity: string;
   readonly onEnd: (outcome: 'done' | 'lost') => void;
@@ -29,18 +28,18 @@
 const CACHE_ENTRIES = 48;
 const CACHED_FRACTION = 0.2;
 
-/** A stream in the engine. */
+/** A queued or running request of an engine. */
 export class EngineStream {
   ended = false;
   startedAt = -1;
 
   /**
-   * @param job what was asked for
+   * @param job the request
    */
   constructor(readonly job: EngineJob) {}
 }
 
-/** One engine. */
+/** Simulates one engine on the experiment's clock. */
 export class ExperimentEngine {
   alive = true;
   cacheHits = 0;
@@ -48,14 +47,14 @@
   slowdown = 1;
   private readonly cache = new Map<string, true>();
   private readonly running = new Set<EngineStream>();
-  private snapshot: EngineLoad;
+  private reportedLoad: EngineLoad;
   private waiting: EngineStream[] = [];
 
   /**
    * @param clock the experiment's clock
-   * @param id the engine's name
-   * @param model how fast it is
-   * @param honoursPriority online work leaves its queue first
+   * @param id engine id
+   * @param model slots and speed
+   * @param honoursPriority whether queued online requests start before batch items
    */
   constructor(
     private readonly clock: ExperimentClock,
@@ -63,21 +62,21 @@
     readonly model: EngineModel,
     private readonly honoursPriority: boolean,
   ) {
-    this.snapshot = this.load();
+    this.reportedLoad = this.measureLoad();
     clock.every(100, () => {
-      this.snapshot = this.load();
+      this.reportedLoad = this.measureLoad();
     });
   }
 
   /** Load as it was up to 100 ms ago. */
   get laggedLoad(): EngineLoad {
-    return this.snapshot;
+    return this.reportedLoad;
   }
 
   /**
-   * Takes a request; undefined when the engine is gone.
+   * Queues a request; returns undefined when the engine is down.
    *
-   * @param job what is asked for
+   * @param job the request
    */
   submit(job: EngineJob): EngineStream | undefined {
     if (!this.alive) {
@@ -85,23 +84,23 @@
     }
     const stream = new EngineStream(job);
     this.waiting.push(stream);
-    this.fill();
+    this.startQueued();
     return stream;
   }
 
   /**
-   * Ends a stream that nobody wants any more.
+   * Cancels a stream without calling its `onEnd`.
    *
-   * @param stream the stream
+   * @param stream stream to cancel
    */
   cancel(stream: EngineStream): void {
     stream.ended = true;
     this.running.delete(stream);
     this.waiting = this.waiting.filter((other) => other !== stream);
-    this.fill();
+    this.startQueued();
   }
 
-  /** Loses everything, as when the process ends. */
+  /** Simulates a crash: all queued and running requests are lost. */
   kill(): void {
     this.alive = false;
     const all = [...this.running, ...this.waiting];
@@ -113,30 +112,30 @@
     });
   }
 
-  /** Comes back with an empty cache. */
+  /** Restarts after a crash with an empty cache. */
   restart(): void {
     this.alive = true;
     this.cache.clear();
   }
 
-  private load(): EngineLoad {
+  private measureLoad(): EngineLoad {
     const count = (work: WorkClass): number =>
       [...this.running].filter(({job}) => job.work === work).length;
     return {
       batch: count('batch'),
       online: count('online'),
       queued: this.waiting.filter(({job}) => job.work === 'online').length,
-      tokenMs: this.tokenMs(),
+      tokenMs: this.currentTokenMs(),
       weights: ['w'],
     };
   }
 
-  private tokenMs(): number {
+  private currentTokenMs(): number {
     const {fullSlowdown, slots, tokenMs} = this.model;
     return tokenMs * this.slowdown * (1 + (fullSlowdown * this.running.size) / slots);
   }
 
-  private fill(): void {
+  private startQueued(): void {
     while (this.running.size < this.model.slots && this.waiting.length > 0) {
       const online = this.waiting.findIndex(({job}) => job.work === 'online');
       const [next] = this.waiting.splice(this.honoursPriority ? Math.max(0, online) : 0, 1);
@@ -148,7 +147,7 @@
   private start(stream: EngineStream): void {
     const {job} = stream;
     stream.startedAt = this.clock.now;
-    const tokenMs = this.tokenMs();
+    const tokenMs = this.currentTokenMs();
     const prefillMs = this.prefillMs(job);
     this.clock.after(prefillMs + tokenMs, () => {
       if (!stream.ended) {
@@ -160,7 +159,7 @@
         stream.ended = true;
         this.running.delete(stream);
         job.onEnd('done');
-        this.fill();
+        this.startQueued();
       }
     });
   }
--- a/packages/stallpaddle-experiment/src/ExperimentFaults.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentFaults.ts
@@ -1,34 +1,32 @@
 /**
- * The failures that a run can have, and when.
+ * Faults that a run can inject.
  */
 import type {Random} from 'stallpaddle';
 
 import type {ExperimentClock} from './ExperimentClock';
 import type {ExperimentEngine} from './ExperimentEngine';
 
-/** Names of failures. */
+/** Faults that `--fault` accepts. */
 export const FAULTS = ['none', 'slowEngine', 'burst10', 'ownerLost', 'flood', 'halfGone'] as const;
 
-/** One failure. */
 export type Fault = (typeof FAULTS)[number];
 
-/** When the failure begins, in milliseconds. */
+/** Start of the fault, in milliseconds after the start of the run. */
 export const FAULT_AT_MS = 20_000;
 
-/** How long it lasts, in milliseconds. */
+/** Duration of the fault, in milliseconds; a burst is shorter. */
 export const FAULT_MS = 15_000;
 
-/** Factor by which a slow engine is slower. */
 const SLOW_FACTOR = 10;
 const BURST_FACTOR = 10;
-const BURST10_MS = 1_000;
-/** How much a flooding customer sends, relative to all others together. */
+const BURST_DURATION_MS = 1_000;
+/** Request rate of the flooding customer, relative to all others together. */
 const FLOOD_FACTOR = 2;
 
 /**
- * Schedules what a failure does to engines.
+ * Schedules the effects of a fault on engines.
  *
- * @param fault the failure
+ * @param fault fault to inject
  * @param clock the experiment's clock
  * @param engines all engines
  */
@@ -61,15 +59,15 @@
 }
 
 /**
- * What a failure makes of the rate of online requests.
+ * Returns the rate of online requests under a fault.
  *
- * @param fault the failure
- * @param rate rate without it, a second
+ * @param fault fault to inject
+ * @param rate requests per second without the fault
  * @param at milliseconds since the run began
  */
 export function faultyRate(fault: Fault, rate: number, at: number): number {
   const since = at - FAULT_AT_MS;
-  if (fault === 'burst10' && since >= 0 && since < BURST10_MS) {
+  if (fault === 'burst10' && since >= 0 && since < BURST_DURATION_MS) {
     return rate * BURST_FACTOR;
   }
   if (fault === 'flood' && since >= 0 && since < FAULT_MS) {
@@ -79,16 +77,16 @@
 }
 
 /**
- * The customer of a request; a flood is all one customer's.
+ * Chooses the customer of a request; all additional requests of a flood come from one customer.
  *
- * @param fault the failure
- * @param random source
+ * @param fault fault to inject
+ * @param random random number source
  * @param customers number of customers
  * @param at milliseconds since the run began
  */
 export function customerOf(fault: Fault, random: Random, customers: number, at: number): string {
-  const floods = fault === 'flood' && at >= FAULT_AT_MS && at < FAULT_AT_MS + FAULT_MS;
-  if (floods && random() < FLOOD_FACTOR / (1 + FLOOD_FACTOR)) {
+  const isFlooding = fault === 'flood' && at >= FAULT_AT_MS && at < FAULT_AT_MS + FAULT_MS;
+  if (isFlooding && random() < FLOOD_FACTOR / (1 + FLOOD_FACTOR)) {
     return 'flooding';
   }
   return `customer-${Math.floor(random() * customers)}`;
--- a/packages/stallpaddle-experiment/src/ExperimentFleet.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentFleet.ts
@@ -1,5 +1,5 @@
 /**
- * What both policies share: engines, backlog of batch items, and the outcome of every request.
+ * State of one run that does not depend on the policy.
  */
 import type {Histogram} from 'hdr-histogram-js';
 import type {Random} from 'stallpaddle';
@@ -15,7 +15,7 @@
 import {scheduleFault} from './ExperimentFaults';
 import {PHASE_MS} from './ExperimentWorkload';
 
-/** An online request with what became of it. */
+/** An online request and its outcome so far. */
 export interface OnlineRequest {
   readonly affinity: string;
   answers: number;
@@ -24,10 +24,10 @@
   readonly sentAt: number;
 }
 
-/** Time in which what was sent last may still be answered, in milliseconds. */
+/** Time after the last arrival in which requests can still complete, in milliseconds. */
 export const GRACE_MS = 20_000;
 
-/** The world of one run. */
+/** Holds the clock, engines, requests and measurements of one run. */
 export class ExperimentFleet {
   readonly clock = new ExperimentClock();
   readonly engines: readonly ExperimentEngine[];
@@ -40,10 +40,10 @@
   wasted = 0;
 
   /**
-   * @param workload whose day
-   * @param fault the failure
-   * @param seed seed of everything random
-   * @param honoursPriority engines take online work first
+   * @param workload fleet sizes and request rates
+   * @param fault fault to inject
+   * @param seed seed of the random numbers
+   * @param honoursPriority whether engines start queued online requests before batch items
    */
   constructor(
     readonly workload: Workload,
@@ -60,20 +60,20 @@
     scheduleFault(fault, this.clock, this.engines);
   }
 
-  /** Notes the first token of a request, where the flood is not of interest. */
+  /** Records the first token of a request, except for requests of the flooding customer. */
   noteFirstToken(req: OnlineRequest, tokenMs: number): void {
     if (req.firstTokenSeen || req.customer === 'flooding') {
       return;
     }
     req.firstTokenSeen = true;
-    const arrivesIn = this.workload.zoneLatencyMs + this.workload.callerLatencyMs;
-    recordMs(this.firstToken, this.clock.now + arrivesIn - req.sentAt);
+    const returnLatencyMs = this.workload.zoneLatencyMs + this.workload.callerLatencyMs;
+    recordMs(this.firstToken, this.clock.now + returnLatencyMs - req.sentAt);
     recordMs(this.tokenTimes, tokenMs);
   }
 
-  /** Notes a batch item's end. */
+  /** Counts a completed batch item. */
   noteItem(): void {
-    // Only what ends within the two phases counts; the grace is for online answers.
+    // Items completed in the grace period don't count: it only lets online requests finish.
     if (this.clock.now <= PHASE_MS * 2) {
       this.items++;
       this.eveningItems += this.clock.now >= PHASE_MS ? 1 : 0;
--- a/packages/stallpaddle-experiment/src/ExperimentNaive.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentNaive.ts
@@ -1,50 +1,51 @@
 /**
- * The naive baseline: each VM on its own view, first come first served, retries at once.
+ * Naive baseline: each VM knows only its own streams, sends every request to the engine where it has the fewest, and
+ * retries failures after a fixed short delay.
  */
 import type {WorkClass} from 'stallpaddle-routing';
 
 import type {ExperimentFleet, OnlineRequest} from './ExperimentFleet';
 
-const RETRY_MS = 10;
-const FILL_MS = 25;
+const RETRY_DELAY_MS = 10;
+const BATCH_PASS_INTERVAL_MS = 25;
 
-/** One VM of the baseline. */
+/** Routes requests as one VM, by the number of its own open streams per engine. */
 class NaiveVm {
   private readonly open = new Map<string, number>();
   private running = 0;
 
   constructor(private readonly fleet: ExperimentFleet) {}
 
-  take(req: OnlineRequest): void {
+  route(req: OnlineRequest): void {
     const {workload} = this.fleet;
-    const asked = {
+    const request = {
       affinity: req.affinity,
       promptTokens: workload.promptTokens,
       tokens: workload.tokens,
     };
     this.send(
-      asked,
+      request,
       'online',
       (tokenMs) => this.fleet.noteFirstToken(req, tokenMs),
       (done) => {
         if (done) {
           req.answers++;
         } else {
-          this.fleet.clock.after(RETRY_MS, () => this.take(req));
+          this.fleet.clock.after(RETRY_DELAY_MS, () => this.route(req));
         }
       },
     );
   }
 
-  fill(): void {
+  placeBatch(): void {
     const {engines, workload} = this.fleet;
     const share = Math.floor((engines.length * workload.engine.slots) / workload.vms);
     while (this.running < share) {
       this.running++;
       const {batchPromptTokens, batchTokens} = workload;
-      const asked = {affinity: 'batch', promptTokens: batchPromptTokens, tokens: batchTokens};
+      const request = {affinity: 'batch', promptTokens: batchPromptTokens, tokens: batchTokens};
       this.send(
-        asked,
+        request,
         'batch',
         () => {},
         (done) => {
@@ -58,22 +59,22 @@
   }
 
   private send(
-    asked: {readonly affinity: string; readonly promptTokens: number; readonly tokens: number},
+    request: {readonly affinity: string; readonly promptTokens: number; readonly tokens: number},
     work: WorkClass,
     onFirstToken: (tokenMs: number) => void,
     onEnd: (done: boolean) => void,
   ): void {
     const {clock, engines, workload} = this.fleet;
-    const openAt = (id: string): number => this.open.get(id) ?? 0;
-    const engine = engines.reduce((best, one) => (openAt(one.id) < openAt(best.id) ? one : best));
-    this.open.set(engine.id, openAt(engine.id) + 1);
+    const openOn = (id: string): number => this.open.get(id) ?? 0;
+    const engine = engines.reduce((best, one) => (openOn(one.id) < openOn(best.id) ? one : best));
+    this.open.set(engine.id, openOn(engine.id) + 1);
     clock.after(workload.zoneLatencyMs, () => {
       const end = (done: boolean): void => {
-        this.open.set(engine.id, openAt(engine.id) - 1);
+        this.open.set(engine.id, openOn(engine.id) - 1);
         onEnd(done);
       };
       const job = {
-        ...asked,
+        ...request,
         onEnd: (outcome: string) => end(outcome === 'done'),
         onFirstToken,
         work,
@@ -85,21 +86,21 @@
   }
 }
 
-/** A fleet of VMs with the naive policy. */
+/** Simulates a fleet of VMs that route with the naive policy. */
 export class NaivePolicy {
-  private turn = 0;
+  private nextVm = 0;
   private readonly vms: readonly NaiveVm[];
 
   /**
-   * @param fleet engines, clock and outcomes
+   * @param fleet state of the run
    */
   constructor(fleet: ExperimentFleet) {
     this.vms = Array.from({length: fleet.workload.vms}, () => new NaiveVm(fleet));
-    this.vms.forEach((vm) => fleet.clock.every(FILL_MS, () => vm.fill()));
+    this.vms.forEach((vm) => fleet.clock.every(BATCH_PASS_INTERVAL_MS, () => vm.placeBatch()));
   }
 
-  /** A request comes in at one VM after another. */
+  /** Sends a request to the VMs in turn. */
   arrive(req: OnlineRequest): void {
-    this.vms[this.turn++ % this.vms.length]!.take(req);
+    this.vms[this.nextVm++ % this.vms.length]!.route(req);
   }
 }
