--- a/packages/stallpaddle-experiment/src/ExperimentHtml.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentHtml.ts
@@ -1,25 +1,25 @@
 /**
- * The experiment's result as a page: two plots and the figures behind them.
+ * HTML report of the experiment with a plot of batch throughput and one of first-token latency.
  */
 import type {ReportedRun} from './main';
 
 const BAR_WIDTH = 420;
 const ROW_HEIGHT = 26;
 const LABEL_WIDTH = 260;
-const COLOURS = {current: '#1f6f5c', naive: '#b0562c', noBatch: '#8a8f98'} as const;
+const POLICY_COLOURS = {current: '#1f6f5c', naive: '#b0562c', noBatch: '#8a8f98'} as const;
 
 interface Bar {
   readonly colour: string;
   readonly label: string;
-  /** Mark to compare with, in the same unit. */
+  /** Reference value, drawn as a line. */
   readonly mark: number;
   readonly text: string;
   readonly value: number;
 }
 
 function plot(title: string, bars: readonly Bar[]): string {
-  const most = Math.max(...bars.flatMap(({mark, value}) => [mark, value]), 1);
-  const x = (value: number): number => LABEL_WIDTH + (value / most) * BAR_WIDTH;
+  const maxValue = Math.max(...bars.flatMap(({mark, value}) => [mark, value]), 1);
+  const x = (value: number): number => LABEL_WIDTH + (value / maxValue) * BAR_WIDTH;
   const rows = bars.map(({colour, label, mark, text, value}, index) => {
     const y = index * ROW_HEIGHT;
     return (
@@ -34,29 +34,29 @@
   return `<h2>${title}</h2><svg width="${width}" height="${height}">${rows.join('')}</svg>`;
 }
 
-function nameOf({fault, policy, workload}: ReportedRun): string {
+function runLabel({fault, policy, workload}: ReportedRun): string {
   return `${workload}, ${fault === 'none' ? '' : `${fault}, `}${policy}`;
 }
 
 /**
- * Makes the page.
+ * Renders the HTML report.
  *
  * @param seed seed of the runs
- * @param runs the runs
+ * @param runs results to plot
  */
 export function htmlReport(seed: number, runs: readonly ReportedRun[]): string {
   const batch = runs
     .filter(({policy}) => policy !== 'noBatch')
     .map((run) => ({
-      colour: COLOURS[run.policy],
-      label: nameOf(run),
+      colour: POLICY_COLOURS[run.policy],
+      label: runLabel(run),
       mark: run.batchLimitItemsPerSecond,
       text: `${run.batchItemsPerSecond} (${((100 * run.batchItemsPerSecond) / run.batchLimitItemsPerSecond).toFixed(1)}% of the limit)`,
       value: run.batchItemsPerSecond,
     }));
   const online = runs.map((run) => ({
-    colour: COLOURS[run.policy],
-    label: nameOf(run),
+    colour: POLICY_COLOURS[run.policy],
+    label: runLabel(run),
     mark: run.ttftP99MsWithoutBatch,
     text: `${run.ttftP99Ms} ms`,
     value: run.ttftP99Ms,
--- a/packages/stallpaddle-experiment/src/ExperimentRun.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentRun.ts
@@ -1,5 +1,5 @@
 /**
- * One run: a workload, a policy, a failure, a seed.
+ * Runs one simulation of a workload under a policy and a fault.
  */
 import {exponentialMs, seededRandom} from 'stallpaddle';
 import {unreachable} from 'stallpaddle';
@@ -13,13 +13,12 @@
 import {NaivePolicy} from './ExperimentNaive';
 import {batchLimit, onlineRate, PHASE_MS} from './ExperimentWorkload';
 
-/** Names of policies. */
+/** Policies to compare; `noBatch` is the production policy without batch items. */
 export const POLICIES = ['naive', 'noBatch', 'current'] as const;
 
-/** One policy. */
 export type PolicyName = (typeof POLICIES)[number];
 
-/** What a run came to. */
+/** Measurements of one run. */
 export interface RunResult {
   readonly batchItemsPerSecond: number;
   readonly batchLimitItemsPerSecond: number;
@@ -37,16 +36,16 @@
   readonly workload: string;
 }
 
-/** Part of the limit that the evening's batches ask for; they are due at its end. */
-const EVENING_FRACTION = 0.85;
-/** Prompts that share a head, by customer. */
-const HEADS = 2;
+/** Fraction of the batch limit that must be completed during the evening. */
+const EVENING_DUE_FRACTION = 0.85;
+/** Distinct prompt prefixes per customer. */
+const PREFIXES = 2;
 
-interface Arrivals {
+interface RequestReceiver {
   readonly arrive: (req: OnlineRequest) => void;
 }
 
-function createPolicy(policy: PolicyName, fleet: ExperimentFleet): Arrivals {
+function createPolicy(policy: PolicyName, fleet: ExperimentFleet): RequestReceiver {
   switch (policy) {
     case 'current':
       return new CurrentPolicy(fleet, true);
@@ -59,34 +58,34 @@
   }
 }
 
-/** Requests come on their own, whatever becomes of those before. */
-function scheduleArrivals(fleet: ExperimentFleet, policy: Arrivals, seed: number): void {
+/** Schedules open-loop arrivals: the rate does not depend on earlier responses. */
+function scheduleArrivals(fleet: ExperimentFleet, policy: RequestReceiver, seed: number): void {
   const random = seededRandom(seed + 1);
   const {clock, fault, requests, workload} = fleet;
-  const next = (): void => {
+  const scheduleNext = (): void => {
     const rate = faultyRate(fault, onlineRate(workload, clock.now), clock.now);
     clock.after(exponentialMs(random, rate), () => {
       if (clock.now >= PHASE_MS * 2) {
         return;
       }
       const customer = customerOf(fault, random, workload.customers, clock.now);
-      const affinity = `${customer}/${Math.floor(random() * HEADS)}`;
+      const affinity = `${customer}/${Math.floor(random() * PREFIXES)}`;
       const req = {affinity, answers: 0, customer, firstTokenSeen: false, sentAt: clock.now};
       requests.push(req);
       clock.after(workload.callerLatencyMs, () => policy.arrive(req));
-      next();
+      scheduleNext();
     });
   };
-  next();
+  scheduleNext();
 }
 
 /**
- * Runs one.
+ * Runs one simulation and summarizes its outcome.
  *
- * @param workload whose day
- * @param policy which policy
- * @param fault the failure
- * @param seed seed of everything random
+ * @param workload fleet sizes and request rates
+ * @param policy routing policy
+ * @param fault fault to inject
+ * @param seed seed of the random numbers
  */
 export function runExperiment(
   workload: Workload,
@@ -100,14 +99,14 @@
   const {engines, firstToken, items, requests, tokenTimes} = fleet;
   const limit = batchLimit(workload, requests.length);
   const seconds = (PHASE_MS * 2) / 1000;
-  const due = policy === 'noBatch' ? 0 : (limit * EVENING_FRACTION * PHASE_MS) / 1000;
-  const looks = engines.reduce((sum, {cacheLooks}) => sum + cacheLooks, 0);
+  const due = policy === 'noBatch' ? 0 : (limit * EVENING_DUE_FRACTION * PHASE_MS) / 1000;
+  const lookups = engines.reduce((sum, {cacheLooks}) => sum + cacheLooks, 0);
   const hits = engines.reduce((sum, {cacheHits}) => sum + cacheHits, 0);
   const ms = (us: number): number => Math.round(us / 10) / 100;
   return {
     batchItemsPerSecond: Math.round((items / seconds) * 100) / 100,
     batchLimitItemsPerSecond: Math.round(limit * 100) / 100,
-    cacheHitFraction: Math.round((hits / Math.max(1, looks)) * 1000) / 1000,
+    cacheHitFraction: Math.round((hits / Math.max(1, lookups)) * 1000) / 1000,
     cancelledItems: fleet.wasted,
     doubled: requests.filter(({answers}) => answers > 1).length,
     fault,
--- a/packages/stallpaddle-experiment/src/ExperimentWorkload.ts
+++ b/packages/stallpaddle-experiment/src/ExperimentWorkload.ts
@@ -1,14 +1,13 @@
 /**
- * The two users' fleets and days, shortened: bursts at the counter and on the phone by day, batches
- * in the evening.
+ * Workloads of two users, each a shortened day with bursts of online requests and a quieter evening.
  */
 import type {EngineModel} from './ExperimentEngine';
 
-/** Sizes and rates of one user. */
+/** Fleet sizes, request sizes and request rates of one user. */
 export interface Workload {
   readonly batchPromptTokens: number;
   readonly batchTokens: number;
-  /** Requests a second in a burst. */
+  /** Online requests per second in a burst. */
   readonly burstRate: number;
   readonly callerLatencyMs: number;
   readonly customers: number;
@@ -23,13 +22,13 @@
   readonly zoneLatencyMs: number;
 }
 
-/** Length of the shortened day and evening, in milliseconds. */
+/** Length of the day and of the evening, in milliseconds. */
 export const PHASE_MS = 60_000;
 
-/** A burst comes every so often, in milliseconds. */
+/** Interval between the starts of two bursts, in milliseconds. */
 export const BURST_EVERY_MS = 15_000;
 
-/** Length of a burst, in milliseconds. */
+/** Duration of a burst, in milliseconds. */
 export const BURST_MS = 3_000;
 
 /** Northeast Registry Filings: long prompts, eight engines. */
@@ -69,10 +68,10 @@
 };
 
 /**
- * Online requests a second at a time of the day.
+ * Returns the rate of online requests per second at a given time.
  *
- * @param workload whose day
- * @param at milliseconds since the day began
+ * @param workload rates of the user
+ * @param at milliseconds since the start of the run
  */
 export function onlineRate(workload: Workload, at: number): number {
   if (at >= PHASE_MS) {
@@ -82,17 +81,17 @@
 }
 
 /**
- * Most batch items a second that the engines can do beside the online requests: all slots always
- * taken, online requests taken off at the pace of full engines.
+ * Returns the maximum rate of batch items per second beside the online requests. It assumes that all slots are always
+ * occupied and that online requests run at the speed of full engines.
  *
- * @param workload whose day
- * @param requests online requests of the whole run
+ * @param workload fleet and request sizes
+ * @param requests number of online requests in the run
  */
 export function batchLimit(workload: Workload, requests: number): number {
   const {batchPromptTokens, batchTokens, engine, engines, promptTokens, tokens} = workload;
   const tokenMs = engine.tokenMs * (1 + engine.fullSlowdown);
   const prefillMs = (prompt: number): number => (prompt / 1000) * engine.prefillMsPer1k;
-  // Batch prompts share a head, so their prefix is cached; online ones are reckoned as cached too.
+  // Batch prompts share a prefix, which is cached; online prompts are assumed to be cached too.
   const itemMs = prefillMs(batchPromptTokens) * 0.2 + tokenMs * batchTokens;
   const requestMs = prefillMs(promptTokens) * 0.2 + tokenMs * tokens;
   const slotMs = engines * engine.slots * PHASE_MS * 2 - requests * requestMs;
--- a/packages/stallpaddle-experiment/src/main.ts
+++ b/packages/stallpaddle-experiment/src/main.ts
@@ -1,4 +1,5 @@
 /**
+ * Prints a comparison of the routing policies:
  * `npm run --silent experiment -- --seed N --format json|table|html [--fault NAME|all]`.
  */
 import Table from 'cli-table3';
@@ -11,7 +12,7 @@
 import {POLICIES, runExperiment} from './ExperimentRun';
 import {LAVANDERIA, REGISTRY} from './ExperimentWorkload';
 
-/** A run beside the same one without batch work. */
+/** A run with the p99 TTFT of the `noBatch` run of the same workload and fault. */
 export interface ReportedRun extends RunResult {
   readonly ttftP99MsWithoutBatch: number;
 }
@@ -28,7 +29,7 @@
   );
 }
 
-function tableOf(runs: readonly ReportedRun[]): string {
+function formatTable(runs: readonly ReportedRun[]): string {
   const table = new Table({
     head: [
       'workload',
@@ -48,17 +49,17 @@
     style: {border: [], head: []},
   });
   for (const run of runs) {
-    const part = (100 * run.batchItemsPerSecond) / run.batchLimitItemsPerSecond;
-    const rise = 100 * (run.ttftP99Ms / run.ttftP99MsWithoutBatch - 1);
+    const limitPercent = (100 * run.batchItemsPerSecond) / run.batchLimitItemsPerSecond;
+    const ttftIncreasePercent = 100 * (run.ttftP99Ms / run.ttftP99MsWithoutBatch - 1);
     table.push([
       run.workload,
       run.fault,
       run.policy,
       run.batchItemsPerSecond,
-      part.toFixed(1),
+      limitPercent.toFixed(1),
       run.ttftP50Ms,
       run.ttftP99Ms,
-      `${rise.toFixed(1)}%`,
+      `${ttftIncreasePercent.toFixed(1)}%`,
       run.interTokenP95Ms,
       run.lateItems,
       run.lost,
@@ -78,8 +79,8 @@
 });
 const seed = Number(values.seed);
 const faults = values.fault === 'all' ? FAULTS : FAULTS.filter((fault) => fault === values.fault);
-const known = ['html', 'json', 'table'].includes(values.format);
-if (!Number.isInteger(seed) || faults.length === 0 || !known) {
+const isKnownFormat = ['html', 'json', 'table'].includes(values.format);
+if (!Number.isInteger(seed) || faults.length === 0 || !isKnownFormat) {
   process.stderr.write(
     `experiment: --seed whole number, --format json|table|html, --fault all|${FAULTS.join('|')}\n`,
   );
@@ -94,5 +95,5 @@
     process.stdout.write(`${JSON.stringify({runs, seed})}\n`);
     break;
   default:
-    process.stdout.write(`${tableOf(runs)}\n`);
+    process.stdout.write(`${formatTable(runs)}\n`);
 }
