--- a/packages/stallpaddle-bench/src/BenchControl.ts
+++ b/packages/stallpaddle-bench/src/BenchControl.ts
@@ -1,5 +1,5 @@
 /**
- * What the control group's state costs a replica, by customers, engines and jobs.
+ * Measures the memory and snapshot size of configuration records in the control group's state.
  */
 import type {ConfigChange} from 'stallpaddle-control';
 
@@ -10,7 +10,7 @@
   INITIAL_CONTROL_STATE,
 } from 'stallpaddle-control';
 
-/** Cost of a number of records. */
+/** Average size of the records of one configuration table. */
 export interface ControlCost {
   readonly heapBytesPerRecord: number;
   readonly records: number;
@@ -18,7 +18,7 @@
   readonly table: 'customers' | 'engines';
 }
 
-function changeOf(table: ControlCost['table'], index: number): ConfigChange {
+function createChange(table: ControlCost['table'], index: number): ConfigChange {
   const key = `${table}-${index}`;
   return table === 'customers'
     ? {
@@ -41,22 +41,22 @@
 }
 
 /**
- * Measures a table of the configuration.
+ * Fills one configuration table and returns the heap and snapshot bytes per record.
  *
- * @param table which one
- * @param records number of records
+ * @param table table to fill
+ * @param records number of records to add
  */
 export function measureControl(table: ControlCost['table'], records: number): ControlCost {
   globalThis.gc?.();
-  const before = process.memoryUsage().heapUsed;
-  const changes = Array.from({length: records}, (_, index) => changeOf(table, index));
+  const heapBefore = process.memoryUsage().heapUsed;
+  const changes = Array.from({length: records}, (_, index) => createChange(table, index));
   const config = applyChanges(EMPTY_CONFIG, changes);
   changes.length = 0;
   globalThis.gc?.();
-  const heap = process.memoryUsage().heapUsed - before;
+  const heapBytes = process.memoryUsage().heapUsed - heapBefore;
   const snapshot = controlMachine.encode({...INITIAL_CONTROL_STATE, config});
   return {
-    heapBytesPerRecord: Math.round(heap / records),
+    heapBytesPerRecord: Math.round(heapBytes / records),
     records,
     snapshotBytesPerRecord: Math.round(snapshot.length / records),
     table,
--- a/packages/stallpaddle-bench/src/BenchGroup.ts
+++ b/packages/stallpaddle-bench/src/BenchGroup.ts
@@ -1,5 +1,5 @@
 /**
- * Three replicas of a group in one process, with real disks and direct messages.
+ * A replicated group for benchmarks.
  */
 import type {ReplicaMachine, ReplicaTransport} from 'stallpaddle-replication';
 
@@ -10,41 +10,41 @@
 import {DEFAULT_TIMING, ReplicaDriver, ReplicaStorage} from 'stallpaddle-replication';
 import {openDisk} from 'stallpaddle-storage';
 
-const IDS = ['vm-1/a', 'vm-2/b', 'vm-3/c'] as const;
+const REPLICA_IDS = ['vm-1/a', 'vm-2/b', 'vm-3/c'] as const;
 const GROUP = 'bench';
 
-/** See the module's comment. */
+/** Runs three replicas of a group in one process, with files on disk and in-process message delivery. */
 export class BenchGroup<State> {
   private readonly drivers = new Map<string, ReplicaDriver<State>>();
   private readonly folder = mkdtempSync(path.join(tmpdir(), 'stallpaddle-bench-'));
 
   /**
-   * @param machine what the group replicates
+   * @param machine state machine that the group replicates
    */
   constructor(private readonly machine: ReplicaMachine<State>) {}
 
-  /** Forms the group and starts its replicas. */
+  /** Initializes the replicas' storage and starts them. */
   async start(): Promise<void> {
-    for (const id of IDS) {
+    for (const id of REPLICA_IDS) {
       const disk = await openDisk(this.folderOf(id));
-      const first = this.machine.encode(this.machine.initial());
-      await ReplicaStorage.initialize(disk, first, {learners: [], voters: IDS});
+      const initialState = this.machine.encode(this.machine.initial());
+      await ReplicaStorage.initialize(disk, initialState, {learners: [], voters: REPLICA_IDS});
       await this.open(id);
     }
   }
 
-  /** The replica that leads; waits until there is one. */
+  /** Waits until a replica leads the group and returns it. */
   async leader(): Promise<ReplicaDriver<State>> {
     for (;;) {
-      const found = [...this.drivers.values()].find((driver) => driver.leads);
-      if (found !== undefined) {
-        return found;
+      const leader = [...this.drivers.values()].find((driver) => driver.leads);
+      if (leader !== undefined) {
+        return leader;
       }
       await delay(2);
     }
   }
 
-  /** Ends and opens the leader's replica again; returns how long opening took, in milliseconds. */
+  /** Closes and reopens the leader's replica; returns the time to open it and the number of replayed entries. */
   async reopen(): Promise<{readonly ms: number; readonly replayed: number}> {
     const leader = await this.leader();
     const [id] = [...this.drivers].find(([, driver]) => driver === leader)!;
@@ -54,7 +54,7 @@
     return {ms: performance.now() - startedAt, replayed: driver.replayed};
   }
 
-  /** Ends all replicas and removes their files. */
+  /** Closes all replicas and removes their files. */
   async stop(): Promise<void> {
     await Promise.all([...this.drivers.values()].map((driver) => driver.close()));
     rmSync(this.folder, {force: true, recursive: true});
--- a/packages/stallpaddle-bench/src/BenchLedger.ts
+++ b/packages/stallpaddle-bench/src/BenchLedger.ts
@@ -1,5 +1,5 @@
 /**
- * Items through a ledger shard with three real replicas: upload, leases, results.
+ * Measures a ledger shard with three replicas: uploads a file, leases its items and reports their results.
  */
 import type {LedgerAnswer, LedgerCommand, LedgerState} from 'stallpaddle-ledger';
 import type {ReplicaDriver} from 'stallpaddle-replication';
@@ -11,12 +11,12 @@
 
 const LINE_BYTES = 220;
 const RESULT_BYTES = 400;
-const CHUNKS_PER_PART = 128;
+const CHUNKS_PER_APPEND = 128;
 const WORKERS = 8;
 const ITEMS_PER_LEASE = 128;
 const LEASE_MS = 60_000;
 
-/** What a number of items cost. */
+/** Throughput of a ledger shard and its resource use per item. */
 export interface LedgerCost {
   readonly blobBytesPerItem: number;
   readonly cpuMicrosPerItem: number;
@@ -29,6 +29,7 @@
   readonly syncsPerEntry: number;
 }
 
+/** Proposes the commands of one batch job: the upload, then leases and reports by concurrent workers. */
 class LedgerLoad {
   commands = 0;
 
@@ -48,8 +49,8 @@
     const base = {customer: 'c', fileId: name, now: 0};
     const lines = Buffer.from(`${'x'.repeat(LINE_BYTES - 1)}\n`.repeat(CHUNK_ITEMS));
     const size = Math.ceil(items / CHUNK_ITEMS);
-    for (let firstChunk = 0; firstChunk < size; firstChunk += CHUNKS_PER_PART) {
-      const count = Math.min(CHUNKS_PER_PART, size - firstChunk);
+    for (let firstChunk = 0; firstChunk < size; firstChunk += CHUNKS_PER_APPEND) {
+      const count = Math.min(CHUNKS_PER_APPEND, size - firstChunk);
       const chunks = Array.from({length: count}, () => ({items: CHUNK_ITEMS, lines}));
       await this.propose({...base, chunks, firstChunk, model: 'm', type: 'appendFile'});
     }
@@ -72,7 +73,7 @@
   private async work(vm: string): Promise<void> {
     const line = 'r'.repeat(RESULT_BYTES);
     for (;;) {
-      const answer = await this.propose({
+      const lease = await this.propose({
         leaseMs: LEASE_MS,
         maxItems: ITEMS_PER_LEASE,
         models: ['m'],
@@ -80,10 +81,10 @@
         type: 'lease',
         vm,
       });
-      if (answer.kind !== 'leased' || answer.chunks.length === 0) {
+      if (lease.kind !== 'leased' || lease.chunks.length === 0) {
         return;
       }
-      const reports = answer.chunks.map(({chunk, items, jobId, token}) => ({
+      const reports = lease.chunks.map(({chunk, items, jobId, token}) => ({
         chunk,
         items: items.map(({item}) => ({item, kind: 'done' as const, line})),
         jobId,
@@ -96,7 +97,7 @@
 }
 
 /**
- * Measures the ledger at a number of items, in a group of its own.
+ * Runs one batch job through a new ledger group and measures throughput, CPU, memory and reopening.
  *
  * @param items number of items in one job
  */
@@ -107,7 +108,7 @@
     const leader = await group.leader();
     globalThis.gc?.();
     const heapBefore = process.memoryUsage().heapUsed;
-    const before = {...leader.counters};
+    const countersBefore = {...leader.counters};
     const cpuBefore = process.cpuUsage();
     const startedAt = performance.now();
     const load = new LedgerLoad(leader);
@@ -115,22 +116,22 @@
     const seconds = (performance.now() - startedAt) / 1000;
     const cpu = process.cpuUsage(cpuBefore);
     globalThis.gc?.();
-    const heap = process.memoryUsage().heapUsed - heapBefore;
+    const heapBytes = process.memoryUsage().heapUsed - heapBefore;
     const {commits, syncs} = leader.counters;
-    const entries = commits - before.commits;
+    const entries = commits - countersBefore.commits;
     const {blobEnd} = leader.localState;
     const {ms, replayed} = await group.reopen();
     return {
       blobBytesPerItem: Math.round(blobEnd / items),
-      // Three replicas share this process.
+      // Three replicas share this process, so CPU time and heap are divided by three.
       cpuMicrosPerItem: Math.round((10 * (cpu.user + cpu.system)) / items / 3) / 10,
       entriesPerItem: Math.round((1000 * entries) / items) / 1000,
-      heapBytesPerItem: Math.round(heap / items / 3),
+      heapBytesPerItem: Math.round(heapBytes / items / 3),
       items,
       itemsPerSecond: Math.round(items / seconds),
       reopenMs: Math.round(ms),
       replayed,
-      syncsPerEntry: Math.round((100 * (syncs - before.syncs)) / entries) / 100,
+      syncsPerEntry: Math.round((100 * (syncs - countersBefore.syncs)) / entries) / 100,
     };
   } finally {
     await group.stop();
--- a/packages/stallpaddle-bench/src/added.ts
+++ b/packages/stallpaddle-bench/src/added.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run added`: what an entry VM adds to a direct connection, with and without batch work, on nine
- * VM processes and eight stand-in engines.
+ * `npm run added`: compares the latency of requests through VMs, with and without batch work, to that of direct
+ * requests to stand-in engines.
  */
 import {mkdtempSync, readFileSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
@@ -21,8 +21,8 @@
 
 const RATE = Number(process.env.RATE ?? 200);
 const SECONDS = Number(process.env.SECS ?? 10);
-const ITEMS = 20_000;
-const TOKENS = 16;
+const BATCH_ITEMS = 20_000;
+const MAX_TOKENS = 16;
 const SEED = 1;
 
 const LAYOUT: FleetLayout = {
@@ -33,7 +33,7 @@
   standIn: {tokenMs: 4},
 };
 
-function rss(pid: number): number {
+function rssMegabytes(pid: number): number {
   const match = /VmRSS:\s+(\d+) kB/.exec(readFileSync(`/proc/${pid}/status`, 'utf8'));
   return Math.round(Number(match?.[1] ?? 0) / 1024);
 }
@@ -49,32 +49,40 @@
     ratePerSecond: RATE,
     seed: SEED,
     stream: true,
-    tokens: TOKENS,
+    tokens: MAX_TOKENS,
   };
-  const through = {...base, model: 'balcao-llm', targets: vms};
+  const viaVms = {...base, model: 'balcao-llm', targets: vms};
   const direct = {...base, model: 'balcao@1', targets: engines};
-  // One pass first, so that code is compiled and connections stand.
-  await runOpenLoop({...through, seconds: 3});
+  // Warms up compiled code and connections before anything is measured.
+  await runOpenLoop({...viaVms, seconds: 3});
   await runOpenLoop({...direct, seconds: 3});
-  const tell = (what: string, result: object): void => {
+  const printResult = (what: string, result: object): void => {
     process.stdout.write(`${JSON.stringify({what, ...result})}\n`);
   };
-  tell('direct', await runOpenLoop({...direct, seconds: SECONDS}));
-  tell('through VMs', await runOpenLoop({...through, seconds: SECONDS}));
-  const accountants = new DemoCallers(vms, LAYOUT.customers[1]!.key, 'balcao-llm');
-  const job = await submitBatch(accountants, batchFile('load', ITEMS, 0, 'balcao-llm'), 'k');
-  const countOf = async (): Promise<number> => {
-    const status = await waitForBatch(accountants, job, 0);
+  printResult('direct', await runOpenLoop({...direct, seconds: SECONDS}));
+  printResult('through VMs', await runOpenLoop({...viaVms, seconds: SECONDS}));
+  const batchCustomer = new DemoCallers(vms, LAYOUT.customers[1]!.key, 'balcao-llm');
+  const job = await submitBatch(
+    batchCustomer,
+    batchFile('load', BATCH_ITEMS, 0, 'balcao-llm'),
+    'k',
+  );
+  const countCompleted = async (): Promise<number> => {
+    const status = await waitForBatch(batchCustomer, job, 0);
     return status.request_counts.completed;
   };
   await delay(2000);
-  const before = await countOf();
+  const completedBefore = await countCompleted();
   const startedAt = performance.now();
-  tell('through VMs beside a batch', await runOpenLoop({...through, seconds: SECONDS}));
+  printResult('through VMs beside a batch', await runOpenLoop({...viaVms, seconds: SECONDS}));
   const seconds = (performance.now() - startedAt) / 1000;
-  tell('batch beside online', {itemsPerSecond: Math.round(((await countOf()) - before) / seconds)});
-  const memory = vms.map((_, index) => rss(fleet.pidOf(fleet.vmProcess(index).name)!));
-  tell('memory of the VM processes in MB', {rss: memory});
+  printResult('batch beside online', {
+    itemsPerSecond: Math.round(((await countCompleted()) - completedBefore) / seconds),
+  });
+  const memoryMegabytes = vms.map((_, index) =>
+    rssMegabytes(fleet.pidOf(fleet.vmProcess(index).name)!),
+  );
+  printResult('memory of the VM processes in MB', {rss: memoryMegabytes});
 } finally {
   await fleet.stop();
   rmSync(folder, {force: true, recursive: true});
--- a/packages/stallpaddle-bench/src/main.ts
+++ b/packages/stallpaddle-bench/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run bench`: items through a ledger shard with three real replicas.
+ * `npm run bench`: measures a ledger shard with three replicas and prints the result as JSON.
  */
 import {measureLedger} from './BenchLedger';
 
--- a/packages/stallpaddle-bench/src/slopes.ts
+++ b/packages/stallpaddle-bench/src/slopes.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run slopes`: the measurements behind docs/CAPACITY.md, as lines of JSON.
+ * `npm run slopes`: prints the measurements for docs/CAPACITY.md as lines of JSON.
  */
 import {measureControl} from './BenchControl';
 import {measureFleet} from './BenchFleet';
@@ -10,20 +10,20 @@
 const CUSTOMER_SIZES = [1_000, 10_000, 49_000];
 const ENGINE_SIZES = [100, 740];
 
-function tell(what: string, cost: object): void {
+function printResult(what: string, cost: object): void {
   process.stdout.write(`${JSON.stringify({what, ...cost})}\n`);
 }
 
 for (const records of CUSTOMER_SIZES) {
-  tell('control', measureControl('customers', records));
+  printResult('control', measureControl('customers', records));
 }
 for (const records of ENGINE_SIZES) {
-  tell('control', measureControl('engines', records));
+  printResult('control', measureControl('engines', records));
 }
 for (const items of LEDGER_SIZES) {
-  tell('ledger', await measureLedger(items));
+  printResult('ledger', await measureLedger(items));
 }
 for (const vms of FLEET_SIZES) {
-  tell('fleet', await measureFleet(vms));
+  printResult('fleet', await measureFleet(vms));
 }
 process.exit(0);
