--- a/packages/stallpaddle-load/src/LoadHttp.ts
+++ b/packages/stallpaddle-load/src/LoadHttp.ts
@@ -1,24 +1,25 @@
 /**
- * Plain HTTP calls of the load tool, the command line, demos and tests.
+ * HTTP client for the load generator, the command line, demos and tests.
  */
 import {Agent, request} from 'node:http';
 
-/** What a call sends. */
+/** Target and content of an HTTP request. */
 export interface ServerCall {
   readonly agent?: Agent;
   readonly body?: Uint8Array | string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly host: string;
+  /** API key, sent as a bearer token. */
   readonly key?: string;
   readonly method?: string;
   readonly path: string;
   readonly port: number;
   readonly signal?: AbortSignal;
-  /** Longest silence of the server, in milliseconds. */
+  /** Maximum time without traffic on the connection, in milliseconds; 0 means no limit. */
   readonly timeoutMs?: number;
 }
 
-/** A whole answer. */
+/** A complete response and the time until the first byte of its body. */
 export interface ServerAnswer {
   readonly firstByteMs: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
@@ -29,9 +30,10 @@
 const sharedAgent = new Agent({keepAlive: true, maxSockets: 1024});
 
 /**
- * Makes a call. Rejects when the answer breaks off.
+ * Sends a request and buffers the response. Rejects when the connection fails, times out or closes before the
+ * response is complete.
  *
- * @param call what to send
+ * @param call request to send
  */
 export function callServer(call: ServerCall): Promise<ServerAnswer> {
   const {agent = sharedAgent, body = '', headers, host, key, method = 'GET'} = call;
@@ -53,7 +55,9 @@
       ...(signal === undefined ? {} : {signal}),
       timeout: timeoutMs,
     });
-    req.on('timeout', () => req.destroy(new Error(`no answer in ${timeoutMs} ms`)));
+    req.on('timeout', () =>
+      req.destroy(new Error(`no data on the connection for ${timeoutMs} ms`)),
+    );
     req.on('error', reject);
     req.on('response', (res) => {
       let firstByteMs = 0;
@@ -65,7 +69,7 @@
       res.on('error', reject);
       res.on('close', () => {
         if (!res.complete) {
-          reject(new Error('the answer broke off'));
+          reject(new Error('the connection closed before the response was complete'));
         }
       });
       res.on('end', () => {
--- a/packages/stallpaddle-load/src/index.ts
+++ b/packages/stallpaddle-load/src/index.ts
@@ -1,3 +1,3 @@
-/** Load tool, and the plain HTTP calls under it. */
+/** Open-loop load generator and the HTTP client that it uses. */
 export {callServer, type ServerAnswer, type ServerCall} from './LoadHttp';
 export {type OpenLoopOptions, type OpenLoopResult, runOpenLoop} from './LoadOpenLoop';
