--- a/scripts/buildPlatform.mjs
+++ b/scripts/buildPlatform.mjs
@@ -1,5 +1,5 @@
 /**
- * Builds `target/`: the program that the users' platform starts, as one small bundle with its code cache.
+ * Builds `target/`: the bundled program that the platform starts, and its V8 code cache.
  */
 import {build} from 'esbuild';
 import {execFileSync} from 'node:child_process';
@@ -12,11 +12,10 @@
 const target = path.join(root, 'target');
 
 /**
- * Packages with what is used of them. They are loaded only when metrics are read, so they are kept out of the
- * file that every start has to parse.
+ * Packages and the exports that are used of them. They are loaded only when metrics are read, so bundles of their own
+ * keep them out of the file that is parsed at every start.
  */
-const LATE_PACKAGES = {'hdr-histogram-js': 'build', 'prom-client': 'Counter, Gauge, Registry'};
-/** What all bundles have in common. */
+const LAZY_PACKAGES = {'hdr-histogram-js': 'build', 'prom-client': 'Counter, Gauge, Registry'};
 const BUNDLE_OPTIONS = {
   bundle: true,
   format: 'cjs',
@@ -25,27 +24,26 @@
   minify: true,
   platform: 'node',
   sourcemap: false,
-  // The program runs as a script of its own, in which only `require` works.
+  // The program runs as a plain script, in which only `require` works.
   supported: {'dynamic-import': false},
   target: 'node20',
 };
 /**
- * The flags that the processes are started with, as in `deploy/system.toml`: a code cache is of use to the same
- * flags only.
+ * Flags of the processes in `deploy/system.toml`. V8 rejects a code cache that was written under other flags.
  */
-const FLAGS = ['--max-semi-space-size=2'];
+const NODE_FLAGS = ['--max-semi-space-size=2'];
 
-/** The file that writes the code cache, run once by this build. */
-const WARM_FILE = 'warm.cjs';
-/** Sources and their bundles; `NodeProgram.ts` knows the name of the program's bundle too. */
+/** The bundle that writes the code cache; this build runs it once. */
+const CACHE_WRITER_FILE = 'warm.cjs';
+/** Entry points and their bundles. `NodeProgram.ts` also contains the name of the program's bundle. */
 const PROGRAMS = {
   'packages/stallpaddle-node/src/boot.ts': 'stallpaddle.cjs',
-  'packages/stallpaddle-node/src/warm.ts': WARM_FILE,
+  'packages/stallpaddle-node/src/warm.ts': CACHE_WRITER_FILE,
   'platform/src/main.ts': 'program.cjs',
 };
 
-/** Settings of a process alone on this machine, on ports that the system chooses. */
-function warmSettings(folder) {
+/** Settings of a fleet of one process, on ports that the operating system chooses. */
+function cacheWriterSettings(folder) {
   const anyPort = '127.0.0.1:0';
   return {
     bounds: {acknowledge: '4s', apply: '2s', drain: '2s', grace: '8s', report: '1s'},
@@ -66,14 +64,14 @@
   };
 }
 
-/** Starts the program once, so that the code cache holds what a start runs. */
+/** Starts the program once, so that the code cache contains the functions that run at startup. */
 function writeCodeCache() {
   const folder = mkdtempSync(path.join(tmpdir(), 'stallpaddle-warm-'));
-  const settings = path.join(folder, 'settings.json');
-  writeFileSync(settings, JSON.stringify(warmSettings(folder)));
+  const settingsFile = path.join(folder, 'settings.json');
+  writeFileSync(settingsFile, JSON.stringify(cacheWriterSettings(folder)));
   try {
-    execFileSync(process.execPath, [...FLAGS, path.join(target, WARM_FILE)], {
-      env: {...process.env, STALLPADDLE_SETTINGS: settings},
+    execFileSync(process.execPath, [...NODE_FLAGS, path.join(target, CACHE_WRITER_FILE)], {
+      env: {...process.env, STALLPADDLE_SETTINGS: settingsFile},
       stdio: ['ignore', 'ignore', 'inherit'],
     });
   } finally {
@@ -87,15 +85,15 @@
     build({
       ...BUNDLE_OPTIONS,
       entryPoints: [path.join(root, source)],
-      external: Object.keys(LATE_PACKAGES),
+      external: Object.keys(LAZY_PACKAGES),
       outfile: path.join(target, file),
     }),
   ),
-  ...Object.entries(LATE_PACKAGES).map(([name, used]) =>
+  ...Object.entries(LAZY_PACKAGES).map(([name, exportedNames]) =>
     build({
       ...BUNDLE_OPTIONS,
       outfile: path.join(target, 'node_modules', name, 'index.js'),
-      stdin: {contents: `export {${used}} from '${name}';`, resolveDir: root},
+      stdin: {contents: `export {${exportedNames}} from '${name}';`, resolveDir: root},
     }),
   ),
 ]);
--- a/scripts/fuzz.mjs
+++ b/scripts/fuzz.mjs
@@ -1,6 +1,6 @@
 /**
- * `npm run fuzz -- --minutes N --seed S`: runs every property test for N minutes and says how many
- * histories ran; a failure prints the seed and the shrunk history.
+ * `npm run fuzz -- --minutes N --seed S`: runs every property test for N minutes and prints how many
+ * histories ran. A failing test prints its seed and the shrunk history.
  */
 import {spawnSync} from 'node:child_process';
 import {parseArgs} from 'node:util';
--- a/scripts/summaryReporter.mjs
+++ b/scripts/summaryReporter.mjs
@@ -1,8 +1,9 @@
 import {writeFileSync} from 'node:fs';
 
 /**
- * Vitest reporter whose last line counts the tests: `N passed, N failed, N skipped`. Where STALLPADDLE_TEST_REPORT
- * names a file, it writes there what failed: names of tests, files that failed by themselves, errors outside of both.
+ * Vitest reporter whose last line counts the tests: `N passed, N failed, N skipped`. If STALLPADDLE_TEST_REPORT names a
+ * file, the reporter writes the failures to it as JSON: names of tests, test files with errors outside of tests, and the
+ * number of unhandled errors.
  */
 export default class SummaryReporter {
   onTestRunEnd(modules, unhandledErrors) {
@@ -25,9 +26,9 @@
     process.stdout.write(
       `\n${passed} passed, ${failed} failed${skipped > 0 ? `, ${skipped} skipped` : ''}\n`,
     );
-    const file = process.env.STALLPADDLE_TEST_REPORT;
-    if (file !== undefined) {
-      writeFileSync(file, JSON.stringify(report));
+    const reportFile = process.env.STALLPADDLE_TEST_REPORT;
+    if (reportFile !== undefined) {
+      writeFileSync(reportFile, JSON.stringify(report));
     }
   }
 }
