--- a/scripts/runTests.mjs
+++ b/scripts/runTests.mjs
@@ -1,7 +1,7 @@
 /**
  * Runs all tests and tolerates failures only of the tests listed in KNOWN-RED.txt, which it prints. The list has at
- * most three lines of the form `test name | cause | issue`. A listed test that passes fails the run, so that its line is
- * removed.
+ * most three lines of the form `test name | cause | issue`. A listed test that passes fails the run, so that its
+ * line is removed.
  */
 import {spawnSync} from 'node:child_process';
 import {existsSync, mkdtempSync, readFileSync, rmSync} from 'node:fs';
--- a/scripts/summaryReporter.mjs
+++ b/scripts/summaryReporter.mjs
@@ -2,8 +2,8 @@
 
 /**
  * Vitest reporter whose last line counts the tests: `N passed, N failed, N skipped`. If STALLPADDLE_TEST_REPORT names a
- * file, the reporter writes the failures to it as JSON: names of tests, test files with errors outside of tests, and the
- * number of unhandled errors.
+ * file, the reporter writes the failures to it as JSON: names of tests, test files with errors outside of tests, and
+ * the number of unhandled errors.
  */
 export default class SummaryReporter {
   onTestRunEnd(modules, unhandledErrors) {
